--- a/crates/fleet/src/announcements.rs
+++ b/crates/fleet/src/announcements.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::directory::{BackEnd, Incarnation, TOMBSTONE_LIFE};
+use crate::directory::{BackEnd, Incarnation, TOMBSTONE_RETENTION};
 
 /// Longest time for which requests are held back from a back end. One that asks for more is asked again after this: a single refused request is the price of
 /// finding out, and a mistaken figure does not take a back end out of use for good.
-pub const LONGEST_BACKOFF: Duration = Duration::from_secs(600);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(600);
 
 /// What one answer says of the back end that gave it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 pub enum RequestedBackoff {
     /// It did not say.
     #[default]
-    Unasked,
+    NotRequested,
     /// For so long.
     For(Duration),
     /// It said something that is no time.
@@ -107,8 +107,8 @@
         now: Instant,
     ) -> Option<Availability> {
         let backoff_end = match announcement.backoff {
-            RequestedBackoff::For(time) => Some(now + time.min(LONGEST_BACKOFF)),
-            RequestedBackoff::Unasked | RequestedBackoff::Unreadable => None,
+            RequestedBackoff::For(time) => Some(now + time.min(MAX_BACKOFF)),
+            RequestedBackoff::NotRequested | RequestedBackoff::Unreadable => None,
         };
         if !announcement.drains && backoff_end.is_none() {
             return None;
@@ -158,7 +158,7 @@
     }
 
     /// The back end took a request: where the time that it asked for is over, the trial is too.
-    pub fn took_request(&mut self, back_end: &BackEnd, now: Instant) {
+    pub fn record_accepted_request(&mut self, back_end: &BackEnd, now: Instant) {
         if self.is_on_trial(back_end, now)
             && let Some(known) = self.by_back_end.get_mut(&back_end.id)
         {
@@ -182,9 +182,9 @@
 
     /// Forgets back ends that the directory does not name, some time after their last word: an entry that lapsed may come back
     /// as it was.
-    pub fn forget_gone(&mut self, is_present: impl Fn(&str) -> bool, now: Instant) {
+    pub fn forget_absent(&mut self, is_present: impl Fn(&str) -> bool, now: Instant) {
         self.by_back_end.retain(|id, known| {
-            is_present(id) || now.saturating_duration_since(known.last) < TOMBSTONE_LIFE
+            is_present(id) || now.saturating_duration_since(known.last) < TOMBSTONE_RETENTION
         });
     }
 }
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -48,7 +48,7 @@
 impl RequestKind {
     /// Whether the request may run a second time.
     #[must_use]
-    pub const fn is_repeatable(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
--- a/crates/fleet/src/far_pace.rs
+++ b/crates/fleet/src/cross_zone_pacer.rs
@@ -11,13 +11,13 @@
 
 /// Paces digests to daemons of other zones.
 #[derive(Debug, Default)]
-pub struct FarPace {
+pub struct CrossZonePacer {
     last: Option<Instant>,
     /// Whether the last one told of work, which has to be taken back when it ends.
     told_of_work: bool,
 }
 
-impl FarPace {
+impl CrossZonePacer {
     /// Whether the digest that is published now goes to other zones too.
     pub fn is_due(&mut self, tells_of_work: bool, now: Instant) -> bool {
         let is_overdue = self
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -13,20 +13,20 @@
 use crate::configuration::Stage;
 use crate::revision::Revision;
 pub(crate) use ready_sets::owner_score;
-pub use ready_sets::{CANDIDATES, ReadyCounts};
+pub use ready_sets::{MAX_CANDIDATES_PER_STAGE, ReadyCounts};
 use ready_sets::{ReadySet, Vantage};
 
 /// How long a back end whose entry vanished while the store was in doubt may still be used. Back ends that are well write
 /// their entries anew within about two seconds of the store's return (the platform's promise); half a second more until
 /// that is known here. One that is still missing then is gone.
-pub const DOUBT_GRACE: Duration = Duration::from_millis(2_500);
+pub const UNCONFIRMED_REMOVAL_GRACE: Duration = Duration::from_millis(2_500);
 
 /// How long a back end that had gone stays gone though the store, back from an older copy, shows its entry. That of one that is
 /// gone lapses within a few of its heartbeats; one that is still there then lives.
-pub const GONE_OUTLIVES_COPY: Duration = Duration::from_secs(10);
+pub const REMOVAL_HOLD_AFTER_RESTORE: Duration = Duration::from_secs(10);
 
 /// How long the removal of an entry is remembered, so that no older news brings it back.
-pub const TOMBSTONE_LIFE: Duration = Duration::from_secs(60);
+pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 
 /// Whether a back end takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,13 +39,13 @@
 
 /// What a back end's entry says of its slow start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Warmth {
+pub enum WarmupState {
     /// It is as fast as it will be.
     Warm,
     /// It was slow for so much longer when the entry was written.
     ColdFor(Duration),
     /// The entry holds no usable time; the back end is taken as warm.
-    Unusable,
+    InvalidTime,
 }
 
 /// A slow start that is under way.
@@ -59,7 +59,7 @@
 impl ColdStart {
     /// A back end was seen to be slow for so much longer; `before` is what was known of this life's start.
     #[must_use]
-    pub fn seen(left: Duration, before: Option<Self>, now: Instant) -> Self {
+    pub fn observe(left: Duration, before: Option<Self>, now: Instant) -> Self {
         let whole = before.map_or(left, |before| before.whole.max(left));
         Self {
             whole,
@@ -69,7 +69,7 @@
 
     /// Part of the slow start that is left: 1 at its beginning, 0 from its end on.
     #[must_use]
-    pub fn share_left(self, now: Instant) -> f64 {
+    pub fn remaining_fraction(self, now: Instant) -> f64 {
         let left = self.warm_at.saturating_duration_since(now);
         if self.whole.is_zero() {
             return 0.0;
@@ -134,25 +134,25 @@
 impl Vanished {
     /// The back end, where it may only have lost its entry.
     fn doubted(&self, now: Instant) -> Option<&Arc<BackEnd>> {
-        let is_doubted = self.in_doubt && now.saturating_duration_since(self.since) < DOUBT_GRACE;
+        let is_doubted = self.in_doubt && now.saturating_duration_since(self.since) < UNCONFIRMED_REMOVAL_GRACE;
         self.last.as_ref().filter(|_last| is_doubted)
     }
 
     /// Whether it has gone, and not long ago.
     fn has_gone_lately(&self, now: Instant) -> bool {
-        !self.in_doubt && now.saturating_duration_since(self.since) < GONE_OUTLIVES_COPY
+        !self.in_doubt && now.saturating_duration_since(self.since) < REMOVAL_HOLD_AFTER_RESTORE
     }
 }
 
 /// What became of an entry that the store showed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum PutOutcome {
     /// It is known so from now on.
-    News,
+    Applied,
     /// It is no newer than what is known.
     Stale,
     /// The store came back from an older copy, whose entry says less than what was known before: that stays known.
-    Outlived,
+    Superseded,
 }
 
 /// All back ends that the store knows or has lately known.
@@ -167,13 +167,13 @@
 
 /// How well a back end can be chosen for a request; the best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Usability {
+pub enum Eligibility {
     /// Nothing speaks against it.
-    Well,
+    Preferred,
     /// Where no other is left: it failed lately, or is about to change.
-    AtNeed,
+    Fallback,
     /// Not at all: it drains, wants no requests for now, or had this one.
-    Closed,
+    Excluded,
 }
 
 /// What a choice among the back ends of a service depends on.
@@ -187,7 +187,7 @@
     /// Back ends that are believed to hold it.
     pub holders: &'a [Arc<str>],
     /// How well a back end can be chosen, as far as this daemon knows.
-    pub usability: &'a dyn Fn(&BackEnd) -> Usability,
+    pub eligibility: &'a dyn Fn(&BackEnd) -> Eligibility,
 }
 
 /// The back ends among which one request's are chosen.
@@ -202,7 +202,7 @@
 impl Directory {
     /// A directory as a daemon of this zone sees it; `seed` differs from daemon to daemon.
     #[must_use]
-    pub fn seen_from(zone: Arc<str>, seed: u64) -> Self {
+    pub fn for_daemon(zone: Arc<str>, seed: u64) -> Self {
         Self {
             vantage: Vantage { zone, seed },
             ..Self::default()
@@ -210,9 +210,9 @@
     }
 
     /// Takes an entry as the store holds it.
-    pub fn put(&mut self, back_end: BackEnd, revision: Revision, now: Instant) -> Taken {
+    pub fn put(&mut self, back_end: BackEnd, revision: Revision, now: Instant) -> PutOutcome {
         if self.is_stale(&back_end.id, revision) {
-            return Taken::Stale;
+            return PutOutcome::Stale;
         }
         if let Some(entry) = self.entries.get_mut(&back_end.id)
             && entry.revision.era() < revision.era()
@@ -222,10 +222,10 @@
             if let Presence::Vanished(vanished) = &mut entry.presence {
                 vanished.shown_by_copy = Some(Arc::new(back_end));
             }
-            return Taken::Outlived;
+            return PutOutcome::Superseded;
         }
         self.make_present(back_end, revision);
-        Taken::News
+        PutOutcome::Applied
     }
 
     fn make_present(&mut self, back_end: BackEnd, revision: Revision) {
@@ -242,7 +242,7 @@
 
     /// Takes what a peer knows of a back end whose entry the store, back from an older copy, shows here. Returns whether it says
     /// more than that.
-    pub fn put_over_copy(&mut self, back_end: BackEnd) -> bool {
+    pub fn put_from_peer(&mut self, back_end: BackEnd) -> bool {
         let Some(entry) = self.entries.get(&back_end.id) else {
             return false;
         };
@@ -258,7 +258,7 @@
     }
 
     /// The same for a back end that had gone.
-    pub fn remove_over_copy(&mut self, id: &str, now: Instant) -> bool {
+    pub fn remove_from_peer(&mut self, id: &str, now: Instant) -> bool {
         let Some(entry) = self.entries.get(id) else {
             return false;
         };
@@ -371,7 +371,7 @@
         };
         let first_zone = query.zone.unwrap_or(&self.vantage.zone);
         let zones = set.zones(first_zone, &self.vantage);
-        let mut back_ends = set.preferred(&zones, query.usability);
+        let mut back_ends = set.preferred(&zones, query.eligibility);
         let owners = query.prefix.map(|prefix| set.owners(prefix, query.zone));
         let holders = self.ready_among(query.service, query.holders);
         for other in owners.unwrap_or_default().into_iter().chain(holders) {
@@ -398,7 +398,7 @@
 
     /// Whether the back end may get a new request, as far as its entry tells: it is ready, or vanished in doubt.
     #[must_use]
-    pub fn takes_requests(&self, id: &str, now: Instant) -> bool {
+    pub fn accepts_requests(&self, id: &str, now: Instant) -> bool {
         match self.entries.get(id).map(|entry| &entry.presence) {
             Some(Presence::Present(back_end)) => back_end.lifecycle == Lifecycle::Ready,
             Some(Presence::Vanished(vanished)) => vanished.doubted(now).is_some(),
@@ -408,7 +408,7 @@
 
     fn is_doubted(&self, now: Instant) -> bool {
         self.last_doubt
-            .is_some_and(|last| now.saturating_duration_since(last) < DOUBT_GRACE)
+            .is_some_and(|last| now.saturating_duration_since(last) < UNCONFIRMED_REMOVAL_GRACE)
     }
 
     fn doubted(&self, service: &str, now: Instant) -> Vec<Arc<BackEnd>> {
@@ -435,7 +435,7 @@
 
     /// Forgets removals that are long past. Back ends that had gone, and whose entries the store has shown ever since it came back
     /// from an older copy, live: returns those.
-    pub fn forget_removals(&mut self, now: Instant) -> Vec<Arc<BackEnd>> {
+    pub fn expire_removals(&mut self, now: Instant) -> Vec<Arc<BackEnd>> {
         let alive: Vec<(Arc<BackEnd>, Revision)> = self
             .entries
             .values()
@@ -453,7 +453,7 @@
         self.entries.retain(|_id, entry| match &entry.presence {
             Presence::Present(_) => true,
             Presence::Vanished(vanished) => {
-                now.saturating_duration_since(vanished.since) < TOMBSTONE_LIFE
+                now.saturating_duration_since(vanished.since) < TOMBSTONE_RETENTION
             }
         });
         alive
--- a/crates/fleet/src/directory/ready_sets.rs
+++ b/crates/fleet/src/directory/ready_sets.rs
@@ -11,13 +11,13 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{BackEnd, Usability};
+use super::{BackEnd, Eligibility};
 use crate::configuration::Stage;
 
 /// Back ends of each stage that one daemon chooses among: far more than the requests that it has in progress. Choosing for a long
 /// prompt took 55 to 135 ms on 0.12 of a core among 9,560 engines, and takes 5 ms among so many (time from the prompt's intake to
 /// its placement in the daemon's lines).
-pub const CANDIDATES: usize = 128;
+pub const MAX_CANDIDATES_PER_STAGE: usize = 128;
 /// Rendezvous owners of a prefix that are candidates: the second and third where the first is ejected or changes.
 const OWNERS: usize = 3;
 
@@ -84,10 +84,10 @@
     pub(super) fn preferred(
         &self,
         zones: &[&str],
-        usability: &dyn Fn(&BackEnd) -> Usability,
+        eligibility: &dyn Fn(&BackEnd) -> Eligibility,
     ) -> Vec<Arc<BackEnd>> {
-        let mut preferred = self.prefill.preferred(zones, usability);
-        preferred.extend(self.others.preferred(zones, usability));
+        let mut preferred = self.prefill.preferred(zones, eligibility);
+        preferred.extend(self.others.preferred(zones, eligibility));
         preferred
     }
 
@@ -226,22 +226,22 @@
     fn preferred(
         &self,
         zones: &[&str],
-        usability: &dyn Fn(&BackEnd) -> Usability,
+        eligibility: &dyn Fn(&BackEnd) -> Eligibility,
     ) -> Vec<Arc<BackEnd>> {
         let of_zones = zones.iter().filter_map(|zone| self.by_zone.get(*zone));
         let in_order = of_zones.flat_map(|of_zone| of_zone.by_preference.values());
-        let mut best = Usability::Closed;
+        let mut best = Eligibility::Excluded;
         let mut preferred = Vec::new();
         for back_end in in_order {
-            let found = usability(back_end);
+            let found = eligibility(back_end);
             if found < best {
                 best = found;
                 preferred.clear();
             }
-            if found == best && preferred.len() < CANDIDATES {
+            if found == best && preferred.len() < MAX_CANDIDATES_PER_STAGE {
                 preferred.push(Arc::clone(back_end));
             }
-            if best == Usability::Well && preferred.len() == CANDIDATES {
+            if best == Eligibility::Preferred && preferred.len() == MAX_CANDIDATES_PER_STAGE {
                 break;
             }
         }
--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -18,18 +18,18 @@
 /// carries to sixteen readers in 0.2 s. Daemons of a zone of 170 knew everything 0.41 s after all had been started (median).
 const READERS_OF_A_DISTRIBUTOR: usize = 16;
 /// Distributors of one zone, at most: the list of them stays far below a kilobyte of the store's answer to each daemon.
-pub const MOST_DISTRIBUTORS: usize = 64;
+pub const MAX_DISTRIBUTORS: usize = 64;
 /// A daemon whose distributors bring nothing more for this long reads the store itself. Far longer than one step of the tree
 /// takes (some 0.1 s), far shorter than the seconds within which a change has to be in force.
-pub const PROVIDER_PATIENCE: Duration = Duration::from_millis(1_500);
+pub const PROVIDER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The same for a distributor, on which others wait.
-pub const DISTRIBUTOR_PATIENCE: Duration = Duration::from_millis(600);
+pub const DISTRIBUTOR_TIMEOUT: Duration = Duration::from_millis(600);
 /// A daemon that knows everything up to a revision whose successors the store has forgotten waits this long for a peer that has
 /// read everything anew. If all daemons read the store then, 1,000 of them before 10,000 back ends would share its link for
 /// half a minute; those that do read it take less than a second.
-pub const REREAD_PATIENCE: Duration = Duration::from_secs(2);
+pub const REREAD_WAIT: Duration = Duration::from_secs(2);
 /// A daemon that has read everything from a peer waits this long for a follower of the store to report: two of its digests.
-pub const FOLLOWER_PATIENCE: Duration = GOSSIP_INTERVAL.saturating_mul(2);
+pub const FOLLOWER_REPORT_WAIT: Duration = GOSSIP_INTERVAL.saturating_mul(2);
 
 /// The distributors of a neighbourhood, those with the fastest links first; none where it is so small that everybody may read
 /// the store.
@@ -41,21 +41,21 @@
     }
     ranked.sort_by_cached_key(|member| rank(member));
     let wanted = ranked.len().div_ceil(READERS_OF_A_DISTRIBUTOR);
-    let count = wanted.clamp(FOLLOWERS, MOST_DISTRIBUTORS);
+    let count = wanted.clamp(FOLLOWERS, MAX_DISTRIBUTORS);
     let chosen = ranked.into_iter().take(count);
     chosen.map(|member| member.peer_address).collect()
 }
 
 /// Where one daemon reads everything.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ReadingPlan {
+pub struct ReadPlan {
     /// Peers to read from, in this order; none where the daemon reads the store.
     pub providers: Vec<SocketAddr>,
     /// Without anything new from any of them for so long, the daemon reads the store.
-    pub patience: Duration,
+    pub fallback_after: Duration,
 }
 
-impl ReadingPlan {
+impl ReadPlan {
     /// The place of the daemon at `own` in the tree of these distributors. `spread` is any number that differs from daemon to
     /// daemon, so that readers are spread over the distributors.
     #[must_use]
@@ -71,14 +71,14 @@
                 providers
             }
         };
-        let patience = if own_rank.is_some() {
-            DISTRIBUTOR_PATIENCE
+        let fallback_after = if own_rank.is_some() {
+            DISTRIBUTOR_TIMEOUT
         } else {
-            PROVIDER_PATIENCE
+            PROVIDER_TIMEOUT
         };
         Self {
             providers,
-            patience,
+            fallback_after,
         }
     }
 }
--- a/crates/fleet/src/fingerprint.rs
+++ b/crates/fleet/src/fingerprint.rs
@@ -55,7 +55,7 @@
     }
 
     /// The first of all in their order.
-    pub const LEAST: Self = Self([0; BYTES]);
+    pub const MIN: Self = Self([0; BYTES]);
 
     /// Its bytes.
     #[must_use]
--- a/crates/fleet/src/true_time.rs
+++ b/crates/fleet/src/fleet_time.rs
@@ -26,11 +26,11 @@
 
 /// Agrees on the time of day.
 #[derive(Debug, Default)]
-pub struct TrueTime {
+pub struct FleetTime {
     samples: HashMap<u64, Sample>,
 }
 
-impl TrueTime {
+impl FleetTime {
     /// The daemon `source` showed the time of day `shown`, since the start of 1970.
     pub fn observe(&mut self, source: u64, shown: Duration, now: Instant) {
         self.samples.insert(
--- a/crates/fleet/src/followers.rs
+++ b/crates/fleet/src/followers.rs
@@ -13,9 +13,9 @@
 /// A neighbour is not relied on after this long without a digest: three of them are lost.
 const GOSSIP_LIFE: Duration = Duration::from_millis(800);
 /// How long one call of a follower waits for changes: the store's answer is no older than this, where all is well.
-pub const FOLLOWER_WAIT: Duration = Duration::from_secs(1);
+pub const FOLLOWER_POLL_WAIT: Duration = Duration::from_secs(1);
 /// A neighbour whose last answer from the store is older is not relied on.
-pub const LONGEST_STORE_SILENCE: Duration = Duration::from_millis(1_400);
+pub const MAX_STORE_SILENCE: Duration = Duration::from_millis(1_400);
 
 /// Share of the reads that the store takes in a second which all daemons together use that follow it for others.
 const SHARE_FOR_OTHERS: f64 = 0.4;
@@ -33,13 +33,13 @@
 
 /// How long a daemon that follows the store for others gathers changes before it asks again: every change wakes every follower.
 #[must_use]
-pub fn gathering_for_others(followers: usize, reads_per_second: f64) -> Duration {
+pub fn batch_interval_for_others(followers: usize, reads_per_second: f64) -> Duration {
     time_per_call(followers, reads_per_second * SHARE_FOR_OTHERS).max(LEAST_GATHERING_FOR_OTHERS)
 }
 
 /// The same for a daemon that follows it only for itself, as all daemons of the fleet may at the same time.
 #[must_use]
-pub fn gathering_alone(daemons: usize, reads_per_second: f64) -> Duration {
+pub fn batch_interval_alone(daemons: usize, reads_per_second: f64) -> Duration {
     time_per_call(daemons, reads_per_second * SHARE_ALONE).max(LEAST_GATHERING_ALONE)
 }
 
@@ -56,26 +56,26 @@
 /// Neighbours that said that they follow the store.
 #[derive(Debug, Default)]
 pub struct FollowerTable {
-    relied_on_until: HashMap<SocketAddr, Instant>,
+    reliable_until: HashMap<SocketAddr, Instant>,
 }
 
 impl FollowerTable {
     /// A neighbour reports how long ago the store answered it.
     pub fn receive(&mut self, peer: SocketAddr, store_silence: Duration, now: Instant) {
-        let by_store = LONGEST_STORE_SILENCE.saturating_sub(store_silence);
+        let by_store = MAX_STORE_SILENCE.saturating_sub(store_silence);
         let until = now + GOSSIP_LIFE.min(by_store);
-        self.relied_on_until.insert(peer, until);
+        self.reliable_until.insert(peer, until);
     }
 
     /// A neighbour did not hand on what it has.
     pub fn distrust(&mut self, peer: SocketAddr) {
-        self.relied_on_until.remove(&peer);
+        self.reliable_until.remove(&peer);
     }
 
     /// Until when some neighbour is relied on; none if there is none.
     #[must_use]
-    pub fn relied_on_until(&self, now: Instant) -> Option<Instant> {
-        let latest = self.relied_on_until.values().max().copied();
+    pub fn reliable_until(&self, now: Instant) -> Option<Instant> {
+        let latest = self.reliable_until.values().max().copied();
         latest.filter(|until| *until > now)
     }
 }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 /// Pause before the first health check of an ejected back end.
-pub const FIRST_EJECTION: Duration = Duration::from_millis(500);
+pub const FIRST_CHECK_DELAY: Duration = Duration::from_millis(500);
 /// Longest pause between two health checks.
-pub const LONGEST_EJECTION: Duration = Duration::from_secs(4);
+pub const MAX_CHECK_DELAY: Duration = Duration::from_secs(4);
 /// A back end that did well for this long begins anew.
 const FORGIVEN_AFTER: Duration = Duration::from_secs(15);
 /// A back end is checked for hints of peers no more often than this.
@@ -120,14 +120,14 @@
     }
 
     /// The back end sent something that belongs to a request: it lives, however long it lets others wait.
-    pub fn sign_of_life(&mut self, id: &Arc<str>, now: Instant) {
+    pub fn record_activity(&mut self, id: &Arc<str>, now: Instant) {
         let record = self.records.entry(Arc::clone(id)).or_default();
         record.last_sign = Some(now);
     }
 
     /// Whether the back end has shown that it lives since then.
     #[must_use]
-    pub fn lives_since(&self, id: &str, since: Instant) -> bool {
+    pub fn active_since(&self, id: &str, since: Instant) -> bool {
         let last_sign = self.records.get(id).and_then(|record| record.last_sign);
         last_sign.is_some_and(|sign| sign >= since)
     }
@@ -188,7 +188,7 @@
     }
 
     /// A health check of an ejected back end failed. Returns the pause before the next.
-    pub fn check_failed(&mut self, id: &str) -> Option<Duration> {
+    pub fn record_failed_check(&mut self, id: &str) -> Option<Duration> {
         let record = self.records.get_mut(id)?;
         Some(record.next_pause())
     }
@@ -205,7 +205,7 @@
 
     /// A peer has ejected this back end. Returns whether it should be checked here too: not if it is ejected
     /// already, or was checked for such a hint a moment ago.
-    pub fn take_hint(&mut self, id: &Arc<str>, now: Instant) -> bool {
+    pub fn note_peer_ejection(&mut self, id: &Arc<str>, now: Instant) -> bool {
         let record = self.records.entry(Arc::clone(id)).or_default();
         let is_fresh = record
             .last_hint
@@ -282,8 +282,8 @@
     fn next_pause(&mut self) -> Duration {
         let doublings = self.ejections.min(8);
         self.ejections += 1;
-        FIRST_EJECTION
+        FIRST_CHECK_DELAY
             .saturating_mul(1 << doublings)
-            .min(LONGEST_EJECTION)
+            .min(MAX_CHECK_DELAY)
     }
 }
--- a/crates/fleet/src/leadership.rs
+++ b/crates/fleet/src/leadership.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Time within which a call of the leader arrives or is abandoned.
-pub const CALL_LIMIT: Duration = Duration::from_millis(600);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// A lease counts as over this long before the store can end it: clocks of two machines do not run at quite the same speed.
 pub const SAFETY_MARGIN: Duration = Duration::from_millis(400);
 /// Where receivers do not check fencing tokens, a new holder waits this many lease times before its first call: a call of
@@ -42,7 +42,7 @@
 
 /// One daemon's time as the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Tenure {
+pub struct LeaderTerm {
     /// Fencing token of its calls.
     pub fencing_token: u64,
     life: Duration,
@@ -50,7 +50,7 @@
     ends: Instant,
 }
 
-impl Tenure {
+impl LeaderTerm {
     /// The time that a grant brings.
     ///
     /// A daemon that led before lets a whole lease time pass since its last call: had another led in between, the two would
@@ -61,7 +61,7 @@
             Fencing::Checked => Duration::ZERO,
             Fencing::Ignored => grant.life.mul_f64(UNFENCED_WAIT_LEASES),
         };
-        let not_in_turn = grant.last_call + CALL_LIMIT + grant.life;
+        let not_in_turn = grant.last_call + CALL_TIMEOUT + grant.life;
         Self {
             fencing_token: grant.fencing_token,
             life: grant.life,
@@ -81,13 +81,13 @@
 
     /// Whether a call that leaves now arrives while the lease surely holds.
     #[must_use]
-    pub fn covers_a_call(&self, now: Instant) -> bool {
-        now >= self.begins && now + CALL_LIMIT < self.ends
+    pub fn allows_call(&self, now: Instant) -> bool {
+        now >= self.begins && now + CALL_TIMEOUT < self.ends
     }
 
     /// Whether the lease may be over.
     #[must_use]
-    pub fn may_be_over(&self, now: Instant) -> bool {
+    pub fn may_have_expired(&self, now: Instant) -> bool {
         now >= self.ends
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,7 +7,7 @@
 //! [`placement`] chooses, [`budget`] bounds repeats, [`events`] cuts streams into whole events,
 //! [`stages`] plans which engines read prompts, [`capacity`] how many engines there are, [`tenants`] resolves
 //! whose request it is, [`fingerprint`] recognizes one that comes again, [`quarantine`] decides which is run no
-//! more since engines end under it, [`usage`] counts them, [`leadership`] decides when the leader may act, [`true_time`]
+//! more since engines end under it, [`usage`] counts them, [`leadership`] decides when the leader may act, [`fleet_time`]
 //! agrees on the time of day, [`topology`] decides which daemons talk to each other, [`distribution`] along which of them the
 //! state of the store spreads.
 
@@ -18,7 +18,7 @@
 pub mod directory;
 pub mod distribution;
 pub mod events;
-pub mod far_pace;
+pub mod cross_zone_pacer;
 pub mod fingerprint;
 pub mod followers;
 pub mod health;
@@ -32,5 +32,5 @@
 pub mod stages;
 pub mod tenants;
 pub mod topology;
-pub mod true_time;
+pub mod fleet_time;
 pub mod usage;
--- a/crates/fleet/src/placement/costs.rs
+++ b/crates/fleet/src/placement/costs.rs
@@ -6,8 +6,8 @@
 use rand::{Rng, RngExt};
 
 use super::{Placement, Urgency};
-use crate::announcements::{Availability, LONGEST_BACKOFF};
-use crate::directory::{BackEnd, Usability};
+use crate::announcements::{Availability, MAX_BACKOFF};
+use crate::directory::{BackEnd, Eligibility};
 use crate::rate_limits::Allowance;
 
 /// Cost of a way into another zone, in milliseconds.
@@ -44,7 +44,7 @@
     pub fn turn_after(self, ahead: u32) -> Instant {
         let wait = Duration::try_from_secs_f64(f64::from(ahead) / self.per_second);
         // Where no tokens come, none has come to be waited for either.
-        self.at + wait.unwrap_or(LONGEST_BACKOFF)
+        self.at + wait.unwrap_or(MAX_BACKOFF)
     }
 }
 
@@ -75,38 +75,38 @@
         now: Instant,
         fits: impl Fn(&BackEnd) -> bool,
     ) -> Vec<Arc<BackEnd>> {
-        let fitting: Vec<(Usability, &Arc<BackEnd>)> = ready
+        let fitting: Vec<(Eligibility, &Arc<BackEnd>)> = ready
             .iter()
             .filter(|back_end| fits(back_end))
-            .map(|back_end| (self.usability(back_end, tried, now), back_end))
-            .filter(|(usability, _back_end)| *usability != Usability::Closed)
+            .map(|back_end| (self.eligibility(back_end, tried, now), back_end))
+            .filter(|(eligibility, _back_end)| *eligibility != Eligibility::Excluded)
             .collect();
         let best = fitting
             .iter()
-            .map(|(usability, _back_end)| *usability)
+            .map(|(eligibility, _back_end)| *eligibility)
             .min();
         fitting
             .into_iter()
-            .filter(|(usability, _back_end)| Some(*usability) == best)
+            .filter(|(eligibility, _back_end)| Some(*eligibility) == best)
             .map(|(_usability, back_end)| Arc::clone(back_end))
             .collect()
     }
 
     /// How well a request that went to `tried` before can go to the back end.
     #[must_use]
-    pub fn usability(&self, back_end: &BackEnd, tried: &[Arc<str>], now: Instant) -> Usability {
+    pub fn eligibility(&self, back_end: &BackEnd, tried: &[Arc<str>], now: Instant) -> Eligibility {
         let is_allowed = self.rate_limits.allowance(back_end, now) == Allowance::Now;
         if tried.contains(&back_end.id) || self.is_closed(back_end, now) || !is_allowed {
-            return Usability::Closed;
+            return Eligibility::Excluded;
         }
         let is_well = !self.health.is_ejected(&back_end.id)
             && !self.is_away(back_end, now)
             && !self.is_being_tried(&back_end.id)
             && !self.may_back_off_again(back_end, tried, now);
         if is_well {
-            Usability::Well
+            Eligibility::Preferred
         } else {
-            Usability::AtNeed
+            Eligibility::Fallback
         }
     }
 
@@ -222,7 +222,7 @@
     fn slowness(&self, back_end: &BackEnd, now: Instant) -> f64 {
         let cold_share = back_end
             .cold_start
-            .map_or(0.0, |start| start.share_left(now));
+            .map_or(0.0, |start| start.remaining_fraction(now));
         let by_start = 1.0 + (COLD_SLOWNESS - 1.0) * cold_share;
         self.speed.slowness(&back_end.id, now).max(by_start)
     }
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -25,7 +25,7 @@
 /// How long a request is run no more, and how long it is remembered after that: long enough that it costs three engines some
 /// seconds each in that time, short enough that callers are served soon after an engine release that mends it. Also the
 /// longest lease of the store.
-pub const QUARANTINE: Duration = Duration::from_secs(600);
+pub const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
 /// Lost runs that are remembered of one request: enough to tell apart those that were lost at one moment.
 const MOST_LOST_RUNS: usize = 8;
 /// Two good runs so close to each other are the same: times come from peers as ages, to which a datagram's way adds.
@@ -95,9 +95,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Update {
     /// Whether anything was new.
-    pub is_news: bool,
+    pub added_information: bool,
     /// Whether more is known here than the news told.
-    pub knows_more: bool,
+    pub peer_is_behind: bool,
     /// Before.
     pub before: Standing,
     /// Now.
@@ -106,7 +106,7 @@
 
 /// A quarantine that the store does not hold yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unfiled {
+pub struct UnstoredQuarantine {
     /// Which request.
     pub fingerprint: RequestFingerprint,
     /// Engines that ended under it.
@@ -170,7 +170,7 @@
     }
 
     /// This daemon lost a run of a request.
-    pub fn note_lost_run(
+    pub fn record_lost_run(
         &mut self,
         fingerprint: RequestFingerprint,
         tenant: u32,
@@ -191,7 +191,7 @@
     }
 
     /// A request ran well, which no request does that crashes engines. Returns whether anything was held against it.
-    pub fn note_good_run(&mut self, fingerprint: RequestFingerprint, now: Instant) -> bool {
+    pub fn record_good_run(&mut self, fingerprint: RequestFingerprint, now: Instant) -> bool {
         let Some(entry) = self.entries.get_mut(&fingerprint) else {
             return false;
         };
@@ -216,17 +216,17 @@
             .entries
             .entry(news.fingerprint)
             .or_insert_with(|| Entry::of(news.fingerprint, news.tenant));
-        let is_news = entry.take(news);
+        let added_information = entry.take(news);
         Update {
-            is_news,
-            knows_more: entry.knows_more_than(news),
+            added_information,
+            peer_is_behind: entry.knows_more_than(news),
             before,
             after: entry.standing(now),
         }
     }
 
     /// The store holds a request's quarantine.
-    pub fn note_filed(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+    pub fn record_stored(&mut self, fingerprint: RequestFingerprint, now: Instant) {
         if !self.entries.contains_key(&fingerprint) {
             self.make_room(0, now);
         }
@@ -239,7 +239,7 @@
     }
 
     /// The store came back from an older copy that lacks a request's quarantine. It goes on, and is to be filed again.
-    pub fn note_missing(&mut self, fingerprint: RequestFingerprint) {
+    pub fn record_missing(&mut self, fingerprint: RequestFingerprint) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
             entry.is_missing = true;
         }
@@ -247,7 +247,7 @@
 
     /// The store holds a request's quarantine no more: its lease ended, or an operator ended it. The request is tried again,
     /// still suspected.
-    pub fn note_released(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+    pub fn record_released(&mut self, fingerprint: RequestFingerprint, now: Instant) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
             entry.filed = None;
             entry.released = Some(now);
@@ -256,19 +256,19 @@
 
     /// Whether the store is known to hold the request's quarantine.
     #[must_use]
-    pub fn is_filed(&self, fingerprint: RequestFingerprint) -> bool {
+    pub fn is_stored(&self, fingerprint: RequestFingerprint) -> bool {
         let entry = self.entries.get(&fingerprint);
         entry.is_some_and(|entry| entry.filed.is_some() && !entry.is_missing)
     }
 
     /// Quarantines that the store is not known to hold.
     #[must_use]
-    pub fn unfiled(&self, now: Instant) -> Vec<Unfiled> {
+    pub fn unstored(&self, now: Instant) -> Vec<UnstoredQuarantine> {
         let entries = self.entries.values();
-        let unfiled =
+        let unstored =
             entries.filter(|entry| entry.is_to_be_filed() && entry.standing(now).is_quarantined());
-        unfiled
-            .map(|entry| Unfiled {
+        unstored
+            .map(|entry| UnstoredQuarantine {
                 fingerprint: entry.suspicion.fingerprint,
                 engines: entry
                     .held_against()
@@ -295,7 +295,7 @@
         self.entries.retain(|_fingerprint, entry| {
             let newest = entry.newest_news();
             newest.is_some_and(|newest| {
-                now.saturating_duration_since(newest) < QUARANTINE + QUARANTINE
+                now.saturating_duration_since(newest) < QUARANTINE_DURATION + QUARANTINE_DURATION
             })
         });
     }
@@ -423,7 +423,7 @@
             .filter(|_newest| in_a_row >= QUARANTINED_AFTER)
             .filter(|newest| self.released.is_none_or(|released| *newest > released))
             .max(self.filed);
-        if let Some(until) = since.map(|since| since + QUARANTINE)
+        if let Some(until) = since.map(|since| since + QUARANTINE_DURATION)
             && until > now
         {
             return Standing::Quarantined { until };
--- a/crates/fleet/src/rate_limits.rs
+++ b/crates/fleet/src/rate_limits.rs
@@ -12,25 +12,25 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use crate::directory::{BackEnd, Incarnation, TOMBSTONE_LIFE};
+use crate::directory::{BackEnd, Incarnation, TOMBSTONE_RETENTION};
 
 pub use record::{NamedRate, RateRecord};
-pub use shares::{LEAST_RATE, Members, MembersTrust, Share, SharedBackEnd};
+pub use shares::{MIN_REQUESTS_PER_SECOND, Members, MembersTrust, Share, SharedBackEnd};
 pub use token_bucket::TokenBucket;
 
 /// Highest rate; a higher one counts as this. No back end takes more requests a second, and a mistaken figure stays a number to count with.
-pub const HIGHEST_RATE: f64 = 1e6;
+pub const MAX_REQUESTS_PER_SECOND: f64 = 1e6;
 
 /// Requests a second that a back end takes from all daemons together.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// So many requests a second, [`HIGHEST_RATE`] at most; none where the figure is no rate.
+    /// So many requests a second, [`MAX_REQUESTS_PER_SECOND`] at most; none where the figure is no rate.
     #[must_use]
     pub fn new(per_second: f64) -> Option<Self> {
         let is_rate = per_second.is_finite() && per_second >= 0.0;
-        is_rate.then(|| Self(per_second.min(HIGHEST_RATE)))
+        is_rate.then(|| Self(per_second.min(MAX_REQUESTS_PER_SECOND)))
     }
 
     /// Requests a second.
@@ -60,7 +60,7 @@
     /// When the request that it answers was sent.
     pub sent: Instant,
     /// Whether it answers a request that ran. Refusals and small calls may leave the limit out while it holds.
-    pub is_of_run: bool,
+    pub request_ran: bool,
 }
 
 /// How an answer, or what a peer knows, changed a back end's limit.
@@ -78,7 +78,7 @@
     /// The change here; none where the limit is the same as before.
     pub change: Option<RateChange>,
     /// Whether the peer lacks something that is known here.
-    pub knows_more: bool,
+    pub peer_is_behind: bool,
 }
 
 /// Whether this daemon may send a request to a back end, as far as the back end's rate limit goes.
@@ -137,10 +137,10 @@
     ) -> RateMerge {
         let change = self.change(back_end, incarnation, now, |record| record.merge(theirs));
         let known = self.by_back_end.get(&back_end.id);
-        let knows_more = known.is_some_and(|known| {
+        let peer_is_behind = known.is_some_and(|known| {
             known.incarnation > incarnation || known.record.in_force() != theirs.in_force()
         });
-        RateMerge { change, knows_more }
+        RateMerge { change, peer_is_behind }
     }
 
     /// What is known of a back end, for telling peers; none where nothing is.
@@ -212,9 +212,9 @@
 
     /// Forgets back ends that the directory does not name, some time after the last news of them: an entry that lapsed may come back
     /// as it was.
-    pub fn forget_gone(&mut self, is_present: impl Fn(&str) -> bool, now: Instant) {
+    pub fn forget_absent(&mut self, is_present: impl Fn(&str) -> bool, now: Instant) {
         self.by_back_end.retain(|id, known| {
-            is_present(id) || now.saturating_duration_since(known.last) < TOMBSTONE_LIFE
+            is_present(id) || now.saturating_duration_since(known.last) < TOMBSTONE_RETENTION
         });
     }
 
--- a/crates/fleet/src/rate_limits/record.rs
+++ b/crates/fleet/src/rate_limits/record.rs
@@ -12,7 +12,7 @@
     /// When the newest request was sent whose answer named it.
     pub sent: Instant,
     /// When the last answer came that named one.
-    pub came: Instant,
+    pub received: Instant,
 }
 
 /// What answers said of one life's limit. The newest statement counts, by when its request was sent.
@@ -41,10 +41,10 @@
             AnnouncedRate::Limited(rate) => self.merge_named(NamedRate {
                 rate,
                 sent: answer.sent,
-                came: now,
+                received: now,
             }),
-            AnnouncedRate::Unlimited if answer.is_of_run => {
-                let is_later = self.named.is_some_and(|named| answer.sent > named.came);
+            AnnouncedRate::Unlimited if answer.request_ran => {
+                let is_later = self.named.is_some_and(|named| answer.sent > named.received);
                 if is_later && self.in_force().is_some() {
                     self.lifted = self.lifted.max(Some(answer.sent));
                 }
@@ -66,12 +66,12 @@
             self.named = Some(other);
             return;
         };
-        let came = known.came.max(other.came);
+        let received = known.received.max(other.received);
         let is_newer = other.sent > known.sent;
         let is_lower = other.sent == known.sent && other.rate < known.rate;
         if is_newer || is_lower {
             *known = other;
         }
-        known.came = came;
+        known.received = received;
     }
 }
--- a/crates/fleet/src/rate_limits/shares.rs
+++ b/crates/fleet/src/rate_limits/shares.rs
@@ -11,7 +11,7 @@
 
 /// Lowest rate that is counted with, in requests a second. A back end that takes none, or less, gets a request in ten seconds: only an answer
 /// shows that it takes more again.
-pub const LEAST_RATE: f64 = 0.1;
+pub const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
 
 /// Part of its share that a daemon sends which has contact neither to the store nor to all of its neighbours. Those may form the rest of the
 /// fleet, who then share the whole rate: both sides together send a quarter too much, within the half that back ends bear. Without it
@@ -91,7 +91,7 @@
     /// What this daemon may send to the back end.
     #[must_use]
     pub fn own_share(&self, back_end: SharedBackEnd<'_>, trust: MembersTrust) -> Share {
-        let rate = back_end.rate.per_second().max(LEAST_RATE);
+        let rate = back_end.rate.per_second().max(MIN_REQUESTS_PER_SECOND);
         let holders = most_holders(rate).min(self.daemons.len());
         if holders == 0 || !self.is_holder(back_end, holders) {
             return Share::NONE;
--- a/crates/fleet/src/revision.rs
+++ b/crates/fleet/src/revision.rs
@@ -24,13 +24,13 @@
 
     /// The era after so many returns; none where there are more than a revision has room for.
     #[must_use]
-    pub fn after_returns(returns: u64) -> Option<Self> {
-        (returns < ERAS).then_some(Self(returns))
+    pub fn after_restores(restores: u64) -> Option<Self> {
+        (restores < ERAS).then_some(Self(restores))
     }
 
     /// How many returns came before.
     #[must_use]
-    pub const fn returns(self) -> u64 {
+    pub const fn restores(self) -> u64 {
         self.0
     }
 }
--- a/crates/fleet/src/usage.rs
+++ b/crates/fleet/src/usage.rs
@@ -34,7 +34,7 @@
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
-pub struct Life {
+pub struct DaemonInstance {
     /// Which daemon.
     pub daemon: u64,
     /// Which start of its process.
@@ -47,7 +47,7 @@
     /// Requests that began to run.
     pub counts: TenantCounts,
     /// Sum over all tenants, once the window has ended there and the counts grow no more.
-    pub closed_with: Option<u64>,
+    pub final_total: Option<u64>,
 }
 
 impl Tally {
@@ -57,13 +57,13 @@
             let known = self.counts.entry(Arc::clone(tenant)).or_default();
             *known = (*known).max(*count);
         }
-        self.closed_with = self.closed_with.max(other.closed_with);
+        self.final_total = self.final_total.max(other.final_total);
     }
 
     /// Whether these are all counts of a window that has ended.
     #[must_use]
     pub fn is_final(&self) -> bool {
-        self.closed_with == Some(self.total())
+        self.final_total == Some(self.total())
     }
 
     fn total(&self) -> u64 {
@@ -73,9 +73,9 @@
 
 /// A tally with whose and when.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct TallyOf {
+pub struct TallyRecord {
     /// Whose.
-    pub life: Life,
+    pub instance: DaemonInstance,
     /// Of which window.
     pub window: WindowNumber,
     /// What was counted.
@@ -85,36 +85,36 @@
 /// Every tally that a daemon knows of.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
-    windows: BTreeMap<WindowNumber, BTreeMap<Life, Tally>>,
+    windows: BTreeMap<WindowNumber, BTreeMap<DaemonInstance, Tally>>,
 }
 
 impl UsageLedger {
-    /// One more request of `tenant` began to run, as seen by `life` itself.
-    pub fn count(&mut self, life: Life, window: WindowNumber, tenant: &Arc<str>) {
-        let tally = self.tally_mut(life, window);
+    /// One more request of `tenant` began to run, as seen by `instance` itself.
+    pub fn count(&mut self, instance: DaemonInstance, window: WindowNumber, tenant: &Arc<str>) {
+        let tally = self.tally_mut(instance, window);
         let count = tally.counts.entry(Arc::clone(tenant)).or_default();
         *count = count.saturating_add(1);
     }
 
-    /// The window has ended for `life`, which counts nothing more in it. Returns its tally.
-    pub fn close(&mut self, life: Life, window: WindowNumber) -> Tally {
-        let tally = self.tally_mut(life, window);
-        tally.closed_with = Some(tally.total());
+    /// The window has ended for `instance`, which counts nothing more in it. Returns its tally.
+    pub fn close(&mut self, instance: DaemonInstance, window: WindowNumber) -> Tally {
+        let tally = self.tally_mut(instance, window);
+        tally.final_total = Some(tally.total());
         tally.clone()
     }
 
     /// Takes another copy of a tally, or a part of one.
-    pub fn merge(&mut self, other: &TallyOf) {
-        self.tally_mut(other.life, other.window).merge(&other.tally);
+    pub fn merge(&mut self, other: &TallyRecord) {
+        self.tally_mut(other.instance, other.window).merge(&other.tally);
     }
 
     /// Every tally of a window.
     #[must_use]
-    pub fn tallies(&self, window: WindowNumber) -> Vec<TallyOf> {
+    pub fn tallies(&self, window: WindowNumber) -> Vec<TallyRecord> {
         let lives = self.windows.get(&window).into_iter().flatten();
         lives
-            .map(|(life, tally)| TallyOf {
-                life: *life,
+            .map(|(instance, tally)| TallyRecord {
+                instance: *instance,
                 window,
                 tally: tally.clone(),
             })
@@ -131,7 +131,7 @@
     #[must_use]
     pub fn is_final(&self, window: WindowNumber, daemon: u64) -> bool {
         let mut lives = self.windows.get(&window).into_iter().flatten();
-        lives.any(|(life, tally)| life.daemon == daemon && tally.is_final())
+        lives.any(|(instance, tally)| instance.daemon == daemon && tally.is_final())
     }
 
     /// What all lives counted in a window.
@@ -154,8 +154,8 @@
 
     /// What one life counted of a tenant in a window.
     #[must_use]
-    pub fn count_of(&self, life: Life, window: WindowNumber, tenant: &str) -> Option<u32> {
-        let tally = self.windows.get(&window)?.get(&life)?;
+    pub fn count_of(&self, instance: DaemonInstance, window: WindowNumber, tenant: &str) -> Option<u32> {
+        let tally = self.windows.get(&window)?.get(&instance)?;
         tally.counts.get(tenant).copied()
     }
 
@@ -164,8 +164,8 @@
         self.windows = self.windows.split_off(&window);
     }
 
-    fn tally_mut(&mut self, life: Life, window: WindowNumber) -> &mut Tally {
+    fn tally_mut(&mut self, instance: DaemonInstance, window: WindowNumber) -> &mut Tally {
         let lives = self.windows.entry(window).or_default();
-        lives.entry(life).or_default()
+        lives.entry(instance).or_default()
     }
 }
--- a/crates/fleet/tests/announcements.rs
+++ b/crates/fleet/tests/announcements.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, Instant};
 
 use ponddrift_fleet::announcements::{
-    Announcement, Announcements, Availability, LONGEST_BACKOFF, RequestedBackoff,
+    Announcement, Announcements, Availability, MAX_BACKOFF, RequestedBackoff,
 };
-use ponddrift_fleet::directory::{BackEnd, Incarnation, TOMBSTONE_LIFE};
+use ponddrift_fleet::directory::{BackEnd, Incarnation, TOMBSTONE_RETENTION};
 use support::engines;
 
 const DRAINS: Announcement = Announcement {
     drains: true,
-    backoff: RequestedBackoff::Unasked,
+    backoff: RequestedBackoff::NotRequested,
 };
 
 fn backoff(seconds: u64) -> Announcement {
@@ -119,7 +119,7 @@
         backoff: RequestedBackoff::For(Duration::MAX),
     };
     announcements.note(&life(0), forever, start);
-    let over = start + LONGEST_BACKOFF;
+    let over = start + MAX_BACKOFF;
     assert_eq!(
         announcements.availability(&life(0), over),
         Availability::Open
@@ -147,14 +147,14 @@
     let start = Instant::now();
     let mut announcements = Announcements::default();
     announcements.note(&life(0), DRAINS, start);
-    announcements.forget_gone(|_id| false, after(1, start));
+    announcements.forget_absent(|_id| false, after(1, start));
     assert_eq!(
         announcements.availability(&life(0), start),
         Availability::Draining
     );
-    announcements.forget_gone(|_id| true, start + TOMBSTONE_LIFE);
+    announcements.forget_absent(|_id| true, start + TOMBSTONE_RETENTION);
     assert_eq!(announcements.counts(start).draining, 1);
-    announcements.forget_gone(|_id| false, start + TOMBSTONE_LIFE);
+    announcements.forget_absent(|_id| false, start + TOMBSTONE_RETENTION);
     assert_eq!(announcements.counts(start).draining, 0);
 }
 
@@ -184,7 +184,7 @@
             let told = |words: &mut dyn Iterator<Item = &(u8, bool, Option<u8>)>| {
                 let mut announcements = Announcements::default();
                 for (born, drains, seconds) in words {
-                    let backoff = seconds.map_or(RequestedBackoff::Unasked, |seconds| {
+                    let backoff = seconds.map_or(RequestedBackoff::NotRequested, |seconds| {
                         RequestedBackoff::For(Duration::from_secs(u64::from(seconds)))
                     });
                     let announcement = Announcement {
--- a/crates/fleet/tests/candidates.rs
+++ b/crates/fleet/tests/candidates.rs
@@ -9,7 +9,7 @@
 use ponddrift_fleet::capacity::Contract;
 use ponddrift_fleet::configuration::Stage;
 use ponddrift_fleet::directory::{
-    BackEnd, CANDIDATES, CandidateQuery, Candidates, Directory, Incarnation, Lifecycle, Usability,
+    BackEnd, MAX_CANDIDATES_PER_STAGE, CandidateQuery, Candidates, Directory, Incarnation, Lifecycle, Eligibility,
 };
 use ponddrift_fleet::revision::{Era, Revision};
 
@@ -42,7 +42,7 @@
 }
 
 fn fleet(engines: usize, zone: &str, seed: u64) -> Directory {
-    let mut directory = Directory::seen_from(Arc::from(zone), seed);
+    let mut directory = Directory::for_daemon(Arc::from(zone), seed);
     for number in 0..engines {
         directory.put(engine(number), at(1), Instant::now());
     }
@@ -55,16 +55,16 @@
         zone: None,
         prefix,
         holders,
-        usability: &|_back_end| Usability::Well,
+        eligibility: &|_back_end| Eligibility::Preferred,
     };
     directory.candidates(&query, Instant::now())
 }
 
-fn well_if(is_well: bool) -> Usability {
+fn well_if(is_well: bool) -> Eligibility {
     if is_well {
-        Usability::Well
+        Eligibility::Preferred
     } else {
-        Usability::AtNeed
+        Eligibility::Fallback
     }
 }
 
@@ -83,14 +83,14 @@
             zone: None,
             prefix: Some(3),
             holders: &[],
-            usability: &|_back_end| {
+            eligibility: &|_back_end| {
                 looked_at.set(looked_at.get() + 1);
-                Usability::Well
+                Eligibility::Preferred
             },
         };
         let candidates = directory.candidates(&query, Instant::now());
-        assert_eq!(looked_at.get(), 2 * CANDIDATES, "{engines} engines");
-        assert!(candidates.back_ends.len() <= 2 * CANDIDATES + 6);
+        assert_eq!(looked_at.get(), 2 * MAX_CANDIDATES_PER_STAGE, "{engines} engines");
+        assert!(candidates.back_ends.len() <= 2 * MAX_CANDIDATES_PER_STAGE + 6);
         assert_eq!(candidates.ready.all(), engines);
     }
 }
@@ -123,7 +123,7 @@
         zone: Some("c"),
         prefix: None,
         holders: &[],
-        usability: &|_back_end| Usability::Well,
+        eligibility: &|_back_end| Eligibility::Preferred,
     };
     let candidates = directory.candidates(&query, Instant::now());
     let mut back_ends = candidates.back_ends.iter();
@@ -138,10 +138,10 @@
         zone: None,
         prefix: None,
         holders: &[],
-        usability: &|back_end| well_if(&*back_end.zone != "b"),
+        eligibility: &|back_end| well_if(&*back_end.zone != "b"),
     };
     let candidates = directory.candidates(&query, Instant::now());
-    assert_eq!(candidates.back_ends.len(), 2 * CANDIDATES);
+    assert_eq!(candidates.back_ends.len(), 2 * MAX_CANDIDATES_PER_STAGE);
     assert!(
         candidates
             .back_ends
@@ -158,10 +158,10 @@
         zone: None,
         prefix: None,
         holders: &[],
-        usability: &|_back_end| Usability::AtNeed,
+        eligibility: &|_back_end| Eligibility::Fallback,
     };
     let candidates = directory.candidates(&query, Instant::now());
-    assert_eq!(candidates.back_ends.len(), 2 * CANDIDATES);
+    assert_eq!(candidates.back_ends.len(), 2 * MAX_CANDIDATES_PER_STAGE);
 }
 
 #[test]
@@ -258,7 +258,7 @@
         zone: None,
         prefix: None,
         holders: &[],
-        usability: &|_back_end| Usability::Well,
+        eligibility: &|_back_end| Eligibility::Preferred,
     };
     assert_eq!(directory.candidates(&query, now).back_ends.len(), 1_000);
     let later = now + Duration::from_secs(10);
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -7,10 +7,10 @@
 use ponddrift_fleet::budget::{BudgetSettings, RetryBudget};
 use ponddrift_fleet::capacity::Contract;
 use ponddrift_fleet::directory::{
-    BackEnd, ColdStart, DOUBT_GRACE, Directory, Incarnation, Lifecycle, Taken,
+    BackEnd, ColdStart, UNCONFIRMED_REMOVAL_GRACE, Directory, Incarnation, Lifecycle, PutOutcome,
 };
 use ponddrift_fleet::events::{EventError, EventSplitter, MAXIMUM_EVENT_BYTES};
-use ponddrift_fleet::health::{FIRST_EJECTION, Health, LONGEST_EJECTION, Outcome};
+use ponddrift_fleet::health::{FIRST_CHECK_DELAY, Health, MAX_CHECK_DELAY, Outcome};
 use ponddrift_fleet::revision::{Era, Revision};
 
 /// A revision of the first era.
@@ -44,21 +44,21 @@
     let mut directory = Directory::default();
     assert_eq!(
         directory.put(back_end("a", Lifecycle::Draining), at(5), now),
-        Taken::News
+        PutOutcome::Applied
     );
     assert_eq!(
         directory.put(back_end("a", Lifecycle::Ready), at(4), now),
-        Taken::Stale
+        PutOutcome::Stale
     );
     assert_eq!(
         directory.put(back_end("a", Lifecycle::Ready), at(5), now),
-        Taken::Stale
+        PutOutcome::Stale
     );
     assert!(ready_ids(&directory, now).is_empty());
     assert!(directory.remove("a", at(6), now, false));
     assert_eq!(
         directory.put(back_end("a", Lifecycle::Ready), at(5), now),
-        Taken::Stale,
+        PutOutcome::Stale,
         "a tombstone stays"
     );
 }
@@ -75,7 +75,7 @@
     directory.remove("b", at(5), now, true);
     directory.remove("c", at(6), now, true);
     assert_eq!(ready_ids(&directory, now).len(), 3);
-    assert!(ready_ids(&directory, now + DOUBT_GRACE).is_empty());
+    assert!(ready_ids(&directory, now + UNCONFIRMED_REMOVAL_GRACE).is_empty());
 }
 
 /// The platform promises that whoever lives is back about two seconds after the store.
@@ -96,13 +96,13 @@
 fn a_slow_start_is_over_when_its_own_figure_says_so() {
     let now = Instant::now();
     let seconds = Duration::from_secs;
-    let begun = ColdStart::seen(seconds(8), None, now);
-    assert!((begun.share_left(now) - 1.0).abs() < 1e-9);
+    let begun = ColdStart::observe(seconds(8), None, now);
+    assert!((begun.remaining_fraction(now) - 1.0).abs() < 1e-9);
     let later = now + seconds(4);
-    let halfway = ColdStart::seen(seconds(4), Some(begun), later);
-    assert!((halfway.share_left(later) - 0.5).abs() < 1e-9);
-    assert!((begun.share_left(later) - 0.5).abs() < 1e-9);
-    assert!(begun.share_left(now + seconds(9)) < 1e-9);
+    let halfway = ColdStart::observe(seconds(4), Some(begun), later);
+    assert!((halfway.remaining_fraction(later) - 0.5).abs() < 1e-9);
+    assert!((begun.remaining_fraction(later) - 0.5).abs() < 1e-9);
+    assert!(begun.remaining_fraction(now + seconds(9)) < 1e-9);
 }
 
 #[test]
@@ -120,14 +120,14 @@
     let mut now = Instant::now();
     let mut health = Health::default();
     let first = health.record(&id, Outcome::Unreachable, now);
-    assert_eq!(first, Some(FIRST_EJECTION));
+    assert_eq!(first, Some(FIRST_CHECK_DELAY));
     assert!(health.is_ejected(&id));
     assert_eq!(health.record(&id, Outcome::Unreachable, now), None, "once");
-    let mut last = FIRST_EJECTION;
+    let mut last = FIRST_CHECK_DELAY;
     for _ in 0..8 {
         now += last;
-        let next = health.check_failed(&id).expect("known");
-        assert!(next >= last && next <= LONGEST_EJECTION);
+        let next = health.record_failed_check(&id).expect("known");
+        assert!(next >= last && next <= MAX_CHECK_DELAY);
         last = next;
     }
     health.reinstate(&id);
--- a/crates/fleet/tests/distribution.rs
+++ b/crates/fleet/tests/distribution.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ponddrift_fleet::distribution::{MOST_DISTRIBUTORS, ReadingPlan, distributors};
+use ponddrift_fleet::distribution::{MAX_DISTRIBUTORS, ReadPlan, distributors};
 use ponddrift_fleet::topology::{FOLLOWERS, Member, SMALL_FLEET};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -23,13 +23,13 @@
         .collect()
 }
 
-fn plans(zone: &[Member]) -> Vec<(SocketAddr, ReadingPlan)> {
+fn plans(zone: &[Member]) -> Vec<(SocketAddr, ReadPlan)> {
     let list = distributors(zone.iter());
     zone.iter()
         .map(|member| {
             let own = member.peer_address;
             let spread = xxh3_64(member.name.as_bytes());
-            (own, ReadingPlan::of(own, &list, spread))
+            (own, ReadPlan::of(own, &list, spread))
         })
         .collect()
 }
@@ -68,7 +68,7 @@
 #[test]
 fn whoever_reads_from_a_daemon_is_two_steps_from_one_that_reads_the_store_at_most() {
     let zone = zone(1_000);
-    let plans: HashMap<SocketAddr, ReadingPlan> = plans(&zone).into_iter().collect();
+    let plans: HashMap<SocketAddr, ReadPlan> = plans(&zone).into_iter().collect();
     for member in &zone {
         let mut at = member.peer_address;
         let mut steps = 0;
@@ -112,5 +112,5 @@
 
 #[test]
 fn the_list_of_distributors_is_bounded() {
-    assert_eq!(distributors(zone(5_000).iter()).len(), MOST_DISTRIBUTORS);
+    assert_eq!(distributors(zone(5_000).iter()).len(), MAX_DISTRIBUTORS);
 }
--- a/crates/fleet/tests/health.rs
+++ b/crates/fleet/tests/health.rs
@@ -124,13 +124,13 @@
 fn whatever_a_back_end_sends_is_a_sign_of_life() {
     let (mut health, now) = (Health::default(), Instant::now());
     let id: Arc<str> = Arc::from("i-1");
-    assert!(!health.lives_since(&id, now), "never seen");
-    health.sign_of_life(&id, now);
-    assert!(health.lives_since(&id, now));
+    assert!(!health.active_since(&id, now), "never seen");
+    health.record_activity(&id, now);
+    assert!(health.active_since(&id, now));
     let later = now + Duration::from_millis(300);
-    assert!(!health.lives_since(&id, later), "it is old by then");
+    assert!(!health.active_since(&id, later), "it is old by then");
     health.record(&id, Outcome::Success, later);
-    assert!(health.lives_since(&id, later));
+    assert!(health.active_since(&id, later));
     health.record(&id, Outcome::Silent, later + Duration::from_secs(1));
-    assert!(!health.lives_since(&id, later + Duration::from_millis(1)));
+    assert!(!health.active_since(&id, later + Duration::from_millis(1)));
 }
--- a/crates/fleet/tests/leadership.rs
+++ b/crates/fleet/tests/leadership.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::leadership::{CALL_LIMIT, Fencing, Grant, SAFETY_MARGIN, Tenure};
+use ponddrift_fleet::leadership::{CALL_TIMEOUT, Fencing, Grant, SAFETY_MARGIN, LeaderTerm};
 
 const LIFE: Duration = Duration::from_secs(3);
 const LONG_AGO: Duration = Duration::from_secs(60);
@@ -25,32 +25,32 @@
 fn a_lease_counts_from_before_it_was_asked_for() {
     let asked = start();
     let answered = asked + Duration::from_millis(700);
-    let tenure = Tenure::new(&grant(asked, answered), Fencing::Checked);
-    let last = asked + LIFE - SAFETY_MARGIN - CALL_LIMIT;
-    assert!(tenure.covers_a_call(last - Duration::from_millis(1)));
-    assert!(!tenure.covers_a_call(last), "it would arrive too late");
-    assert!(tenure.may_be_over(asked + LIFE - SAFETY_MARGIN));
+    let term = LeaderTerm::new(&grant(asked, answered), Fencing::Checked);
+    let last = asked + LIFE - SAFETY_MARGIN - CALL_TIMEOUT;
+    assert!(term.allows_call(last - Duration::from_millis(1)));
+    assert!(!term.allows_call(last), "it would arrive too late");
+    assert!(term.may_have_expired(asked + LIFE - SAFETY_MARGIN));
 }
 
 #[test]
 fn a_renewal_counts_from_before_it_was_asked_for() {
     let asked = start();
-    let tenure = Tenure::new(&grant(asked, asked), Fencing::Checked);
-    let renewed = tenure.renewed(asked + Duration::from_secs(1));
-    assert!(!renewed.may_be_over(asked + LIFE));
-    assert!(renewed.may_be_over(asked + LIFE + Duration::from_secs(1) - SAFETY_MARGIN));
+    let term = LeaderTerm::new(&grant(asked, asked), Fencing::Checked);
+    let renewed = term.renewed(asked + Duration::from_secs(1));
+    assert!(!renewed.may_have_expired(asked + LIFE));
+    assert!(renewed.may_have_expired(asked + LIFE + Duration::from_secs(1) - SAFETY_MARGIN));
     assert_eq!(renewed.fencing_token, 7);
 }
 
 #[test]
 fn where_fencing_tokens_are_checked_a_new_holder_acts_at_once_elsewhere_it_waits() {
     let asked = start();
-    let checked = Tenure::new(&grant(asked, asked), Fencing::Checked);
-    assert!(checked.covers_a_call(asked));
-    let mut ignored = Tenure::new(&grant(asked, asked), Fencing::Ignored);
+    let checked = LeaderTerm::new(&grant(asked, asked), Fencing::Checked);
+    assert!(checked.allows_call(asked));
+    let mut ignored = LeaderTerm::new(&grant(asked, asked), Fencing::Ignored);
     ignored = ignored.renewed(asked + Duration::from_secs(3));
-    assert!(!ignored.covers_a_call(asked + LIFE));
-    assert!(ignored.covers_a_call(asked + LIFE + Duration::from_secs(1)));
+    assert!(!ignored.allows_call(asked + LIFE));
+    assert!(ignored.allows_call(asked + LIFE + Duration::from_secs(1)));
 }
 
 /// Another may have led in between, and would seem to take turns with it.
@@ -61,8 +61,8 @@
         last_call: asked - Duration::from_secs(1),
         ..grant(asked, asked)
     };
-    let tenure = Tenure::new(&lately, Fencing::Checked).renewed(asked + Duration::from_secs(2));
-    let first = lately.last_call + LIFE + CALL_LIMIT;
-    assert!(!tenure.covers_a_call(first - Duration::from_millis(1)));
-    assert!(tenure.covers_a_call(first));
+    let term = LeaderTerm::new(&lately, Fencing::Checked).renewed(asked + Duration::from_secs(2));
+    let first = lately.last_call + LIFE + CALL_TIMEOUT;
+    assert!(!term.allows_call(first - Duration::from_millis(1)));
+    assert!(term.allows_call(first));
 }
--- a/crates/fleet/tests/leadership_model.rs
+++ b/crates/fleet/tests/leadership_model.rs
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::leadership::{Fencing, Grant, Tenure};
+use ponddrift_fleet::leadership::{Fencing, Grant, LeaderTerm};
 
 /// Length of a tick.
 const TICK: Duration = Duration::from_millis(300);
@@ -207,14 +207,14 @@
             answered: ago(held.answered),
             last_call,
         };
-        let tenure = Tenure::new(&grant, Fencing::Checked);
-        let tenure = match held.renewed {
-            Some(renewed) => tenure.renewed(ago(renewed)),
-            None => tenure,
+        let term = LeaderTerm::new(&grant, Fencing::Checked);
+        let term = match held.renewed {
+            Some(renewed) => term.renewed(ago(renewed)),
+            None => term,
         };
         match rules {
             Rules::NoTimeForCalls => held.renewed.unwrap_or(held.asked) < LIFE,
-            _ => tenure.covers_a_call(now),
+            _ => term.allows_call(now),
         }
     }
 
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -549,7 +549,7 @@
     let mut scene = Scene::new(0, 4);
     let left = Duration::from_secs(6);
     let mut cold = (*scene.engines[0]).clone();
-    cold.cold_start = Some(ColdStart::seen(left, None, scene.now));
+    cold.cold_start = Some(ColdStart::observe(left, None, scene.now));
     scene.engines[0] = Arc::new(cold);
     let times_chosen = |scene: &mut Scene| {
         let chosen = (0..200).filter_map(|_| {
@@ -641,7 +641,7 @@
     let answer = RateAnswer {
         rate: AnnouncedRate::Limited(RequestRate::new(50.0).expect("a rate")),
         sent: scene.now,
-        is_of_run: true,
+        request_ran: true,
     };
     limits.note(&home, answer, scene.now);
     scene.now += Duration::from_secs(1);
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use ponddrift_fleet::fingerprint::{RequestContent, RequestFingerprint};
-use ponddrift_fleet::quarantine::{LostRun, QUARANTINE, Quarantine, Standing, Suspicion};
+use ponddrift_fleet::quarantine::{LostRun, QUARANTINE_DURATION, Quarantine, Standing, Suspicion};
 
 /// Time of a run before its engine ends.
 const RUN: Duration = Duration::from_millis(60);
@@ -41,7 +41,7 @@
     let mut at = begin;
     for engine in 0..engines {
         at = begin + RUN * 2 * (engine + 1);
-        known.note_lost_run(request(), 0, run(&format!("i-{engine}"), at), at);
+        known.record_lost_run(request(), 0, run(&format!("i-{engine}"), at), at);
     }
     at
 }
@@ -68,7 +68,7 @@
     let now = start();
     for later in 0..5 {
         let at = now + RUN * 2 * later;
-        known.note_lost_run(request(), 0, run("i-1", at), at);
+        known.record_lost_run(request(), 0, run("i-1", at), at);
     }
     assert_eq!(known.standing(request(), now), Standing::Clear);
 }
@@ -79,7 +79,7 @@
     let now = start();
     for (engine, later_ms) in [("i-1", 0), ("i-2", 20), ("i-3", 59)] {
         let at = now + Duration::from_millis(later_ms);
-        known.note_lost_run(request(), 0, run(engine, at), at);
+        known.record_lost_run(request(), 0, run(engine, at), at);
     }
     assert_eq!(known.standing(request(), now + RUN), Standing::Clear);
 }
@@ -97,7 +97,7 @@
             begun,
             ended,
         };
-        known.note_lost_run(request(), 0, lost, ended);
+        known.record_lost_run(request(), 0, lost, ended);
     }
     let now = begun + Duration::from_secs(4);
     assert!(known.standing(request(), now).is_quarantined());
@@ -116,7 +116,7 @@
             begun: ended - Duration::from_millis(200),
             ended,
         };
-        known.note_lost_run(request(), 0, lost, ended);
+        known.record_lost_run(request(), 0, lost, ended);
         if known.standing(request(), ended).is_quarantined() {
             quarantined_after = Some(ended - begin);
             break;
@@ -129,17 +129,17 @@
 fn a_good_run_clears_what_was_before_it() {
     let mut known = Quarantine::default();
     let now = lose(&mut known, 3, start());
-    assert!(known.note_good_run(request(), now));
+    assert!(known.record_good_run(request(), now));
     assert_eq!(known.standing(request(), now), Standing::Clear);
     let again = now + RUN * 2;
-    known.note_lost_run(request(), 0, run("i-9", again), again);
+    known.record_lost_run(request(), 0, run("i-9", again), again);
     assert_eq!(known.standing(request(), again), Standing::Clear);
 }
 
 #[test]
 fn a_good_run_of_an_unknown_request_is_not_remembered() {
     let mut known = Quarantine::default();
-    assert!(!known.note_good_run(request(), start()));
+    assert!(!known.record_good_run(request(), start()));
     assert!(known.is_empty());
 }
 
@@ -147,9 +147,9 @@
 fn after_the_quarantine_one_more_engine_brings_it_back() {
     let mut known = Quarantine::default();
     let ended = lose(&mut known, 3, start());
-    let later = ended + QUARANTINE;
+    let later = ended + QUARANTINE_DURATION;
     assert_eq!(known.standing(request(), later), Standing::Suspected);
-    known.note_lost_run(request(), 0, run("i-9", later), later);
+    known.record_lost_run(request(), 0, run("i-9", later), later);
     assert!(known.standing(request(), later).is_quarantined());
 }
 
@@ -157,34 +157,34 @@
 fn what_an_operator_released_is_tried_again_and_held_again() {
     let mut known = Quarantine::default();
     let ended = lose(&mut known, 3, start());
-    known.note_filed(request(), ended);
-    assert!(known.unfiled(ended).is_empty());
+    known.record_stored(request(), ended);
+    assert!(known.unstored(ended).is_empty());
     let later = ended + RUN;
-    known.note_released(request(), later);
+    known.record_released(request(), later);
     assert_eq!(known.standing(request(), later), Standing::Suspected);
-    assert!(known.unfiled(later).is_empty(), "it is not filed again");
+    assert!(known.unstored(later).is_empty(), "it is not filed again");
     let again = later + RUN * 2;
-    known.note_lost_run(request(), 0, run("i-9", again), again);
+    known.record_lost_run(request(), 0, run("i-9", again), again);
     assert!(known.standing(request(), again).is_quarantined());
-    assert_eq!(known.unfiled(again).len(), 1);
+    assert_eq!(known.unstored(again).len(), 1);
 }
 
 #[test]
 fn what_the_store_holds_is_in_force_without_anything_else() {
     let mut known = Quarantine::default();
     let now = start();
-    known.note_filed(request(), now);
+    known.record_stored(request(), now);
     assert!(known.standing(request(), now).is_quarantined());
-    known.forget_old(now + QUARANTINE);
-    assert_eq!(known.standing(request(), now + QUARANTINE), Standing::Clear);
+    known.forget_old(now + QUARANTINE_DURATION);
+    assert_eq!(known.standing(request(), now + QUARANTINE_DURATION), Standing::Clear);
 }
 
 #[test]
 fn a_cleared_quarantine_is_taken_out_of_the_store_once() {
     let mut known = Quarantine::default();
     let now = lose(&mut known, 3, start());
-    known.note_filed(request(), now);
-    known.note_good_run(request(), now);
+    known.record_stored(request(), now);
+    known.record_good_run(request(), now);
     assert_eq!(known.take_releases(), [request()]);
     assert!(known.take_releases().is_empty());
 }
@@ -196,7 +196,7 @@
     for number in 1..2_000 {
         let at = ended + RUN * number;
         let lost = run(&format!("i-{number}"), at);
-        known.note_lost_run(fingerprint(number), 7, lost, at);
+        known.record_lost_run(fingerprint(number), 7, lost, at);
     }
     assert!(
         known.counts(ended).remembered <= 513,
@@ -212,7 +212,7 @@
     let ended = lose(&mut known, 3, start());
     for number in 1..6_000 {
         let at = ended + Duration::from_millis(u64::from(number));
-        known.note_lost_run(fingerprint(number), 0, run("i-x", at), at);
+        known.record_lost_run(fingerprint(number), 0, run("i-x", at), at);
     }
     assert!(
         known.counts(ended).remembered <= 4_096,
@@ -226,9 +226,9 @@
 fn what_nothing_confirms_is_forgotten() {
     let mut known = Quarantine::default();
     let ended = lose(&mut known, 1, start());
-    known.forget_old(ended + QUARANTINE);
+    known.forget_old(ended + QUARANTINE_DURATION);
     assert_eq!(known.counts(ended).remembered, 1);
-    known.forget_old(ended + QUARANTINE * 2);
+    known.forget_old(ended + QUARANTINE_DURATION * 2);
     assert!(known.is_empty());
 }
 
--- a/crates/fleet/tests/rate_limits.rs
+++ b/crates/fleet/tests/rate_limits.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::directory::{BackEnd, Incarnation, TOMBSTONE_LIFE};
+use ponddrift_fleet::directory::{BackEnd, Incarnation, TOMBSTONE_RETENTION};
 use ponddrift_fleet::rate_limits::{
-    Allowance, AnnouncedRate, HIGHEST_RATE, LEAST_RATE, Members, MembersTrust, RateAnswer,
+    Allowance, AnnouncedRate, MAX_REQUESTS_PER_SECOND, MIN_REQUESTS_PER_SECOND, Members, MembersTrust, RateAnswer,
     RateLimits, RateRecord, RequestRate, Share, SharedBackEnd, TokenBucket,
 };
 use support::engines;
@@ -35,7 +35,7 @@
     RateAnswer {
         rate: AnnouncedRate::Limited(rate(per_second)),
         sent,
-        is_of_run: true,
+        request_ran: true,
     }
 }
 
@@ -43,7 +43,7 @@
     RateAnswer {
         rate: AnnouncedRate::Unlimited,
         sent,
-        is_of_run: true,
+        request_ran: true,
     }
 }
 
@@ -71,7 +71,7 @@
         assert_eq!(RequestRate::new(figure), None, "{figure}");
     }
     let huge = RequestRate::new(1e300).map(RequestRate::per_second);
-    assert_eq!(huge, Some(HIGHEST_RATE));
+    assert_eq!(huge, Some(MAX_REQUESTS_PER_SECOND));
 }
 
 #[test]
@@ -104,7 +104,7 @@
     let mut limits = alone(start);
     limits.note(&back_end, names(2.0, start), at(10, start));
     let refusal = RateAnswer {
-        is_of_run: false,
+        request_ran: false,
         ..names_none(at(20, start))
     };
     let unreadable = RateAnswer {
@@ -126,9 +126,9 @@
     limits.note(&life(6), names(1.0, start), start);
     limits.note(&life(5), names(3.0, at(9, start)), at(9, start));
     assert_eq!(limits.limit(&life(6)), Some(rate(1.0)));
-    limits.forget_gone(|_id| false, start + TOMBSTONE_LIFE / 2);
+    limits.forget_absent(|_id| false, start + TOMBSTONE_RETENTION / 2);
     assert_eq!(limits.limited().len(), 1, "its entry may have lapsed");
-    limits.forget_gone(|_id| false, start + TOMBSTONE_LIFE);
+    limits.forget_absent(|_id| false, start + TOMBSTONE_RETENTION);
     assert!(limits.limited().is_empty());
 }
 
@@ -163,7 +163,7 @@
             assert_eq!(known(first), known(second));
             assert_eq!(first.limit(&back_end), second.limit(&back_end));
             let again = first.merge(&back_end, Incarnation(1), &known(second), later);
-            assert!(!again.knows_more && again.change.is_none());
+            assert!(!again.peer_is_behind && again.change.is_none());
         });
 }
 
@@ -223,7 +223,7 @@
 fn a_rate_of_nothing_is_asked_about_now_and_then() {
     let shares = shares(9, 3, "z1", 0.0);
     let sum: f64 = shares.iter().map(|(_own, share)| share.per_second).sum();
-    assert!((sum - LEAST_RATE).abs() < 1e-9);
+    assert!((sum - MIN_REQUESTS_PER_SECOND).abs() < 1e-9);
     assert_eq!(
         shares
             .iter()
--- a/crates/fleet/tests/restored_directory.rs
+++ b/crates/fleet/tests/restored_directory.rs
@@ -5,13 +5,13 @@
 
 use ponddrift_fleet::capacity::Contract;
 use ponddrift_fleet::directory::{
-    BackEnd, DOUBT_GRACE, Directory, GONE_OUTLIVES_COPY, Incarnation, Lifecycle, Taken,
+    BackEnd, UNCONFIRMED_REMOVAL_GRACE, Directory, REMOVAL_HOLD_AFTER_RESTORE, Incarnation, Lifecycle, PutOutcome,
 };
 use ponddrift_fleet::revision::{Era, Revision};
 
 /// A revision of the era after so many returns.
-fn at(returns: u64, number: u64) -> Revision {
-    let era = Era::after_returns(returns).expect("few");
+fn at(restores: u64, number: u64) -> Revision {
+    let era = Era::after_restores(restores).expect("few");
     Revision::new(era, number).expect("small")
 }
 
@@ -41,11 +41,11 @@
     let mut directory = Directory::default();
     directory.put(back_end(1, Lifecycle::Draining), at(0, 39), now);
     let taken = directory.put(back_end(1, Lifecycle::Ready), at(1, 30), now);
-    assert_eq!(taken, Taken::Outlived);
+    assert_eq!(taken, PutOutcome::Superseded);
     assert!(!is_used(&directory, now));
     // Written in the new era, not merely shown by the copy.
     let taken = directory.put(back_end(1, Lifecycle::Ready), at(1, 31), now);
-    assert_eq!(taken, Taken::News);
+    assert_eq!(taken, PutOutcome::Applied);
     assert!(is_used(&directory, now));
 }
 
@@ -55,7 +55,7 @@
     let mut directory = Directory::default();
     directory.put(back_end(2, Lifecycle::Ready), at(0, 39), now);
     let taken = directory.put(back_end(1, Lifecycle::Draining), at(1, 30), now);
-    assert_eq!(taken, Taken::Outlived);
+    assert_eq!(taken, PutOutcome::Superseded);
     assert!(is_used(&directory, now));
 }
 
@@ -66,11 +66,11 @@
     directory.put(back_end(1, Lifecycle::Ready), at(0, 38), now);
     directory.remove("a", at(0, 39), now, false);
     let taken = directory.put(back_end(1, Lifecycle::Ready), at(1, 30), now);
-    assert_eq!(taken, Taken::Outlived);
-    assert!(directory.forget_removals(now).is_empty());
+    assert_eq!(taken, PutOutcome::Superseded);
+    assert!(directory.expire_removals(now).is_empty());
     assert!(!is_used(&directory, now));
-    let later = now + GONE_OUTLIVES_COPY;
-    assert_eq!(directory.forget_removals(later).len(), 1);
+    let later = now + REMOVAL_HOLD_AFTER_RESTORE;
+    assert_eq!(directory.expire_removals(later).len(), 1);
     assert!(is_used(&directory, later));
 }
 
@@ -82,8 +82,8 @@
     directory.remove("a", at(0, 39), now, false);
     directory.put(back_end(1, Lifecycle::Ready), at(1, 30), now);
     directory.remove("a", at(1, 31), now + Duration::from_secs(3), false);
-    let later = now + GONE_OUTLIVES_COPY;
-    assert!(directory.forget_removals(later).is_empty());
+    let later = now + REMOVAL_HOLD_AFTER_RESTORE;
+    assert!(directory.expire_removals(later).is_empty());
     assert!(!is_used(&directory, later));
 }
 
@@ -94,7 +94,7 @@
     directory.put(back_end(1, Lifecycle::Ready), at(0, 39), now);
     directory.remove("a", at(1, 30), now, false);
     assert!(is_used(&directory, now));
-    assert!(!is_used(&directory, now + DOUBT_GRACE));
+    assert!(!is_used(&directory, now + UNCONFIRMED_REMOVAL_GRACE));
 }
 
 #[test]
@@ -121,14 +121,14 @@
         directory
     };
     let mut directory = shown();
-    assert!(directory.put_over_copy(back_end(2, Lifecycle::Draining)));
+    assert!(directory.put_from_peer(back_end(2, Lifecycle::Draining)));
     assert!(!is_used(&directory, now));
     let mut directory = shown();
-    assert!(!directory.put_over_copy(back_end(1, Lifecycle::Draining)));
+    assert!(!directory.put_from_peer(back_end(1, Lifecycle::Draining)));
     assert!(is_used(&directory, now));
     let mut directory = shown();
-    assert!(directory.remove_over_copy("a", now));
+    assert!(directory.remove_from_peer("a", now));
     assert!(!is_used(&directory, now));
-    assert!(!directory.remove_over_copy("a", now), "it has gone already");
-    assert!(!directory.remove_over_copy("b", now), "it is not known");
+    assert!(!directory.remove_from_peer("a", now), "it has gone already");
+    assert!(!directory.remove_from_peer("b", now), "it is not known");
 }
--- a/crates/fleet/tests/revision.rs
+++ b/crates/fleet/tests/revision.rs
@@ -2,8 +2,8 @@
 
 use ponddrift_fleet::revision::{Era, Revision};
 
-fn revision(returns: u64, number: u64) -> Revision {
-    let era = Era::after_returns(returns).expect("few");
+fn revision(restores: u64, number: u64) -> Revision {
+    let era = Era::after_restores(restores).expect("few");
     Revision::new(era, number).expect("small")
 }
 
@@ -12,7 +12,7 @@
     assert!(revision(1, 0) > revision(0, u64::from(u32::MAX)));
     assert!(revision(2, 7) > revision(1, 39));
     assert!(revision(1, 39) > revision(1, 38));
-    assert_eq!(revision(3, 41).era(), Era::after_returns(3).expect("few"));
+    assert_eq!(revision(3, 41).era(), Era::after_restores(3).expect("few"));
     assert_eq!(revision(3, 41).number(), 41);
     assert_eq!(revision(3, 41).to_string(), "3.41");
 }
@@ -31,14 +31,14 @@
     /// Above this, numbers of JSON are rounded by many readers.
     const EXACT: u64 = 1 << 53;
     assert!(revision(1, 1).as_token() > revision(0, 1_000_000).as_token());
-    let last_era = (0..).find(|returns| Era::after_returns(*returns).is_none());
+    let last_era = (0..).find(|restores| Era::after_restores(*restores).is_none());
     let last_era = last_era.expect("bounded") - 1;
     assert!(revision(last_era, (1 << 40) - 1).as_token() < EXACT);
 }
 
 #[test]
 fn what_has_no_room_is_no_revision() {
-    assert_eq!(Era::after_returns(u64::MAX), None);
+    assert_eq!(Era::after_restores(u64::MAX), None);
     assert_eq!(Revision::new(Era::FIRST, u64::MAX), None);
 }
 
--- a/crates/fleet/tests/topology.rs
+++ b/crates/fleet/tests/topology.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::far_pace::FarPace;
+use ponddrift_fleet::cross_zone_pacer::CrossZonePacer;
 use ponddrift_fleet::followers::{
-    FollowerTable, GOSSIP_INTERVAL, gathering_alone, gathering_for_others,
+    FollowerTable, GOSSIP_INTERVAL, batch_interval_alone, batch_interval_for_others,
 };
 use ponddrift_fleet::topology::{FOLLOWERS, Member, SMALL_FLEET, Topology};
 
@@ -124,14 +124,14 @@
 fn a_follower_is_relied_on_while_it_is_heard() {
     let mut table = FollowerTable::default();
     let mut now = Instant::now();
-    assert!(table.relied_on_until(now).is_none());
+    assert!(table.reliable_until(now).is_none());
     for _ in 0..20 {
         table.receive(peer(), Duration::from_millis(900), now);
         now += GOSSIP_INTERVAL;
-        assert!(table.relied_on_until(now).is_some());
+        assert!(table.reliable_until(now).is_some());
     }
     now += Duration::from_secs(1);
-    assert!(table.relied_on_until(now).is_none());
+    assert!(table.reliable_until(now).is_none());
 }
 
 #[test]
@@ -139,7 +139,7 @@
     let mut table = FollowerTable::default();
     let now = Instant::now();
     table.receive(peer(), Duration::from_secs(3), now);
-    assert!(table.relied_on_until(now).is_none());
+    assert!(table.reliable_until(now).is_none());
 }
 
 #[test]
@@ -148,7 +148,7 @@
     let now = Instant::now();
     table.receive(peer(), Duration::ZERO, now);
     table.distrust(peer());
-    assert!(table.relied_on_until(now).is_none());
+    assert!(table.reliable_until(now).is_none());
 }
 
 #[test]
@@ -157,7 +157,7 @@
     let now = Instant::now();
     // All followers die right after they said that the store had just answered.
     table.receive(peer(), Duration::ZERO, now);
-    let until = table.relied_on_until(now).expect("relied on");
+    let until = table.reliable_until(now).expect("relied on");
     assert!(until - now < Duration::from_secs(1));
 }
 
@@ -170,7 +170,7 @@
 fn daemons_that_all_follow_the_store_alone_use_a_tenth_of_its_reads_whatever_their_number() {
     const READS: f64 = 16_000.0;
     for daemons in [100, 1_000, 2_000] {
-        let gathering = gathering_alone(daemons as usize, READS);
+        let gathering = batch_interval_alone(daemons as usize, READS);
         let calls = calls_per_second(daemons, gathering);
         assert!(
             calls <= READS * 0.101,
@@ -182,19 +182,19 @@
 #[test]
 fn changes_are_gathered_no_longer_than_they_may_take() {
     let longest = Duration::from_millis(1_500);
-    assert_eq!(gathering_alone(100_000, 100.0), longest);
-    assert_eq!(gathering_alone(7, 0.0), longest);
+    assert_eq!(batch_interval_alone(100_000, 100.0), longest);
+    assert_eq!(batch_interval_alone(7, 0.0), longest);
     assert_eq!(
-        gathering_for_others(12, 16_000.0),
+        batch_interval_for_others(12, 16_000.0),
         Duration::from_millis(40)
     );
-    assert_eq!(gathering_alone(7, 2_000.0), Duration::from_millis(150));
+    assert_eq!(batch_interval_alone(7, 2_000.0), Duration::from_millis(150));
 }
 
 /// Digests to other zones in a minute, with one published each half second.
 fn far_digests_in_a_minute(tells_of_work: impl Fn(u32) -> bool) -> usize {
     let begun = Instant::now();
-    let mut pace = FarPace::default();
+    let mut pace = CrossZonePacer::default();
     let told = (0..120).filter(|step| {
         let now = begun + Duration::from_millis(500) * *step;
         pace.is_due(tells_of_work(*step), now)
--- a/crates/fleet/tests/usage.rs
+++ b/crates/fleet/tests/usage.rs
@@ -4,19 +4,19 @@
 use std::time::{Duration, Instant};
 
 use bolero::generator::TypeGenerator;
-use ponddrift_fleet::true_time::TrueTime;
-use ponddrift_fleet::usage::{Life, Tally, TallyOf, UsageLedger, end_of_window, window_at};
+use ponddrift_fleet::fleet_time::FleetTime;
+use ponddrift_fleet::usage::{DaemonInstance, Tally, TallyRecord, UsageLedger, end_of_window, window_at};
 
 const LENGTH: Duration = Duration::from_secs(5);
-const FIRST: Life = Life {
+const FIRST: DaemonInstance = DaemonInstance {
     daemon: 1,
     start: 1,
 };
-const RESTARTED: Life = Life {
+const RESTARTED: DaemonInstance = DaemonInstance {
     daemon: 1,
     start: 2,
 };
-const SECOND: Life = Life {
+const SECOND: DaemonInstance = DaemonInstance {
     daemon: 2,
     start: 1,
 };
@@ -31,19 +31,19 @@
     closed: Option<u8>,
 }
 
-fn copy(row: &Row) -> TallyOf {
+fn copy(row: &Row) -> TallyRecord {
     let tenant = if row.tenant { "a" } else { "b" };
-    TallyOf {
-        life: if row.daemon { FIRST } else { SECOND },
+    TallyRecord {
+        instance: if row.daemon { FIRST } else { SECOND },
         window: u64::from(row.window),
         tally: Tally {
             counts: [(Arc::from(tenant), u32::from(row.count))].into(),
-            closed_with: row.closed.map(u64::from),
+            final_total: row.closed.map(u64::from),
         },
     }
 }
 
-fn merged<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Vec<TallyOf>> {
+fn merged<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Vec<TallyRecord>> {
     let mut ledger = UsageLedger::default();
     rows.for_each(|row| ledger.merge(&copy(row)));
     (0..2).map(|window| ledger.tallies(window)).collect()
@@ -71,8 +71,8 @@
 fn lives_add_up_and_copies_of_one_do_not() {
     let mut own = UsageLedger::default();
     let tenant: Arc<str> = Arc::from("a");
-    for life in [FIRST, FIRST, RESTARTED, SECOND] {
-        own.count(life, 3, &tenant);
+    for instance in [FIRST, FIRST, RESTARTED, SECOND] {
+        own.count(instance, 3, &tenant);
     }
     let mut replica = UsageLedger::default();
     for _ in 0..2 {
@@ -93,12 +93,12 @@
     assert!(!replica.is_final(3, FIRST.daemon));
     for (tenant, count) in &whole.counts {
         assert!(!replica.is_final(3, FIRST.daemon));
-        replica.merge(&TallyOf {
-            life: FIRST,
+        replica.merge(&TallyRecord {
+            instance: FIRST,
             window: 3,
             tally: Tally {
                 counts: [(Arc::clone(tenant), *count)].into(),
-                closed_with: whole.closed_with,
+                final_total: whole.final_total,
             },
         });
     }
@@ -131,7 +131,7 @@
     let start = Instant::now();
     let noon = Duration::from_secs(1_767_225_600);
     let ahead = noon + Duration::from_secs(2);
-    let mut time = TrueTime::default();
+    let mut time = FleetTime::default();
     assert_eq!(time.now(ahead, start), ahead, "there is no sample");
     for (source, shown) in [(1, noon), (2, noon), (3, ahead), (4, noon)] {
         time.observe(source, shown, start);
@@ -146,7 +146,7 @@
 
 #[test]
 fn absurd_times_are_no_panic() {
-    let mut time = TrueTime::default();
+    let mut time = FleetTime::default();
     let start = Instant::now();
     time.observe(1, Duration::from_millis(u64::MAX), start);
     time.observe(2, Duration::ZERO, start);
--- a/crates/serve/src/daemon.rs
+++ b/crates/serve/src/daemon.rs
@@ -6,7 +6,7 @@
 
 use eyre::{Context, Result};
 use ponddrift_fleet::topology::Member;
-use ponddrift_fleet::usage::Life;
+use ponddrift_fleet::usage::DaemonInstance;
 use ponddrift_http::Server;
 use ponddrift_platform_adapter::{PlatformDialect, PlatformProvider, PlatformStore};
 use ponddrift_runtime::Runtime;
@@ -58,11 +58,11 @@
         let state = Arc::new(FleetState::new(Arc::clone(&store), own));
         let metrics = Arc::new(Metrics::default());
         let recorder = settings.usage.map(|usage| {
-            let life = Life {
+            let instance = DaemonInstance {
                 daemon: daemon_identity(&settings.name),
                 start: runtime.seed,
             };
-            UsageRecorder::new(Arc::clone(&runtime.clock), life, usage.window)
+            UsageRecorder::new(Arc::clone(&runtime.clock), instance, usage.window)
         });
         let pipeline_settings = PipelineSettings {
             zone: Arc::clone(&settings.zone),
--- a/crates/serving/src/fleet_state.rs
+++ b/crates/serving/src/fleet_state.rs
@@ -159,8 +159,8 @@
 
     /// Whether the back end may get a new request, as far as its entry tells.
     #[must_use]
-    pub fn takes_requests(&self, id: &str, now: Instant) -> bool {
-        self.lock().directory.takes_requests(id, now)
+    pub fn accepts_requests(&self, id: &str, now: Instant) -> bool {
+        self.lock().directory.accepts_requests(id, now)
     }
 
     /// Every back end that has an entry.
@@ -454,7 +454,7 @@
         /// Removed keys are handed on to peers for about this many revisions.
         const REMOVED_KEPT: u64 = 10_000;
         let mut inner = self.lock();
-        inner.forget_removals(now);
+        inner.expire_removals(now);
         inner.remove_departed(now);
         inner.forget_retained(now);
         inner.place_where_daemons_changed(&self.own);
--- a/crates/serving/src/fleet_state/fleet_view.rs
+++ b/crates/serving/src/fleet_state/fleet_view.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use ponddrift_fleet::configuration::{Configuration, Stage};
-use ponddrift_fleet::directory::{BackEnd, ColdStart, Directory, Lifecycle, Taken, Warmth};
+use ponddrift_fleet::directory::{BackEnd, ColdStart, Directory, Lifecycle, PutOutcome, WarmupState};
 use ponddrift_fleet::rate_limits::Members;
 use ponddrift_fleet::revision::Revision;
 use ponddrift_fleet::routes::RouteTable;
@@ -73,7 +73,7 @@
     pub(super) fn of(own: &Member) -> Self {
         Self {
             topology: Arc::new(Topology::of(own, &[])),
-            directory: Directory::seen_from(Arc::clone(&own.zone), daemon_identity(&own.name)),
+            directory: Directory::for_daemon(Arc::clone(&own.zone), daemon_identity(&own.name)),
             ..Self::default()
         }
     }
@@ -203,8 +203,8 @@
         self.daemons_changed = true;
     }
 
-    pub(super) fn forget_removals(&mut self, now: Instant) {
-        for back_end in self.directory.forget_removals(now) {
+    pub(super) fn expire_removals(&mut self, now: Instant) {
+        for back_end in self.directory.expire_removals(now) {
             tracing::info!(back_end = %back_end.id, "back_end_shown_by_copy_lives");
             Arc::make_mut(&mut self.index).insert(&back_end);
         }
@@ -265,18 +265,18 @@
     fn cold_start(
         &mut self,
         back_end: &BackEnd,
-        warmth: Warmth,
+        warmth: WarmupState,
         revision: Revision,
         now: Instant,
     ) -> Option<ColdStart> {
         let known = self.directory.get(&back_end.id);
         match warmth {
-            Warmth::Warm => None,
-            Warmth::ColdFor(left) => {
+            WarmupState::Warm => None,
+            WarmupState::ColdFor(left) => {
                 let before = known.and_then(|known| known.cold_start);
-                Some(ColdStart::seen(left, before, now))
+                Some(ColdStart::observe(left, before, now))
             }
-            Warmth::Unusable => {
+            WarmupState::InvalidTime => {
                 if known.is_none() {
                     self.unusable_cold_times += 1;
                     tracing::warn!(
@@ -315,14 +315,14 @@
         }
         let id = Arc::clone(&back_end.id);
         match self.directory.put(back_end, revision, now) {
-            Taken::News => {
+            PutOutcome::Applied => {
                 self.retained.remove(&item.key);
                 if let Some(known) = self.directory.get(&id) {
                     Arc::make_mut(&mut self.index).insert(known);
                 }
             }
-            Taken::Outlived => self.retain_known(item, now),
-            Taken::Stale => {}
+            PutOutcome::Superseded => self.retain_known(item, now),
+            PutOutcome::Stale => {}
         }
     }
 
--- a/crates/serving/src/fleet_state/quarantines.rs
+++ b/crates/serving/src/fleet_state/quarantines.rs
@@ -32,7 +32,7 @@
             "quarantine_filed"
         );
         if !had_ended {
-            self.quarantine().note_filed(fingerprint, now);
+            self.quarantine().record_stored(fingerprint, now);
         }
     }
 
@@ -56,10 +56,10 @@
             "quarantine_released"
         );
         if is_missing {
-            self.quarantine().note_missing(fingerprint);
+            self.quarantine().record_missing(fingerprint);
             self.quarantine_changed().notify_one();
         } else if !in_doubt {
-            self.quarantine().note_released(fingerprint, now);
+            self.quarantine().record_released(fingerprint, now);
         }
     }
 
--- a/crates/serving/src/fleet_state/retained.rs
+++ b/crates/serving/src/fleet_state/retained.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use ponddrift_fleet::directory::GONE_OUTLIVES_COPY;
+use ponddrift_fleet::directory::REMOVAL_HOLD_AFTER_RESTORE;
 use xxhash_rust::xxh3::Xxh3;
 
 use super::FleetState;
@@ -41,8 +41,8 @@
         self.retained.insert(key, Retained { item, since });
     }
 
-    fn remove_over_copy(&mut self, id: &str, now: Instant) -> bool {
-        let was_shown = self.directory.remove_over_copy(id, now);
+    fn remove_from_peer(&mut self, id: &str, now: Instant) -> bool {
+        let was_shown = self.directory.remove_from_peer(id, now);
         if was_shown {
             Arc::make_mut(&mut self.index).remove(id);
         }
@@ -53,7 +53,7 @@
     pub(super) fn forget_retained(&mut self, now: Instant) {
         self.retained.retain(|_key, retained| {
             let age = now.saturating_duration_since(retained.since);
-            retained.item.value.is_some() || age < GONE_OUTLIVES_COPY
+            retained.item.value.is_some() || age < REMOVAL_HOLD_AFTER_RESTORE
         });
     }
 
@@ -68,8 +68,8 @@
             Decoded::Configuration(configuration) => {
                 self.apply_configuration(*configuration, item.revision, super::Source::Peer, now)
             }
-            Decoded::BackEnd(back_end, _warmth) => self.directory.put_over_copy(back_end),
-            Decoded::BackEndGone(id) => self.remove_over_copy(&id, now),
+            Decoded::BackEnd(back_end, _warmth) => self.directory.put_from_peer(back_end),
+            Decoded::BackEndGone(id) => self.remove_from_peer(&id, now),
             _ => false,
         };
         if is_news {
--- a/crates/serving/src/follow.rs
+++ b/crates/serving/src/follow.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use ponddrift_fleet::distribution::{
-    DISTRIBUTOR_PATIENCE, FOLLOWER_PATIENCE, REREAD_PATIENCE, ReadingPlan,
+    DISTRIBUTOR_TIMEOUT, FOLLOWER_REPORT_WAIT, REREAD_WAIT, ReadPlan,
 };
 use ponddrift_fleet::followers::{
-    FOLLOWER_WAIT, FollowerTable, LONGEST_STORE_SILENCE, gathering_alone, gathering_for_others,
+    FOLLOWER_POLL_WAIT, FollowerTable, MAX_STORE_SILENCE, batch_interval_alone, batch_interval_for_others,
 };
 use ponddrift_fleet::revision::{Era, Revision};
 use ponddrift_runtime::Runtime;
@@ -77,7 +77,7 @@
     pub fn follower_reported(&self, peer: SocketAddr, store_silence: Duration) {
         let mut followers = lock(&self.followers);
         followers.receive(peer, store_silence, now());
-        if followers.relied_on_until(now()).is_some() {
+        if followers.reliable_until(now()).is_some() {
             self.relieved.notify_waiters();
         }
     }
@@ -117,12 +117,12 @@
     #[must_use]
     pub fn has_store_contact(&self) -> bool {
         let own = self.store_silence();
-        own.is_some_and(|silence| silence < LONGEST_STORE_SILENCE)
-            || self.relied_on_until().is_some()
+        own.is_some_and(|silence| silence < MAX_STORE_SILENCE)
+            || self.reliable_until().is_some()
     }
 
-    fn relied_on_until(&self) -> Option<Instant> {
-        lock(&self.followers).relied_on_until(now())
+    fn reliable_until(&self) -> Option<Instant> {
+        lock(&self.followers).reliable_until(now())
     }
 
     fn note_answer(&self, answer: Option<Instant>) {
@@ -203,9 +203,9 @@
 impl Follower {
     async fn run(mut self) {
         loop {
-            let relied_on_until = self.may_rely_on_neighbours();
-            self.note_way(relied_on_until.is_some());
-            if let Some(until) = relied_on_until {
+            let reliable_until = self.may_rely_on_neighbours();
+            self.note_way(reliable_until.is_some());
+            if let Some(until) = reliable_until {
                 self.following.note_answer(None);
                 let disappointed = self.following.disappointed.notified();
                 // Either way it is looked at anew.
@@ -281,7 +281,7 @@
         if self.state.topology().follows_store || lacks_everything {
             return None;
         }
-        self.following.relied_on_until()
+        self.following.reliable_until()
     }
 
     /// Reads everything, or waits for what changed.
@@ -292,7 +292,7 @@
         };
         let follows_for_others = self.state.topology().follows_store;
         let wait = if follows_for_others {
-            FOLLOWER_WAIT
+            FOLLOWER_POLL_WAIT
         } else {
             OWN_WAIT
         };
@@ -373,15 +373,15 @@
     async fn read_peers(&self, reading: &mut WholeRead) -> bool {
         let own = self.state.own();
         let spread = daemon_identity(&own.name);
-        let mut plan = ReadingPlan::of(own.peer_address, &self.distributors().await, spread);
+        let mut plan = ReadPlan::of(own.peer_address, &self.distributors().await, spread);
         let known = self.state.position();
         if known.is_some() {
-            plan.patience = REREAD_PATIENCE;
+            plan.fallback_after = REREAD_WAIT;
         }
         if known.is_some() && plan.providers.is_empty() {
             // Who told of the new era has read it. The store may refuse this machine, whether or not it follows for others.
             plan.providers.extend(lock(&self.following.ahead).take());
-            plan.patience = DISTRIBUTOR_PATIENCE;
+            plan.fallback_after = DISTRIBUTOR_TIMEOUT;
         }
         reading.only_newer_than(known);
         let read = reading.read_peers(&self.runtime, &plan, &self.state);
@@ -395,9 +395,9 @@
         }
         // One call less for every daemon, just when all of them start.
         let relieved = self.following.relieved.notified();
-        if !self.state.topology().follows_store && self.following.relied_on_until().is_none() {
+        if !self.state.topology().follows_store && self.following.reliable_until().is_none() {
             // Whichever comes first, the store is asked only where no follower has reported.
-            drop(tokio::time::timeout(FOLLOWER_PATIENCE, relieved).await);
+            drop(tokio::time::timeout(FOLLOWER_REPORT_WAIT, relieved).await);
         }
         true
     }
@@ -425,9 +425,9 @@
     fn gathering(&self, follows_for_others: bool) -> Duration {
         let topology = self.state.topology();
         if follows_for_others {
-            gathering_for_others(topology.followers, self.reads_per_second)
+            batch_interval_for_others(topology.followers, self.reads_per_second)
         } else {
-            gathering_alone(topology.daemons, self.reads_per_second)
+            batch_interval_alone(topology.daemons, self.reads_per_second)
         }
     }
 }
--- a/crates/serving/src/leader.rs
+++ b/crates/serving/src/leader.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use futures::FutureExt;
-use ponddrift_fleet::leadership::{CALL_LIMIT, Fencing, Grant, Tenure};
+use ponddrift_fleet::leadership::{CALL_TIMEOUT, Fencing, Grant, LeaderTerm};
 use ponddrift_runtime::Runtime;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -49,7 +49,7 @@
 #[derive(Clone)]
 pub struct Leadership {
     shared: Arc<Shared>,
-    tenure: watch::Receiver<Option<Tenure>>,
+    term: watch::Receiver<Option<LeaderTerm>>,
 }
 
 struct Shared {
@@ -69,28 +69,28 @@
     /// Whether a call may leave now.
     #[must_use]
     pub fn may_call(&self) -> bool {
-        self.tenure
+        self.term
             .borrow()
-            .is_some_and(|tenure| tenure.covers_a_call(now()))
+            .is_some_and(|term| term.allows_call(now()))
     }
 
     /// The fencing token of a call that leaves now; none where this daemon may not make one. To be asked right before each
     /// call: time has passed since the last look.
     #[must_use]
     pub fn begin_call(&self) -> Option<u64> {
-        let tenure = (*self.tenure.borrow())?;
+        let term = (*self.term.borrow())?;
         let now = now();
-        if !tenure.covers_a_call(now) {
+        if !term.allows_call(now) {
             return None;
         }
         *self.shared.last_call() = now;
-        Some(tenure.fencing_token)
+        Some(term.fencing_token)
     }
 
     /// A receiver has seen a higher token than `fencing_token`: another daemon leads.
     pub fn was_fenced_off(&self, fencing_token: u64) {
-        let tenure = *self.tenure.borrow();
-        if tenure.is_some_and(|tenure| tenure.fencing_token == fencing_token) {
+        let term = *self.term.borrow();
+        if term.is_some_and(|term| term.fencing_token == fencing_token) {
             self.shared.fenced_off.notify_one();
         }
     }
@@ -105,7 +105,7 @@
     state: &Arc<FleetState>,
     pipeline: &Arc<Pipeline>,
 ) -> Leadership {
-    let (published, tenure) = watch::channel(None);
+    let (published, term) = watch::channel(None);
     let shared = Arc::new(Shared {
         last_call: Mutex::new(earliest_last_call(&settings)),
         fenced_off: Notify::new(),
@@ -120,7 +120,7 @@
         random: Pcg64Mcg::seed_from_u64(runtime.seed.rotate_left(17)),
     };
     runtime.spawner.spawn(Box::pin(candidate.run()));
-    Leadership { shared, tenure }
+    Leadership { shared, term }
 }
 
 /// When another process of this machine may have made a call as the leader.
@@ -129,7 +129,7 @@
     if !settings.is_first_start {
         return now;
     }
-    let lease_ago = now.checked_sub(settings.lease + CALL_LIMIT);
+    let lease_ago = now.checked_sub(settings.lease + CALL_TIMEOUT);
     // A machine that has not been up for that long has not led either.
     lease_ago.unwrap_or(now)
 }
@@ -140,7 +140,7 @@
     state: Arc<FleetState>,
     pipeline: Arc<Pipeline>,
     shared: Arc<Shared>,
-    published: watch::Sender<Option<Tenure>>,
+    published: watch::Sender<Option<LeaderTerm>>,
     random: Pcg64Mcg,
 }
 
@@ -151,7 +151,7 @@
                 continue;
             }
             match self.take().await {
-                Ok((lease, tenure)) => self.lead(lease, tenure).await,
+                Ok((lease, term)) => self.lead(lease, term).await,
                 Err(error) => tracing::debug!(%error, "leader_lease_not_taken"),
             }
         }
@@ -179,7 +179,7 @@
         back_ends.iter().any(|back_end| back_end.stage.is_some())
     }
 
-    async fn take(&self) -> Result<(Lease, Tenure), StoreError> {
+    async fn take(&self) -> Result<(Lease, LeaderTerm), StoreError> {
         let asked = now();
         let lease = self.store.grant(self.settings.lease).await?;
         let taken = self.store.take_lead(&self.settings.holder, lease).await;
@@ -197,7 +197,7 @@
             answered: now(),
             last_call: self.last_call(),
         };
-        Ok((lease, Tenure::new(&grant, self.settings.fencing)))
+        Ok((lease, LeaderTerm::new(&grant, self.settings.fencing)))
     }
 
     /// When a call may last have left, of this daemon or of a leader that had not seen yet that the store came back from an older
@@ -209,25 +209,25 @@
     }
 
     /// Renews the lease for as long as it can, then ends it.
-    async fn lead(&mut self, lease: Lease, tenure: Tenure) {
-        let fence = tenure.fencing_token;
+    async fn lead(&mut self, lease: Lease, term: LeaderTerm) {
+        let fence = term.fencing_token;
         tracing::info!(fence, "leader_lease_taken");
         // What a receiver said of an earlier lease does not end this one.
         let is_of_earlier_lease = self.shared.fenced_off.notified().now_or_never().is_some();
         if is_of_earlier_lease {
             tracing::debug!(fence, "fencing_of_earlier_lease_ignored");
         }
-        self.published.send_replace(Some(tenure));
-        let reason = self.renew_until_over(lease, tenure).await;
+        self.published.send_replace(Some(term));
+        let reason = self.renew_until_over(lease, term).await;
         self.published.send_replace(None);
         tracing::info!(fence, reason, "leader_lease_over");
         // Calls on their way arrive before another daemon can lead.
-        tokio::time::sleep(CALL_LIMIT).await;
+        tokio::time::sleep(CALL_TIMEOUT).await;
         self.end(lease).await;
     }
 
     /// Returns why the time as the leader is over.
-    async fn renew_until_over(&self, lease: Lease, mut tenure: Tenure) -> &'static str {
+    async fn renew_until_over(&self, lease: Lease, mut term: LeaderTerm) -> &'static str {
         loop {
             if let Some(reason) = self.await_renewal(lease).await {
                 return reason;
@@ -235,11 +235,11 @@
             let asked = now();
             match self.store.renew(lease).await {
                 Ok(()) => {
-                    tenure = tenure.renewed(asked);
-                    self.published.send_replace(Some(tenure));
+                    term = term.renewed(asked);
+                    self.published.send_replace(Some(term));
                 }
                 Err(StoreError::LeaseOver) => return "lapsed",
-                Err(_trouble) if !tenure.may_be_over(now()) => {}
+                Err(_trouble) if !term.may_have_expired(now()) => {}
                 Err(error) => {
                     tracing::warn!(%error, "leader_lease_not_renewed");
                     return "may_have_lapsed";
--- a/crates/serving/src/metrics.rs
+++ b/crates/serving/src/metrics.rs
@@ -416,7 +416,7 @@
         gauges
             .configuration_age_s
             .set(signed(values.configuration_age_s));
-        gauges.era.set(signed(values.era.returns()));
+        gauges.era.set(signed(values.era.restores()));
         gauges
             .newest_revision
             .set(signed(values.newest_revision.number()));
--- a/crates/serving/src/orders/engine_calls.rs
+++ b/crates/serving/src/orders/engine_calls.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Request, Response, StatusCode, header};
 use ponddrift_fleet::directory::BackEnd;
-use ponddrift_fleet::leadership::CALL_LIMIT;
+use ponddrift_fleet::leadership::CALL_TIMEOUT;
 use ponddrift_http::body::{self, Body};
 
 use crate::connections::Connections;
@@ -82,7 +82,7 @@
                 engine.address,
                 CONNECTIONS,
                 request,
-                CALL_LIMIT,
+                CALL_TIMEOUT,
             )
             .await?;
         if answer.status() != StatusCode::MISDIRECTED_REQUEST {
--- a/crates/serving/src/peers/message.rs
+++ b/crates/serving/src/peers/message.rs
@@ -6,7 +6,7 @@
 
 use ponddrift_fleet::fingerprint::RequestFingerprint;
 use ponddrift_fleet::revision::Revision;
-use ponddrift_fleet::usage::{Tally, TallyOf};
+use ponddrift_fleet::usage::{Tally, TallyRecord};
 
 use crate::store::Changes;
 
@@ -49,7 +49,7 @@
         in_doubt: bool,
     },
     /// What the sender counted of its tenants' requests, or a part of it.
-    Usage(TallyOf),
+    Usage(TallyRecord),
     /// Requests under which engines ended.
     Suspects(Vec<SuspectRow>),
     /// Retries that the sender earned and the receiver keeps for the zone.
@@ -296,7 +296,7 @@
 }
 
 /// A tally as datagrams. Parts can be merged in any order.
-pub(super) fn encode_usage(whole: &TallyOf) -> Vec<Vec<u8>> {
+pub(super) fn encode_usage(whole: &TallyRecord) -> Vec<Vec<u8>> {
     let mut parts = vec![Tally::default()];
     let mut bytes = 0;
     for (tenant, count) in &whole.tally.counts {
@@ -310,9 +310,9 @@
         }
     }
     let messages = parts.into_iter().map(|part| {
-        Message::Usage(TallyOf {
+        Message::Usage(TallyRecord {
             tally: Tally {
-                closed_with: whole.tally.closed_with,
+                final_total: whole.tally.final_total,
                 ..part
             },
             ..whole.clone()
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -4,10 +4,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::far_pace::FarPace;
+use ponddrift_fleet::cross_zone_pacer::CrossZonePacer;
 use ponddrift_fleet::followers::GOSSIP_INTERVAL;
 use ponddrift_fleet::topology::Topology;
-use ponddrift_fleet::usage::TallyOf;
+use ponddrift_fleet::usage::TallyRecord;
 use rand::{RngExt as _, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::mpsc;
@@ -55,7 +55,7 @@
         let mut random = Pcg64Mcg::seed_from_u64(self.runtime.seed ^ SEED_PART);
         let mut sequence = 0;
         let mut last_interval = now();
-        let mut far_pace = FarPace::default();
+        let mut cross_zone_pacer = CrossZonePacer::default();
         loop {
             let begun = now();
             let spread = random.random_range(0.9..1.1);
@@ -68,7 +68,7 @@
             let neighbours = u32::try_from(topology.neighbours.len()).unwrap_or(u32::MAX);
             time::sleep_until(begun + TIME_PER_NEIGHBOUR * neighbours).await;
             sequence += 1;
-            self.publish_digest(&topology, sequence, reason, &mut far_pace)
+            self.publish_digest(&topology, sequence, reason, &mut cross_zone_pacer)
                 .await;
             if reason == Reason::Interval {
                 self.publish_retained(sequence).await;
@@ -113,7 +113,7 @@
         topology: &Topology,
         sequence: u32,
         reason: Reason,
-        far_pace: &mut FarPace,
+        cross_zone_pacer: &mut CrossZonePacer,
     ) {
         self.pipeline.set_daemons(topology.daemons);
         self.pipeline
@@ -122,7 +122,7 @@
         let own = self.digest(sequence);
         let has_news = !own.heads.is_empty() || !own.away.is_empty();
         let concerns_far = has_news || reason != Reason::Forwarded;
-        if concerns_far && far_pace.is_due(own.tells_of_work(), now()) {
+        if concerns_far && cross_zone_pacer.is_due(own.tells_of_work(), now()) {
             self.send(own.clone().encode(), &topology.far).await;
         }
         let for_neighbours = with_forwarded(own, forwarded);
@@ -199,7 +199,7 @@
         }
     }
 
-    async fn send_usage(&self, copies: &[TallyOf], replicas: &[SocketAddr]) {
+    async fn send_usage(&self, copies: &[TallyRecord], replicas: &[SocketAddr]) {
         for bytes in copies.iter().flat_map(message::encode_usage) {
             self.send(Some(bytes), replicas).await;
         }
--- a/crates/serving/src/peers/rate_limits.rs
+++ b/crates/serving/src/peers/rate_limits.rs
@@ -190,7 +190,7 @@
                 let changed = self.pipeline.changed_rate_limits();
                 changed.add(Arc::clone(&back_end.id));
             }
-            if merge.knows_more {
+            if merge.peer_is_behind {
                 missing_there.extend(self.rate_row(&back_end.id));
             }
         }
--- a/crates/serving/src/peers/receive.rs
+++ b/crates/serving/src/peers/receive.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use ponddrift_fleet::distribution::{PROVIDER_PATIENCE, ReadingPlan};
+use ponddrift_fleet::distribution::{PROVIDER_TIMEOUT, ReadPlan};
 use ponddrift_fleet::revision::Revision;
 
 use super::message::{self, Digest, MAXIMUM_DATAGRAM, Message};
@@ -207,9 +207,9 @@
     }
 
     async fn read_everything(&self, peer: SocketAddr) {
-        let plan = ReadingPlan {
+        let plan = ReadPlan {
             providers: vec![peer],
-            patience: PROVIDER_PATIENCE,
+            fallback_after: PROVIDER_TIMEOUT,
         };
         let mut reading = WholeRead::new(Consistency::Stale);
         // What it brings shows in the position.
--- a/crates/serving/src/peers/relay.rs
+++ b/crates/serving/src/peers/relay.rs
@@ -11,7 +11,7 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use ponddrift_fleet::revision::Revision;
-use ponddrift_fleet::usage::{TallyOf, TenantCounts, WindowNumber};
+use ponddrift_fleet::usage::{TallyRecord, TenantCounts, WindowNumber};
 
 use crate::fleet_state::{FleetState, News};
 use crate::pipeline::Pipeline;
@@ -36,7 +36,7 @@
 enum Question {
     /// What is known beyond this revision; answered by [`News`].
     NewsAfter(Revision),
-    /// Every copy of what was counted in this window; answered by a list of [`TallyOf`].
+    /// Every copy of what was counted in this window; answered by a list of [`TallyRecord`].
     Tallies(WindowNumber),
     /// What the store holds behind this key, or from its first key on; answered by a [`PackedPage`], or by none where that has
     /// not been read yet.
@@ -225,7 +225,7 @@
     runtime: &Runtime,
     peer: SocketAddr,
     window: WindowNumber,
-) -> io::Result<Vec<TallyOf>> {
+) -> io::Result<Vec<TallyRecord>> {
     ask(runtime, peer, Question::Tallies(window)).await
 }
 
--- a/crates/serving/src/peers/suspects.rs
+++ b/crates/serving/src/peers/suspects.rs
@@ -51,7 +51,7 @@
                     again.insert((begun + pause, *fingerprint));
                 }
             }
-            let later = again.split_off(&(begun, RequestFingerprint::LEAST));
+            let later = again.split_off(&(begun, RequestFingerprint::MIN));
             let due = std::mem::replace(&mut again, later);
             let due = due
                 .into_iter()
@@ -148,14 +148,14 @@
             if update.after.is_quarantined() {
                 self.state.quarantine_changed().notify_one();
             }
-            if !update.knows_more {
+            if !update.peer_is_behind {
                 continue;
             }
             if let Some((suspicion, _standing)) = self.known_of(fingerprint) {
                 missing_there.push(suspicion_to_wire(&suspicion, now()));
             }
             // Runs lost at several daemons met here: nobody else may know of them together.
-            if update.is_news && update.after != Standing::Clear && self.is_recorder(fingerprint) {
+            if update.added_information && update.after != Standing::Clear && self.is_recorder(fingerprint) {
                 self.pipeline.changed_suspects().add(fingerprint);
             }
         }
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -194,7 +194,7 @@
         named: record.named.map(|named| NamedRateRow {
             per_second: named.rate.per_second(),
             sent_ms_ago: ms_since(named.sent, now),
-            came_ms_ago: ms_since(named.came, now),
+            came_ms_ago: ms_since(named.received, now),
         }),
         lifted_ms_ago: record.lifted.map(|lifted| ms_since(lifted, now)),
     }
@@ -205,7 +205,7 @@
         Some(NamedRate {
             rate: RequestRate::new(named.per_second)?,
             sent: ms_before(named.sent_ms_ago, now),
-            came: ms_before(named.came_ms_ago, now),
+            received: ms_before(named.came_ms_ago, now),
         })
     });
     let record = RateRecord {
--- a/crates/serving/src/pipeline.rs
+++ b/crates/serving/src/pipeline.rs
@@ -269,10 +269,10 @@
         placement.prefixes.keep_only(|id| present.contains(id));
         placement
             .announcements
-            .forget_gone(|id| present.contains(id), now());
+            .forget_absent(|id| present.contains(id), now());
         placement
             .rate_limits
-            .forget_gone(|id| present.contains(id), now());
+            .forget_absent(|id| present.contains(id), now());
         drop(placement);
         self.engine_ends.keep_only(|id| present.contains(id));
         self.state.forget_old(now());
--- a/crates/serving/src/pipeline/announcements.rs
+++ b/crates/serving/src/pipeline/announcements.rs
@@ -23,16 +23,16 @@
     /// When the request was sent.
     sent: Instant,
     /// Whether it ran.
-    is_of_run: bool,
+    request_ran: bool,
 }
 
 impl AnswerOrigin {
     /// The answer to a caller's request, or to the reading of its prompt.
-    pub(super) const fn request(purpose: &'static str, sent: Instant, is_of_run: bool) -> Self {
+    pub(super) const fn request(purpose: &'static str, sent: Instant, request_ran: bool) -> Self {
         Self {
             source: purpose,
             sent,
-            is_of_run,
+            request_ran,
         }
     }
 
@@ -41,7 +41,7 @@
         Self {
             source,
             sent,
-            is_of_run: false,
+            request_ran: false,
         }
     }
 }
@@ -62,7 +62,7 @@
             self.metrics.announcement("draining", source);
         }
         match announcement.backoff {
-            RequestedBackoff::Unasked => {}
+            RequestedBackoff::NotRequested => {}
             RequestedBackoff::For(_) => self.metrics.announcement("backoff", source),
             RequestedBackoff::Unreadable => self.metrics.announcement("backoff_unreadable", source),
         }
@@ -103,7 +103,7 @@
         let answer = RateAnswer {
             rate,
             sent: origin.sent,
-            is_of_run: origin.is_of_run,
+            request_ran: origin.request_ran,
         };
         let change = self.placement().rate_limits.note(back_end, answer, now());
         if let Some(change) = change {
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -141,7 +141,7 @@
         match &judged.end {
             HeadEnd::Answered(_) => {
                 let announcements = &mut self.placement().announcements;
-                announcements.took_request(back_end, now());
+                announcements.record_accepted_request(back_end, now());
             }
             HeadEnd::NotRun(_) => self.leave_alone(back_end, judged.status),
             HeadEnd::NotSent(_) | HeadEnd::Unsure(_) => {}
--- a/crates/serving/src/pipeline/budgeting.rs
+++ b/crates/serving/src/pipeline/budgeting.rs
@@ -67,7 +67,7 @@
 
     /// Whether a send that is given up may be followed by another: one that runs the request anew.
     pub(super) fn may_be_sent_elsewhere(&self, job: &Job) -> bool {
-        job.route.kind.is_repeatable()
+        job.route.kind.is_retryable()
             && job.runs + 1 < job.route.maximum_attempts
             && self.has_repeat(job)
     }
--- a/crates/serving/src/pipeline/candidates.rs
+++ b/crates/serving/src/pipeline/candidates.rs
@@ -21,13 +21,13 @@
         let prefix = job.facts.prompt.as_ref().and_then(remembered_head);
         let mut placement = self.placement();
         let holders = prefix.map(|prefix| placement.prefixes.holders(prefix, now));
-        let usability = |back_end: &BackEnd| placement.usability(back_end, &job.tried, now);
+        let eligibility = |back_end: &BackEnd| placement.eligibility(back_end, &job.tried, now);
         let query = CandidateQuery {
             service: &job.service.name,
             zone,
             prefix,
             holders: &holders.unwrap_or_default(),
-            usability: &usability,
+            eligibility: &eligibility,
         };
         let candidates = self.state.candidates(&query, now);
         placement.set_ready(&job.service.name, candidates.ready);
--- a/crates/serving/src/pipeline/first_event.rs
+++ b/crates/serving/src/pipeline/first_event.rs
@@ -119,7 +119,7 @@
 
     fn learn_first_event(&self, job: &Job, decode: &Arc<BackEnd>, waited: Duration) {
         let mut placement = self.placement();
-        placement.health.sign_of_life(&decode.id, now());
+        placement.health.record_activity(&decode.id, now());
         if job.urgency == Urgency::InTime && !job.yields && job.facts.prompt.is_some() {
             let in_time = waited <= job.route.target_latency;
             let service = &job.service.name;
--- a/crates/serving/src/pipeline/generate.rs
+++ b/crates/serving/src/pipeline/generate.rs
@@ -436,7 +436,7 @@
         );
         match answer {
             Some(answer) => {
-                self.note_good_run(job);
+                self.record_good_run(job);
                 FirstEvent::Answer(answer.into_served())
             }
             None => FirstEvent::Unsure("answer_broke_off"),
--- a/crates/serving/src/pipeline/job.rs
+++ b/crates/serving/src/pipeline/job.rs
@@ -111,7 +111,7 @@
     /// Whether one more back end may run the request.
     pub(super) fn may_run_again(&self) -> bool {
         self.runs == 0
-            || (self.route.kind.is_repeatable() && self.runs < self.route.maximum_attempts)
+            || (self.route.kind.is_retryable() && self.runs < self.route.maximum_attempts)
     }
 
     /// Recognizes the request when it comes again under another identity.
--- a/crates/serving/src/pipeline/lost_runs.rs
+++ b/crates/serving/src/pipeline/lost_runs.rs
@@ -60,7 +60,7 @@
             return;
         }
         self.metrics.run_lost();
-        let update = self.note_lost_run(job, engine, begun);
+        let update = self.record_lost_run(job, engine, begun);
         tracing::warn!(
             request = &*job.id,
             fingerprint = %job.fingerprint(),
--- a/crates/serving/src/pipeline/plain.rs
+++ b/crates/serving/src/pipeline/plain.rs
@@ -159,7 +159,7 @@
         self.run_was_cut(job, back_end, Some(outcome), begun).await;
         self.note_outcome(back_end, &job.service.health_path, outcome);
         if end.is_some() {
-            self.note_good_run(job);
+            self.record_good_run(job);
         }
         if outcome == Outcome::Success {
             self.placement()
--- a/crates/serving/src/pipeline/probe.rs
+++ b/crates/serving/src/pipeline/probe.rs
@@ -5,7 +5,7 @@
 
 use http::{Method, StatusCode};
 use ponddrift_fleet::directory::BackEnd;
-use ponddrift_fleet::health::{LONGEST_EJECTION, Outcome};
+use ponddrift_fleet::health::{MAX_CHECK_DELAY, Outcome};
 use rand::RngExt;
 
 use super::Pipeline;
@@ -51,7 +51,7 @@
                 }
                 // Neither a check nor a request would be of use to it: what it said holds for both.
                 if pipeline.placement().is_closed(&back_end, now()) {
-                    pause = pipeline.spread(LONGEST_EJECTION);
+                    pause = pipeline.spread(MAX_CHECK_DELAY);
                     continue;
                 }
                 let may_check = pipeline
@@ -69,12 +69,12 @@
                         return;
                     }
                     CheckEnd::NotMade => {
-                        pause = pipeline.spread(LONGEST_EJECTION);
+                        pause = pipeline.spread(MAX_CHECK_DELAY);
                         continue;
                     }
                     CheckEnd::Unwell => {}
                 }
-                match pipeline.placement().health.check_failed(&back_end.id) {
+                match pipeline.placement().health.record_failed_check(&back_end.id) {
                     Some(next) => pause = pipeline.spread(next),
                     None => return,
                 }
@@ -95,7 +95,7 @@
         if self.placement().is_closed(back_end, now()) {
             return;
         }
-        if !self.placement().health.take_hint(&back_end.id, now()) {
+        if !self.placement().health.note_peer_ejection(&back_end.id, now()) {
             return;
         }
         let pipeline = Arc::clone(self);
--- a/crates/serving/src/pipeline/quarantining.rs
+++ b/crates/serving/src/pipeline/quarantining.rs
@@ -13,7 +13,7 @@
 use crate::time::now;
 
 impl Pipeline {
-    pub(super) fn note_lost_run(&self, job: &Job, engine: &Arc<BackEnd>, begun: Instant) -> Update {
+    pub(super) fn record_lost_run(&self, job: &Job, engine: &Arc<BackEnd>, begun: Instant) -> Update {
         let run = LostRun {
             engine: Arc::clone(&engine.id),
             begun,
@@ -24,7 +24,7 @@
         let update = self
             .state
             .quarantine()
-            .note_lost_run(fingerprint, tenant, run, now());
+            .record_lost_run(fingerprint, tenant, run, now());
         self.changed_suspects.add(fingerprint);
         if update.after.is_quarantined() {
             self.state.quarantine_changed().notify_one();
@@ -33,13 +33,13 @@
     }
 
     /// The request ran to its end: what was held against it is void.
-    pub(super) fn note_good_run(&self, job: &Job) {
+    pub(super) fn record_good_run(&self, job: &Job) {
         if self.state.quarantine().is_empty() {
             return;
         }
         let fingerprint = job.fingerprint();
-        let was_filed = self.state.quarantine().is_filed(fingerprint);
-        if !self.state.quarantine().note_good_run(fingerprint, now()) {
+        let was_filed = self.state.quarantine().is_stored(fingerprint);
+        if !self.state.quarantine().record_good_run(fingerprint, now()) {
             return;
         }
         tracing::info!(
--- a/crates/serving/src/pipeline/relay.rs
+++ b/crates/serving/src/pipeline/relay.rs
@@ -119,7 +119,7 @@
         let now = now();
         let engine = &stream.back_end.id;
         let mut placement = self.pipeline.placement();
-        placement.health.sign_of_life(engine, now);
+        placement.health.record_activity(engine, now);
         if stream.first_passed
             && let Some(before) = self.last_event
         {
@@ -192,7 +192,7 @@
 
     fn complete(&mut self, stream: OpenStream) {
         self.note_end(&stream, "answered", Some(Outcome::Success));
-        self.pipeline.note_good_run(&self.job);
+        self.pipeline.record_good_run(&self.job);
         let time = now().saturating_duration_since(stream.begun);
         let slots = stream.back_end.slots;
         let service = &self.job.service.name;
--- a/crates/serving/src/pipeline/send_gate.rs
+++ b/crates/serving/src/pipeline/send_gate.rs
@@ -31,7 +31,7 @@
     /// Leave to send a request that is to leave now, or why it must not. Takes a token where the back end limits the rate of its requests,
     /// also where the send then fails.
     pub(super) fn permit_request(&self, back_end: &BackEnd) -> Result<SendPermit, &'static str> {
-        if !self.state.takes_requests(&back_end.id, now()) {
+        if !self.state.accepts_requests(&back_end.id, now()) {
             return Err("back_end_drains_or_is_gone");
         }
         let mut placement = self.placement();
--- a/crates/serving/src/pipeline/wait_policy.rs
+++ b/crates/serving/src/pipeline/wait_policy.rs
@@ -88,8 +88,8 @@
 }
 
 impl Pipeline {
-    fn lives_since(&self, back_end: &BackEnd, since: Instant) -> bool {
-        self.placement().health.lives_since(&back_end.id, since)
+    fn active_since(&self, back_end: &BackEnd, since: Instant) -> bool {
+        self.placement().health.active_since(&back_end.id, since)
     }
 
     /// Waits for `answer` as long as `wait_policy` says.
@@ -117,14 +117,14 @@
                 self.connections.distrust_idle(back_end.address);
                 return Err(if time < LEAST_SILENCE {
                     WaitEnd::OutOfTime
-                } else if wait_policy.is_behind && self.lives_since(back_end, begun) {
+                } else if wait_policy.is_behind && self.active_since(back_end, begun) {
                     WaitEnd::NotReached
                 } else {
                     WaitEnd::Silent
                 });
             }
             // A full back end lets its health check wait, as it does requests.
-            if self.lives_since(back_end, now() - SIGN_OF_LIFE_LASTS) {
+            if self.active_since(back_end, now() - SIGN_OF_LIFE_LASTS) {
                 suspicious_at = Some(now() + SIGN_OF_LIFE_LASTS);
                 continue;
             }
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ponddrift_fleet::fingerprint::RequestFingerprint;
-use ponddrift_fleet::quarantine::{QUARANTINE, Unfiled};
+use ponddrift_fleet::quarantine::{QUARANTINE_DURATION, UnstoredQuarantine};
 use ponddrift_runtime::Runtime;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -41,12 +41,12 @@
         loop {
             self.state.quarantine_changed().notified().await;
             self.release_all().await;
-            while let Some(unfiled) = self.next_unfiled() {
-                let is_its_turn = self.wait_for_its_turn(&unfiled).await;
-                if !is_its_turn || self.state.quarantine().is_filed(unfiled.fingerprint) {
+            while let Some(unstored) = self.next_unfiled() {
+                let is_its_turn = self.wait_for_its_turn(&unstored).await;
+                if !is_its_turn || self.state.quarantine().is_stored(unstored.fingerprint) {
                     continue;
                 }
-                if !self.file(&unfiled).await {
+                if !self.file(&unstored).await {
                     tokio::time::sleep(FAILURE_PAUSE).await;
                 }
             }
@@ -54,15 +54,15 @@
     }
 
     /// Own finds first.
-    fn next_unfiled(&self) -> Option<Unfiled> {
-        let mut unfiled = self.state.quarantine().unfiled(now());
-        unfiled.sort_by_key(|unfiled| !unfiled.is_own);
-        unfiled.into_iter().next()
+    fn next_unfiled(&self) -> Option<UnstoredQuarantine> {
+        let mut unstored = self.state.quarantine().unstored(now());
+        unstored.sort_by_key(|unstored| !unstored.is_own);
+        unstored.into_iter().next()
     }
 
     /// Returns false where something changed meanwhile: an own find goes first.
-    async fn wait_for_its_turn(&mut self, unfiled: &Unfiled) -> bool {
-        if unfiled.is_own {
+    async fn wait_for_its_turn(&mut self, unstored: &UnstoredQuarantine) -> bool {
+        if unstored.is_own {
             return true;
         }
         let spread = self.random.random_range(0.2..1.0);
@@ -75,19 +75,19 @@
     }
 
     /// Returns whether the store holds it now.
-    async fn file(&self, unfiled: &Unfiled) -> bool {
-        let fingerprint = unfiled.fingerprint;
+    async fn file(&self, unstored: &UnstoredQuarantine) -> bool {
+        let fingerprint = unstored.fingerprint;
         let filing = self
             .store
-            .file_quarantine(fingerprint, &unfiled.engines, QUARANTINE);
+            .file_quarantine(fingerprint, &unstored.engines, QUARANTINE_DURATION);
         match filing.await {
             Ok(()) => {
                 tracing::warn!(
                     %fingerprint,
-                    engines = unfiled.engines.join(","),
+                    engines = unstored.engines.join(","),
                     "request_quarantined"
                 );
-                self.state.quarantine().note_filed(fingerprint, now());
+                self.state.quarantine().record_stored(fingerprint, now());
                 true
             }
             Err(error) => {
--- a/crates/serving/src/store.rs
+++ b/crates/serving/src/store.rs
@@ -7,7 +7,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use futures::future::BoxFuture;
 use ponddrift_fleet::configuration::Configuration;
-use ponddrift_fleet::directory::{BackEnd, Warmth};
+use ponddrift_fleet::directory::{BackEnd, WarmupState};
 use ponddrift_fleet::fingerprint::RequestFingerprint;
 use ponddrift_fleet::revision::{Era, Revision};
 use ponddrift_fleet::topology::Member;
@@ -64,7 +64,7 @@
     /// The operators' configuration is not there.
     ConfigurationGone,
     /// A back end, and what it says of its slow start.
-    BackEnd(BackEnd, Warmth),
+    BackEnd(BackEnd, WarmupState),
     /// A back end whose entry was removed.
     BackEndGone(Arc<str>),
     /// A daemon.
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -9,9 +9,9 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use ponddrift_fleet::true_time::TrueTime;
+use ponddrift_fleet::fleet_time::FleetTime;
 use ponddrift_fleet::usage::{
-    Life, Tally, TallyOf, TenantCounts, UsageLedger, WindowNumber, window_at,
+    DaemonInstance, Tally, TallyRecord, TenantCounts, UsageLedger, WindowNumber, window_at,
 };
 use ponddrift_runtime::Clock;
 
@@ -27,14 +27,14 @@
 /// Counts usage, and holds the copies that other daemons sent.
 pub struct UsageRecorder {
     clock: Arc<dyn Clock>,
-    life: Life,
+    instance: DaemonInstance,
     window_length: Duration,
     inner: Mutex<Inner>,
 }
 
 #[derive(Default)]
 struct Inner {
-    time: TrueTime,
+    time: FleetTime,
     ledger: UsageLedger,
     /// The window that is counted in; never goes back, so that a window once closed stays as it is.
     current: Option<WindowNumber>,
@@ -54,10 +54,10 @@
 impl UsageRecorder {
     /// Nothing counted yet.
     #[must_use]
-    pub fn new(clock: Arc<dyn Clock>, life: Life, window_length: Duration) -> Arc<Self> {
+    pub fn new(clock: Arc<dyn Clock>, instance: DaemonInstance, window_length: Duration) -> Arc<Self> {
         Arc::new(Self {
             clock,
-            life,
+            instance,
             window_length,
             inner: Mutex::default(),
         })
@@ -82,7 +82,7 @@
 
     /// The time of day that most daemons agree on.
     #[must_use]
-    pub fn true_time(&self) -> Duration {
+    pub fn fleet_time(&self) -> Duration {
         self.lock().time.now(self.own_time(), now())
     }
 
@@ -90,24 +90,24 @@
     pub fn began(&self, tenant: &Arc<str>) {
         let mut inner = self.lock();
         let window = self.roll(&mut inner);
-        inner.ledger.count(self.life, window, tenant);
+        inner.ledger.count(self.instance, window, tenant);
         inner.unsent.insert((window, Arc::clone(tenant)));
     }
 
     /// Takes a copy, or a part of one, that another daemon sent. Copies of windows long past or far ahead are dropped.
-    pub fn merge(&self, copy: &TallyOf) {
+    pub fn merge(&self, copy: &TallyRecord) {
         let mut inner = self.lock();
         let current = self.roll(&mut inner);
         let is_near = copy.window.saturating_add(WINDOWS_KEPT) >= current
             && copy.window <= current.saturating_add(WINDOWS_AHEAD);
-        if is_near && copy.life != self.life {
+        if is_near && copy.instance != self.instance {
             inner.ledger.merge(copy);
         }
     }
 
     /// Every copy of a window.
     #[must_use]
-    pub fn tallies(&self, window: WindowNumber) -> Vec<TallyOf> {
+    pub fn tallies(&self, window: WindowNumber) -> Vec<TallyRecord> {
         let mut inner = self.lock();
         self.roll(&mut inner);
         inner.ledger.tallies(window)
@@ -127,7 +127,7 @@
 
     /// Every copy that is kept, of all windows and daemons.
     #[must_use]
-    pub fn all_kept(&self) -> Vec<TallyOf> {
+    pub fn all_kept(&self) -> Vec<TallyRecord> {
         let mut inner = self.lock();
         let current = self.roll(&mut inner);
         inner.kept(current)
@@ -152,7 +152,7 @@
 
     /// What is to be sent to replicas now.
     #[must_use]
-    pub fn take_unsent(&self) -> Vec<TallyOf> {
+    pub fn take_unsent(&self) -> Vec<TallyRecord> {
         let mut inner = self.lock();
         let current = self.roll(&mut inner);
         inner.time.forget_old(now());
@@ -162,8 +162,8 @@
         inner.settled = inner
             .settled
             .split_off(&current.saturating_sub(WINDOWS_KEPT));
-        let closed = inner.take_closings(self.life);
-        let changed = inner.take_changed(self.life);
+        let closed = inner.take_closings(self.instance);
+        let changed = inner.take_changed(self.instance);
         closed.into_iter().chain(changed).collect()
     }
 
@@ -172,8 +172,8 @@
         let mut inner = self.lock();
         let current = self.roll(&mut inner);
         let kept = inner.kept(current).into_iter();
-        for known in kept.filter(|known| known.life == self.life) {
-            if known.tally.closed_with.is_some() {
+        for known in kept.filter(|known| known.instance == self.instance) {
+            if known.tally.final_total.is_some() {
                 inner.note_closing(known.window, 1);
                 continue;
             }
@@ -191,8 +191,8 @@
         let current = window.max(before);
         let ended = before.max(current.saturating_sub(WINDOWS_KEPT))..current;
         for window in ended {
-            let tally = inner.ledger.close(self.life, window);
-            tracing::debug!(window, requests = tally.closed_with, "usage_window_closed");
+            let tally = inner.ledger.close(self.instance, window);
+            tracing::debug!(window, requests = tally.final_total, "usage_window_closed");
             inner.note_closing(window, CLOSING_SENDS);
         }
         inner.current = Some(current);
@@ -208,7 +208,7 @@
 
 impl Inner {
     /// Every copy of the windows up to `current` that are still kept.
-    fn kept(&self, current: WindowNumber) -> Vec<TallyOf> {
+    fn kept(&self, current: WindowNumber) -> Vec<TallyRecord> {
         (current.saturating_sub(WINDOWS_KEPT)..=current)
             .flat_map(|window| self.ledger.tallies(window))
             .collect()
@@ -229,12 +229,12 @@
     }
 
     /// Whole tallies of windows that have ended.
-    fn take_closings(&mut self, life: Life) -> Vec<TallyOf> {
+    fn take_closings(&mut self, instance: DaemonInstance) -> Vec<TallyRecord> {
         let mut closed = Vec::new();
         for closing in &mut self.closings {
             closing.sends_left = closing.sends_left.saturating_sub(1);
             let tallies = self.ledger.tallies(closing.window).into_iter();
-            closed.extend(tallies.filter(|known| known.life == life));
+            closed.extend(tallies.filter(|known| known.instance == instance));
             self.unsent
                 .retain(|(window, _tenant)| *window != closing.window);
         }
@@ -243,19 +243,19 @@
     }
 
     /// Counts that have grown since they were sent to replicas.
-    fn take_changed(&mut self, life: Life) -> Vec<TallyOf> {
+    fn take_changed(&mut self, instance: DaemonInstance) -> Vec<TallyRecord> {
         let mut by_window: BTreeMap<WindowNumber, TenantCounts> = BTreeMap::new();
         for (window, tenant) in std::mem::take(&mut self.unsent) {
-            if let Some(count) = self.ledger.count_of(life, window, &tenant) {
+            if let Some(count) = self.ledger.count_of(instance, window, &tenant) {
                 by_window.entry(window).or_default().insert(tenant, count);
             }
         }
-        let changed = by_window.into_iter().map(|(window, counts)| TallyOf {
-            life,
+        let changed = by_window.into_iter().map(|(window, counts)| TallyRecord {
+            instance,
             window,
             tally: Tally {
                 counts,
-                closed_with: None,
+                final_total: None,
             },
         });
         changed.collect()
--- a/crates/serving/src/usage/report.rs
+++ b/crates/serving/src/usage/report.rs
@@ -136,7 +136,7 @@
 
     fn open_ended_windows(&mut self) {
         let length = self.reporting.recorder.window_length();
-        let current = window_at(self.reporting.recorder.true_time(), length);
+        let current = window_at(self.reporting.recorder.fleet_time(), length);
         let oldest = current.saturating_sub(WINDOWS_REPORTED);
         // A new leader does not know what the one before reported: it settles and reports all that is not overdue again.
         let not_overdue = current.saturating_sub(1 + self.windows_until_due(length));
@@ -201,7 +201,7 @@
     async fn is_gathered(&self, window: WindowNumber, progress: &mut Progress) -> bool {
         let recorder = &self.reporting.recorder;
         let end = end_of_window(window, recorder.window_length());
-        let since_end = recorder.true_time().saturating_sub(end);
+        let since_end = recorder.fleet_time().saturating_sub(end);
         if since_end < FIRST_GATHERING {
             return false;
         }
--- a/crates/serving/src/whole_read.rs
+++ b/crates/serving/src/whole_read.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::distribution::ReadingPlan;
+use ponddrift_fleet::distribution::ReadPlan;
 use ponddrift_fleet::revision::Revision;
 use ponddrift_runtime::Runtime;
 
@@ -112,7 +112,7 @@
     pub(crate) async fn read_peers(
         &mut self,
         runtime: &Runtime,
-        plan: &ReadingPlan,
+        plan: &ReadPlan,
         state: &FleetState,
     ) -> Option<Revision> {
         let mut last_page = now();
@@ -127,7 +127,7 @@
                     tracing::info!(%provider, pages = self.pages, error, "page_not_read");
                 }
             }
-            if now().saturating_duration_since(last_page) > plan.patience {
+            if now().saturating_duration_since(last_page) > plan.fallback_after {
                 tracing::info!(pages = self.pages, "pages_left_to_store");
                 return None;
             }
