--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,4 +1,4 @@
-//! What back ends say of themselves, as the store holds it.
+//! Directory of back ends, built from the entries that they write into the store.
 
 mod ready_sets;
 
@@ -14,97 +14,100 @@
 use crate::revision::Revision;
 pub(crate) use ready_sets::owner_score;
 pub use ready_sets::{MAX_CANDIDATES_PER_STAGE, ReadyCounts};
-use ready_sets::{ReadySet, Vantage};
+use ready_sets::{ReadySet, LocalDaemon};
 
-/// How long a back end whose entry vanished while the store was in doubt may still be used. Back ends that are well write
-/// their entries anew within about two seconds of the store's return (the platform's promise); half a second more until
-/// that is known here. One that is still missing then is gone.
+/// How long a back end may still be used after its entry disappeared while the store had recently
+/// been unavailable. Healthy back ends rewrite their entries within about two seconds of the
+/// store's return; the rest is time for that change to reach this daemon. A back end that is still
+/// missing afterwards is gone.
 pub const UNCONFIRMED_REMOVAL_GRACE: Duration = Duration::from_millis(2_500);
 
-/// How long a back end that had gone stays gone though the store, back from an older copy, shows its entry. That of one that is
-/// gone lapses within a few of its heartbeats; one that is still there then lives.
+/// How long a removed back end stays removed although the store, restored from an older copy, shows
+/// its entry again. The entry of a back end that is really gone expires after a few missed
+/// heartbeats; a back end whose entry is still there after this time is alive.
 pub const REMOVAL_HOLD_AFTER_RESTORE: Duration = Duration::from_secs(10);
 
-/// How long the removal of an entry is remembered, so that no older news brings it back.
+/// How long the removal of an entry is remembered, so that older updates cannot bring it back.
 pub const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// Whether a back end takes new requests.
+/// Whether a back end accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Ends what it has and leaves.
+    /// Finishes its running requests and then stops.
     Draining,
 }
 
-/// What a back end's entry says of its slow start.
+/// Warm-up state of a back end according to its entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WarmupState {
-    /// It is as fast as it will be.
+    /// Runs at full speed.
     Warm,
-    /// It was slow for so much longer when the entry was written.
+    /// Remaining time of the slow start when the entry was written.
     ColdFor(Duration),
-    /// The entry holds no usable time; the back end is taken as warm.
+    /// The entry holds no valid time; the back end is treated as warm.
     InvalidTime,
 }
 
-/// A slow start that is under way.
+/// A slow start in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColdStart {
-    /// The longest time that the back end was seen to have left.
-    whole: Duration,
+    /// Longest remaining time seen so far.
+    longest_remaining: Duration,
     warm_at: Instant,
 }
 
 impl ColdStart {
-    /// A back end was seen to be slow for so much longer; `before` is what was known of this life's start.
+    /// Records that the slow start will last for another `left`; `before` is the previous state of
+    /// the same incarnation.
     #[must_use]
     pub fn observe(left: Duration, before: Option<Self>, now: Instant) -> Self {
-        let whole = before.map_or(left, |before| before.whole.max(left));
+        let longest_remaining = before.map_or(left, |before| before.longest_remaining.max(left));
         Self {
-            whole,
+            longest_remaining,
             warm_at: now + left,
         }
     }
 
-    /// Part of the slow start that is left: 1 at its beginning, 0 from its end on.
+    /// Remaining fraction of the slow start: 1 at its beginning, 0 after its end.
     #[must_use]
     pub fn remaining_fraction(self, now: Instant) -> f64 {
         let left = self.warm_at.saturating_duration_since(now);
-        if self.whole.is_zero() {
+        if self.longest_remaining.is_zero() {
             return 0.0;
         }
-        left.as_secs_f64() / self.whole.as_secs_f64()
+        left.as_secs_f64() / self.longest_remaining.as_secs_f64()
     }
 }
 
-/// Tells lives of a back end apart that have one identity: the time of the start, in Unix milliseconds. The least is that of a
-/// back end that does not tell it.
+/// Start time in Unix milliseconds, which distinguishes successive processes with the same back-end
+/// id. The default, zero, stands for a back end that does not report it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Incarnation(pub u64);
 
-/// One life of a back end.
+/// One incarnation of a back end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BackEnd {
-    /// Identity, which may pass to a later life.
+    /// Identity; a restarted back end may use it again.
     pub id: Arc<str>,
-    /// Which life under this identity.
+    /// Incarnation under this identity.
     pub incarnation: Incarnation,
-    /// Service it belongs to.
+    /// Service that the back end belongs to.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// Zone.
+    /// Zone that it runs in.
     pub zone: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts new requests.
     pub lifecycle: Lifecycle,
-    /// What a model engine does; none for a plain back end.
+    /// Stage of a model engine; `None` for a plain back end.
     pub stage: Option<Stage>,
-    /// Its slow start; none where it is warm.
+    /// Slow start in progress; `None` when the back end is warm.
     pub cold_start: Option<ColdStart>,
-    /// How long it stays.
+    /// Kind of contract, which determines how long the machine stays available.
     pub contract: Contract,
 }
 
@@ -117,219 +120,226 @@
 #[derive(Debug)]
 enum Presence {
     Present(Arc<BackEnd>),
-    Vanished(Vanished),
+    Removed(Removed),
 }
 
 #[derive(Debug)]
-struct Vanished {
+struct Removed {
     since: Instant,
-    /// The last entry of the back end, where one was known.
+    /// Last known entry, if any.
     last: Option<Arc<BackEnd>>,
-    /// It vanished while the store was in doubt.
-    in_doubt: bool,
-    /// Its entry as the store shows it since it came back from an older copy.
-    shown_by_copy: Option<Arc<BackEnd>>,
+    /// The entry disappeared while the store had recently been unavailable or restored, so the back
+    /// end may still be alive.
+    is_unconfirmed: bool,
+    /// Entry that the store has shown again since it was restored from an older copy.
+    restored_entry: Option<Arc<BackEnd>>,
 }
 
-impl Vanished {
-    /// The back end, where it may only have lost its entry.
-    fn doubted(&self, now: Instant) -> Option<&Arc<BackEnd>> {
-        let is_doubted = self.in_doubt && now.saturating_duration_since(self.since) < UNCONFIRMED_REMOVAL_GRACE;
-        self.last.as_ref().filter(|_last| is_doubted)
+impl Removed {
+    /// The last known entry if the back end may still be alive.
+    fn unconfirmed(&self, now: Instant) -> Option<&Arc<BackEnd>> {
+        let is_in_grace_period = self.is_unconfirmed && now.saturating_duration_since(self.since) < UNCONFIRMED_REMOVAL_GRACE;
+        self.last.as_ref().filter(|_last| is_in_grace_period)
     }
 
-    /// Whether it has gone, and not long ago.
-    fn has_gone_lately(&self, now: Instant) -> bool {
-        !self.in_doubt && now.saturating_duration_since(self.since) < REMOVAL_HOLD_AFTER_RESTORE
+    /// Whether the back end was removed for certain, and recently enough for the removal to hold
+    /// against an entry from a restored store.
+    fn was_removed_recently(&self, now: Instant) -> bool {
+        !self.is_unconfirmed && now.saturating_duration_since(self.since) < REMOVAL_HOLD_AFTER_RESTORE
     }
 }
 
-/// What became of an entry that the store showed.
+/// Result of applying an entry from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PutOutcome {
-    /// It is known so from now on.
+    /// The directory now holds the entry.
     Applied,
-    /// It is no newer than what is known.
+    /// The entry is not newer than the known one and was ignored.
     Stale,
-    /// The store came back from an older copy, whose entry says less than what was known before: that stays known.
+    /// The entry comes from a store restored from an older copy and is older than what is known,
+    /// which is kept.
     Superseded,
 }
 
-/// All back ends that the store knows or has lately known.
+/// Back ends that have an entry in the store, and recent removals.
 #[derive(Debug, Default)]
 pub struct Directory {
     entries: IndexMap<Arc<str>, Entry>,
-    vantage: Vantage,
+    local: LocalDaemon,
     ready: HashMap<Arc<str>, ReadySet>,
-    /// When an entry last vanished in doubt.
-    last_doubt: Option<Instant>,
+    /// Time of the last unconfirmed removal.
+    last_unconfirmed_removal: Option<Instant>,
 }
 
-/// How well a back end can be chosen for a request; the best first.
+/// Whether a back end may be chosen for a request; better values order first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Eligibility {
-    /// Nothing speaks against it.
+    /// No known reason against it.
     Preferred,
-    /// Where no other is left: it failed lately, or is about to change.
+    /// Only if no preferred back end is left: it failed recently or is about to change its stage.
     Fallback,
-    /// Not at all: it drains, wants no requests for now, or had this one.
+    /// Never: it drains, asked callers to back off, or was already tried for this request.
     Excluded,
 }
 
-/// What a choice among the back ends of a service depends on.
+/// Parameters for selecting the candidates of one request.
 pub struct CandidateQuery<'a> {
-    /// The service.
+    /// Service of the request.
     pub service: &'a str,
-    /// The zone whose back ends come first; that of the daemon where there is none.
+    /// Zone whose back ends are preferred; `None` for the zone of this daemon.
     pub zone: Option<&'a str>,
-    /// The prompt's shared prefix, where it has one.
+    /// Hash of the shared prefix of the prompt, if it has one.
     pub prefix: Option<u64>,
-    /// Back ends that are believed to hold it.
+    /// Back ends that probably hold this prefix in their cache.
     pub holders: &'a [Arc<str>],
-    /// How well a back end can be chosen, as far as this daemon knows.
+    /// Eligibility of a back end as far as this daemon knows.
     pub eligibility: &'a dyn Fn(&BackEnd) -> Eligibility,
 }
 
-/// The back ends among which one request's are chosen.
+/// Candidates for one request.
 #[derive(Debug, Clone, Default)]
 pub struct Candidates {
-    /// In no order, each once.
+    /// Candidates without duplicates, in no particular order.
     pub back_ends: Vec<Arc<BackEnd>>,
-    /// All that are ready.
+    /// Number of all ready back ends of the service, candidates or not.
     pub ready: ReadyCounts,
 }
 
 impl Directory {
-    /// A directory as a daemon of this zone sees it; `seed` differs from daemon to daemon.
+    /// Creates the directory of a daemon in this zone. `seed` must differ between daemons, so that
+    /// they prefer different back ends.
     #[must_use]
     pub fn for_daemon(zone: Arc<str>, seed: u64) -> Self {
         Self {
-            vantage: Vantage { zone, seed },
+            local: LocalDaemon { zone, seed },
             ..Self::default()
         }
     }
 
-    /// Takes an entry as the store holds it.
+    /// Applies an entry read from the store.
     pub fn put(&mut self, back_end: BackEnd, revision: Revision, now: Instant) -> PutOutcome {
         if self.is_stale(&back_end.id, revision) {
             return PutOutcome::Stale;
         }
         if let Some(entry) = self.entries.get_mut(&back_end.id)
             && entry.revision.era() < revision.era()
-            && entry.outlives(&back_end, now)
+            && entry.supersedes(&back_end, now)
         {
             entry.revision = revision;
-            if let Presence::Vanished(vanished) = &mut entry.presence {
-                vanished.shown_by_copy = Some(Arc::new(back_end));
+            if let Presence::Removed(removal) = &mut entry.presence {
+                removal.restored_entry = Some(Arc::new(back_end));
             }
             return PutOutcome::Superseded;
         }
-        self.make_present(back_end, revision);
+        self.insert_present(back_end, revision);
         PutOutcome::Applied
     }
 
-    fn make_present(&mut self, back_end: BackEnd, revision: Revision) {
-        self.leave_ready_set(&back_end.id);
+    fn insert_present(&mut self, back_end: BackEnd, revision: Revision) {
+        self.remove_from_ready_set(&back_end.id);
         let back_end = Arc::new(back_end);
         if back_end.lifecycle == Lifecycle::Ready {
             let set = self.ready.entry(Arc::clone(&back_end.service)).or_default();
-            set.insert(&back_end, &self.vantage);
+            set.insert(&back_end, &self.local);
         }
         let id = Arc::clone(&back_end.id);
         let presence = Presence::Present(back_end);
         self.entries.insert(id, Entry { revision, presence });
     }
 
-    /// Takes what a peer knows of a back end whose entry the store, back from an older copy, shows here. Returns whether it says
-    /// more than that.
+    /// Applies a peer's entry for a back end whose entry here comes from a store restored from an
+    /// older copy. Returns whether the peer's entry is newer and was applied.
     pub fn put_from_peer(&mut self, back_end: BackEnd) -> bool {
         let Some(entry) = self.entries.get(&back_end.id) else {
             return false;
         };
-        let is_news = match &entry.presence {
-            Presence::Present(shown) => says_more(&back_end, shown),
-            Presence::Vanished(_) => false,
+        let is_newer = match &entry.presence {
+            Presence::Present(store_entry) => is_later(&back_end, store_entry),
+            Presence::Removed(_) => false,
         };
-        if is_news {
+        if is_newer {
             let revision = entry.revision;
-            self.make_present(back_end, revision);
+            self.insert_present(back_end, revision);
         }
-        is_news
+        is_newer
     }
 
-    /// The same for a back end that had gone.
+    /// Applies a removal known to a peer to an entry that comes from a store restored from an older
+    /// copy. Returns whether the back end was present.
     pub fn remove_from_peer(&mut self, id: &str, now: Instant) -> bool {
         let Some(entry) = self.entries.get(id) else {
             return false;
         };
-        let Some(shown) = entry.present().cloned() else {
+        let Some(store_entry) = entry.present().cloned() else {
             return false;
         };
         let revision = entry.revision;
-        self.vanish(id, revision, now, false);
+        self.mark_removed(id, revision, now, false);
         if let Some(Entry {
-            presence: Presence::Vanished(vanished),
+            presence: Presence::Removed(removal),
             ..
         }) = self.entries.get_mut(id)
         {
-            vanished.shown_by_copy = Some(shown);
+            removal.restored_entry = Some(store_entry);
         }
         true
     }
 
-    fn leave_ready_set(&mut self, id: &str) {
+    fn remove_from_ready_set(&mut self, id: &str) {
         let Some(known) = self.entries.get(id).and_then(Entry::present) else {
             return;
         };
         if let Some(set) = self.ready.get_mut(&known.service) {
-            set.remove(known, &self.vantage);
+            set.remove(known, &self.local);
         }
     }
 
-    /// Takes the removal of an entry. `store_in_doubt`: the store was lately away, so that entries may
-    /// have lapsed though their back ends are well. Returns whether it was news.
+    /// Applies the removal of an entry. `store_was_unavailable` tells that the store was recently
+    /// unavailable, so that entries of healthy back ends may have expired. Returns whether the
+    /// removal is newer than what is known.
     ///
-    /// An entry that the store lacks since it came back from an older copy may be written again too.
+    /// An entry that is missing from a store restored from an older copy may also be written again,
+    /// so its removal is unconfirmed as well.
     pub fn remove(
         &mut self,
         id: &str,
         revision: Revision,
         now: Instant,
-        store_in_doubt: bool,
+        store_was_unavailable: bool,
     ) -> bool {
         if self.is_stale(id, revision) {
             return false;
         }
-        let mut is_of_era_before = false;
+        let mut is_from_earlier_era = false;
         if let Some(known) = self.entries.get_mut(id) {
-            is_of_era_before = known.revision.era() < revision.era();
-            if is_of_era_before && known.present().is_none() {
-                // What had gone before is not in doubt now.
+            is_from_earlier_era = known.revision.era() < revision.era();
+            if is_from_earlier_era && known.present().is_none() {
+                // A removal known from before the restore stays confirmed.
                 known.revision = revision;
                 return true;
             }
         }
-        self.vanish(id, revision, now, store_in_doubt || is_of_era_before);
+        self.mark_removed(id, revision, now, store_was_unavailable || is_from_earlier_era);
         true
     }
 
-    fn vanish(&mut self, id: &str, revision: Revision, now: Instant, store_in_doubt: bool) {
-        self.leave_ready_set(id);
+    fn mark_removed(&mut self, id: &str, revision: Revision, now: Instant, store_was_unavailable: bool) {
+        self.remove_from_ready_set(id);
         let last = self.entries.get(id).and_then(Entry::present).cloned();
         let was_ready = last
             .as_ref()
             .is_some_and(|last| last.lifecycle == Lifecycle::Ready);
-        let in_doubt = store_in_doubt && was_ready;
-        if in_doubt {
-            self.last_doubt = Some(now);
+        let is_unconfirmed = store_was_unavailable && was_ready;
+        if is_unconfirmed {
+            self.last_unconfirmed_removal = Some(now);
         }
-        let vanished = Vanished {
+        let removal = Removed {
             since: now,
             last,
-            in_doubt,
-            shown_by_copy: None,
+            is_unconfirmed,
+            restored_entry: None,
         };
-        let presence = Presence::Vanished(vanished);
+        let presence = Presence::Removed(removal);
         self.entries
             .insert(Arc::from(id), Entry { revision, presence });
     }
@@ -340,8 +350,8 @@
             .is_some_and(|entry| entry.revision >= revision)
     }
 
-    /// Back ends of `service` that take new requests. Those that vanished in doubt count only while
-    /// they are the greater part.
+    /// Back ends of `service` that accept new requests. Unconfirmed removals are included only
+    /// while they outnumber the ready back ends.
     #[must_use]
     pub fn ready(&self, service: &str, now: Instant) -> Vec<Arc<BackEnd>> {
         let mut ready: Vec<Arc<BackEnd>> = self
@@ -350,18 +360,19 @@
             .filter(|back_end| back_end.lifecycle == Lifecycle::Ready)
             .cloned()
             .collect();
-        let doubted = self.doubted(service, now);
-        if doubted.len() > ready.len() {
-            ready.extend(doubted);
+        let unconfirmed = self.unconfirmed(service, now);
+        if unconfirmed.len() > ready.len() {
+            ready.extend(unconfirmed);
         }
         ready
     }
 
-    /// The back ends among which one request's are chosen: a bounded number of each stage, the owners of the prompt's prefix,
-    /// and those that hold it. While entries vanish in doubt they are all that [`Self::ready`] tells.
+    /// Candidates for one request: a bounded number for each stage, the rendezvous owners of the
+    /// prompt's prefix, and the back ends that hold it. While there are unconfirmed removals, all
+    /// back ends returned by [`Self::ready`] are candidates.
     #[must_use]
     pub fn candidates(&self, query: &CandidateQuery<'_>, now: Instant) -> Candidates {
-        if self.is_doubted(now) {
+        if self.has_unconfirmed_removals(now) {
             let back_ends = self.ready(query.service, now);
             let ready = ReadyCounts::of(&back_ends);
             return Candidates { back_ends, ready };
@@ -369,8 +380,8 @@
         let Some(set) = self.ready.get(query.service) else {
             return Candidates::default();
         };
-        let first_zone = query.zone.unwrap_or(&self.vantage.zone);
-        let zones = set.zones(first_zone, &self.vantage);
+        let first_zone = query.zone.unwrap_or(&self.local.zone);
+        let zones = set.zones(first_zone, &self.local);
         let mut back_ends = set.preferred(&zones, query.eligibility);
         let owners = query.prefix.map(|prefix| set.owners(prefix, query.zone));
         let holders = self.ready_among(query.service, query.holders);
@@ -385,7 +396,7 @@
         }
     }
 
-    /// Those of these back ends that belong to `service` and take new requests.
+    /// The listed back ends that belong to `service` and accept new requests.
     #[must_use]
     pub fn ready_among(&self, service: &str, ids: &[Arc<str>]) -> Vec<Arc<BackEnd>> {
         ids.iter()
@@ -396,91 +407,93 @@
             .collect()
     }
 
-    /// Whether the back end may get a new request, as far as its entry tells: it is ready, or vanished in doubt.
+    /// Whether the directory permits sending a new request to the back end: it is ready, or its
+    /// removal is unconfirmed.
     #[must_use]
     pub fn accepts_requests(&self, id: &str, now: Instant) -> bool {
         match self.entries.get(id).map(|entry| &entry.presence) {
             Some(Presence::Present(back_end)) => back_end.lifecycle == Lifecycle::Ready,
-            Some(Presence::Vanished(vanished)) => vanished.doubted(now).is_some(),
+            Some(Presence::Removed(removal)) => removal.unconfirmed(now).is_some(),
             None => false,
         }
     }
 
-    fn is_doubted(&self, now: Instant) -> bool {
-        self.last_doubt
+    fn has_unconfirmed_removals(&self, now: Instant) -> bool {
+        self.last_unconfirmed_removal
             .is_some_and(|last| now.saturating_duration_since(last) < UNCONFIRMED_REMOVAL_GRACE)
     }
 
-    fn doubted(&self, service: &str, now: Instant) -> Vec<Arc<BackEnd>> {
+    fn unconfirmed(&self, service: &str, now: Instant) -> Vec<Arc<BackEnd>> {
         self.entries
             .values()
             .filter_map(|entry| match &entry.presence {
-                Presence::Vanished(vanished) => vanished.doubted(now).cloned(),
+                Presence::Removed(removal) => removal.unconfirmed(now).cloned(),
                 Presence::Present(_) => None,
             })
             .filter(|back_end| &*back_end.service == service)
             .collect()
     }
 
-    /// Every back end that has an entry.
+    /// All back ends that have an entry.
     pub fn present(&self) -> impl Iterator<Item = &Arc<BackEnd>> {
         self.entries.values().filter_map(Entry::present)
     }
 
-    /// The entry of this back end.
+    /// The entry of a back end.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Arc<BackEnd>> {
         self.entries.get(id)?.present()
     }
 
-    /// Forgets removals that are long past. Back ends that had gone, and whose entries the store has shown ever since it came back
-    /// from an older copy, live: returns those.
+    /// Forgets old removals. Restores the removed back ends whose entries have been present since
+    /// the store was restored from an older copy, and returns them.
     pub fn expire_removals(&mut self, now: Instant) -> Vec<Arc<BackEnd>> {
-        let alive: Vec<(Arc<BackEnd>, Revision)> = self
+        let reappeared: Vec<(Arc<BackEnd>, Revision)> = self
             .entries
             .values()
             .filter_map(|entry| match &entry.presence {
-                Presence::Vanished(vanished) if !vanished.has_gone_lately(now) => {
-                    let shown = vanished.shown_by_copy.clone();
-                    shown.map(|shown| (shown, entry.revision))
+                Presence::Removed(removal) if !removal.was_removed_recently(now) => {
+                    let store_entry = removal.restored_entry.clone();
+                    store_entry.map(|store_entry| (store_entry, entry.revision))
                 }
                 _ => None,
             })
             .collect();
-        for (back_end, revision) in &alive {
-            self.make_present(BackEnd::clone(back_end), *revision);
+        for (back_end, revision) in &reappeared {
+            self.insert_present(BackEnd::clone(back_end), *revision);
         }
         self.entries.retain(|_id, entry| match &entry.presence {
             Presence::Present(_) => true,
-            Presence::Vanished(vanished) => {
-                now.saturating_duration_since(vanished.since) < TOMBSTONE_RETENTION
+            Presence::Removed(removal) => {
+                now.saturating_duration_since(removal.since) < TOMBSTONE_RETENTION
             }
         });
-        alive
+        reappeared
             .into_iter()
             .map(|(back_end, _revision)| back_end)
             .collect()
     }
 }
 
-/// Whether what is known of a back end is of a later time than a copy of its entry: the same life has begun to leave since, or a later
-/// life has begun.
-fn says_more(known: &BackEnd, copy: &BackEnd) -> bool {
-    if known.incarnation != copy.incarnation {
-        return known.incarnation > copy.incarnation;
+/// Whether `known` is later than `restored`: it is of a later incarnation, or the same incarnation
+/// has begun to drain.
+fn is_later(known: &BackEnd, restored: &BackEnd) -> bool {
+    if known.incarnation != restored.incarnation {
+        return known.incarnation > restored.incarnation;
     }
-    known.lifecycle == Lifecycle::Draining && copy.lifecycle == Lifecycle::Ready
+    known.lifecycle == Lifecycle::Draining && restored.lifecycle == Lifecycle::Ready
 }
 
 impl Entry {
-    /// Whether what is known is of a later time than a copy of the entry, or the back end has gone since.
-    fn outlives(&self, copy: &BackEnd, now: Instant) -> bool {
+    /// Whether what is known is later than a restored entry, or the back end has been removed
+    /// since.
+    fn supersedes(&self, restored: &BackEnd, now: Instant) -> bool {
         match &self.presence {
-            Presence::Present(known) => says_more(known, copy),
-            Presence::Vanished(vanished) => {
-                let last = vanished.last.as_ref();
-                vanished.has_gone_lately(now)
-                    && last.is_some_and(|last| last.incarnation >= copy.incarnation)
+            Presence::Present(known) => is_later(known, restored),
+            Presence::Removed(removal) => {
+                let last = removal.last.as_ref();
+                removal.was_removed_recently(now)
+                    && last.is_some_and(|last| last.incarnation >= restored.incarnation)
             }
         }
     }
@@ -488,7 +501,7 @@
     fn present(&self) -> Option<&Arc<BackEnd>> {
         match &self.presence {
             Presence::Present(back_end) => Some(back_end),
-            Presence::Vanished(_) => None,
+            Presence::Removed(_) => None,
         }
     }
 }
--- a/crates/fleet/src/directory/ready_sets.rs
+++ b/crates/fleet/src/directory/ready_sets.rs
@@ -1,10 +1,11 @@
-//! Ready back ends by service, kept as entries come and go, so that a choice costs what its candidates cost and not what the
-//! fleet counts.
+//! Index of the ready back ends of each service, updated with the directory's entries, so that the
+//! cost of a placement depends on the number of candidates and not on the size of the fleet.
 //!
-//! A daemon chooses among a bounded number of back ends of each stage: those of its own zone first, in an order of its own
-//! that stays as back ends come and go, and that is another for each daemon, so that all back ends are chosen by about as many
-//! daemons. A request whose prompt begins with a shared prefix may go to the prefix's rendezvous owners too, which all daemons
-//! find alike among all back ends.
+//! Each daemon chooses from a bounded number of back ends per stage: those of its own zone first,
+//! in an order that is stable while other back ends come and go. The order differs between daemons,
+//! so that all back ends are candidates of about equally many daemons. A request whose prompt
+//! begins with a shared prefix may also go to the rendezvous owners of the prefix, which all
+//! daemons compute identically from all back ends.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -14,32 +15,32 @@
 use super::{BackEnd, Eligibility};
 use crate::configuration::Stage;
 
-/// Back ends of each stage that one daemon chooses among: far more than the requests that it has in progress. Choosing for a long
-/// prompt took 55 to 135 ms on 0.12 of a core among 9,560 engines, and takes 5 ms among so many (time from the prompt's intake to
-/// its placement in the daemon's lines).
+/// Maximum number of candidates per stage; much larger than the number of requests that one daemon
+/// has in progress. Bounds the cost of placing a request in a large fleet.
 pub const MAX_CANDIDATES_PER_STAGE: usize = 128;
-/// Rendezvous owners of a prefix that are candidates: the second and third where the first is ejected or changes.
-const OWNERS: usize = 3;
+/// Number of rendezvous owners that become candidates: the second and third serve when the first is
+/// ejected or changes its stage.
+const OWNERS_PER_PREFIX: usize = 3;
 
-/// From where a daemon sees the fleet.
+/// Zone and seed of the daemon that owns the directory.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Vantage {
+pub(super) struct LocalDaemon {
     pub(super) zone: Arc<str>,
-    /// Differs from daemon to daemon.
+    /// Differs between daemons, so that each has its own order of preference.
     pub(super) seed: u64,
 }
 
-/// Ready engines of one service by what they do.
+/// Number of ready back ends of one service by stage.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadyCounts {
-    /// Engines that read prompts for others.
+    /// Engines that run the prefill stage for other engines.
     pub prefill: usize,
-    /// Engines that generate, and plain back ends.
+    /// Engines that decode, and plain back ends.
     pub others: usize,
 }
 
 impl ReadyCounts {
-    /// The number of those in a list.
+    /// Counts the back ends of a list.
     pub(super) fn of(back_ends: &[Arc<BackEnd>]) -> Self {
         let prefill = back_ends.iter().filter(|back_end| is_prefill(back_end));
         let prefill = prefill.count();
@@ -49,7 +50,7 @@
         }
     }
 
-    /// All of them.
+    /// Number of all ready back ends.
     #[must_use]
     pub const fn all(self) -> usize {
         self.prefill + self.others
@@ -64,12 +65,12 @@
 }
 
 impl ReadySet {
-    pub(super) fn insert(&mut self, back_end: &Arc<BackEnd>, vantage: &Vantage) {
-        self.stage_set(back_end).insert(back_end, vantage);
+    pub(super) fn insert(&mut self, back_end: &Arc<BackEnd>, local: &LocalDaemon) {
+        self.stage_set(back_end).insert(back_end, local);
     }
 
-    pub(super) fn remove(&mut self, back_end: &Arc<BackEnd>, vantage: &Vantage) {
-        self.stage_set(back_end).remove(back_end, vantage);
+    pub(super) fn remove(&mut self, back_end: &Arc<BackEnd>, local: &LocalDaemon) {
+        self.stage_set(back_end).remove(back_end, local);
     }
 
     pub(super) fn counts(&self) -> ReadyCounts {
@@ -79,33 +80,32 @@
         }
     }
 
-    /// Those that this daemon prefers, the zones in this order, as far as nothing speaks against them; of a stage without any,
-    /// the best of the others.
+    /// Candidates of each stage with the best eligibility found, from the zones in the given order.
     pub(super) fn preferred(
         &self,
-        zones: &[&str],
+        zones_in_order: &[&str],
         eligibility: &dyn Fn(&BackEnd) -> Eligibility,
     ) -> Vec<Arc<BackEnd>> {
-        let mut preferred = self.prefill.preferred(zones, eligibility);
-        preferred.extend(self.others.preferred(zones, eligibility));
+        let mut preferred = self.prefill.preferred(zones_in_order, eligibility);
+        preferred.extend(self.others.preferred(zones_in_order, eligibility));
         preferred
     }
 
-    /// The zones in which any are, `first` ahead, then the own one, then the others in an order that differs from daemon to
-    /// daemon.
-    pub(super) fn zones<'a>(&'a self, first: &'a str, vantage: &'a Vantage) -> Vec<&'a str> {
+    /// Zones that have ready back ends: `first` leads, then the daemon's own zone, then the others
+    /// in an order that differs between daemons.
+    pub(super) fn zones_in_order<'a>(&'a self, first: &'a str, local: &'a LocalDaemon) -> Vec<&'a str> {
         let prefill = self.prefill.by_zone.keys();
-        let zones = prefill.chain(self.others.by_zone.keys());
-        let mut zones: Vec<&str> = zones.map(|zone| &**zone).collect();
-        zones.sort_unstable_by_key(|zone| {
-            let order = xxh3_64_with_seed(zone.as_bytes(), vantage.seed);
-            (*zone != first, *zone != &*vantage.zone, order)
+        let zones_in_order = prefill.chain(self.others.by_zone.keys());
+        let mut zones_in_order: Vec<&str> = zones_in_order.map(|zone| &**zone).collect();
+        zones_in_order.sort_unstable_by_key(|zone| {
+            let order = xxh3_64_with_seed(zone.as_bytes(), local.seed);
+            (*zone != first, *zone != &*local.zone, order)
         });
-        zones.dedup();
-        zones
+        zones_in_order.dedup();
+        zones_in_order
     }
 
-    /// The rendezvous owners of a prefix in each stage, and among those of `zone` that generate.
+    /// Rendezvous owners of a prefix in each stage, and among the decoding back ends of `zone`.
     pub(super) fn owners(&self, prefix: u64, zone: Option<&str>) -> Vec<Arc<BackEnd>> {
         let mut owners = self.prefill.owners(prefix);
         owners.extend(self.others.owners(prefix));
@@ -138,12 +138,12 @@
 #[derive(Debug, Default)]
 struct ZoneSet {
     by_preference: BTreeMap<Preference, Arc<BackEnd>>,
-    /// Side by side in memory, since the owners of a prefix are looked for among all of them.
+    /// Stored contiguously, because finding the owners of a prefix scans all of them.
     owners: Vec<Owner>,
-    places: HashMap<Arc<str>, usize>,
+    positions: HashMap<Arc<str>, usize>,
 }
 
-/// Place in a daemon's order of the back ends of one zone.
+/// Position of a back end in this daemon's order of preference within a zone.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
     rank: u64,
@@ -151,9 +151,9 @@
 }
 
 impl Preference {
-    fn of(back_end: &BackEnd, vantage: &Vantage) -> Self {
+    fn of(back_end: &BackEnd, local: &LocalDaemon) -> Self {
         Self {
-            rank: xxh3_64_with_seed(back_end.id.as_bytes(), vantage.seed),
+            rank: xxh3_64_with_seed(back_end.id.as_bytes(), local.seed),
             id: Arc::clone(&back_end.id),
         }
     }
@@ -161,33 +161,34 @@
 
 #[derive(Debug)]
 struct Owner {
-    id: AdjacentId,
+    id: InlineId,
     back_end: Arc<BackEnd>,
 }
 
-/// A copy of an identity that lies beside those of other owners, so that looking for a prefix's owners reads memory in one pass
-/// and follows no pointer for each back end.
+/// Copy of a back-end id stored inline, so that scanning for the owners of a prefix reads memory
+/// sequentially instead of following a pointer per back end.
 #[derive(Debug)]
-struct AdjacentId {
-    bytes: [u8; LONGEST_ADJACENT],
+struct InlineId {
+    bytes: [u8; MAX_INLINE_ID_BYTES],
     length: Option<u8>,
 }
 
-/// Longest identity that is copied, in bytes; longer ones are looked up. Makes an owner half a cache line.
-const LONGEST_ADJACENT: usize = 22;
+/// Maximum length of an id that is stored inline; longer ids are read from the back end. Chosen so
+/// that an [`Owner`] takes half a cache line.
+const MAX_INLINE_ID_BYTES: usize = 22;
 
-impl AdjacentId {
+impl InlineId {
     fn of(id: &str) -> Self {
-        let mut bytes = [0; LONGEST_ADJACENT];
+        let mut bytes = [0; MAX_INLINE_ID_BYTES];
         let length = u8::try_from(id.len()).ok();
-        let length = length.filter(|length| usize::from(*length) <= LONGEST_ADJACENT);
+        let length = length.filter(|length| usize::from(*length) <= MAX_INLINE_ID_BYTES);
         if length.is_some() {
             bytes[..id.len()].copy_from_slice(id.as_bytes());
         }
         Self { bytes, length }
     }
 
-    /// The copy; none of one that is too long.
+    /// The inline copy; `None` if the id is too long.
     fn get(&self) -> Option<&[u8]> {
         self.length.map(|length| &self.bytes[..usize::from(length)])
     }
@@ -205,14 +206,14 @@
 }
 
 impl StageSet {
-    fn insert(&mut self, back_end: &Arc<BackEnd>, vantage: &Vantage) {
+    fn insert(&mut self, back_end: &Arc<BackEnd>, local: &LocalDaemon) {
         let of_zone = self.by_zone.entry(Arc::clone(&back_end.zone)).or_default();
-        of_zone.insert(back_end, vantage);
+        of_zone.insert(back_end, local);
     }
 
-    fn remove(&mut self, back_end: &Arc<BackEnd>, vantage: &Vantage) {
+    fn remove(&mut self, back_end: &Arc<BackEnd>, local: &LocalDaemon) {
         if let Some(of_zone) = self.by_zone.get_mut(&back_end.zone) {
-            of_zone.remove(back_end, vantage);
+            of_zone.remove(back_end, local);
         }
     }
 
@@ -225,10 +226,10 @@
 
     fn preferred(
         &self,
-        zones: &[&str],
+        zones_in_order: &[&str],
         eligibility: &dyn Fn(&BackEnd) -> Eligibility,
     ) -> Vec<Arc<BackEnd>> {
-        let of_zones = zones.iter().filter_map(|zone| self.by_zone.get(*zone));
+        let of_zones = zones_in_order.iter().filter_map(|zone| self.by_zone.get(*zone));
         let in_order = of_zones.flat_map(|of_zone| of_zone.by_preference.values());
         let mut best = Eligibility::Excluded;
         let mut preferred = Vec::new();
@@ -248,54 +249,54 @@
         preferred
     }
 
-    /// The owners of all zones, in no order.
+    /// Owners of a prefix among all zones, in no particular order.
     fn owners(&self, prefix: u64) -> Vec<Arc<BackEnd>> {
         let of_zones = self.by_zone.values();
         let owners = of_zones.flat_map(|of_zone| of_zone.owners(prefix));
-        let best = highest(prefix, owners);
+        let best = highest_scores(prefix, owners);
         best.into_iter().map(Owner::to_back_end).collect()
     }
 }
 
 impl ZoneSet {
-    fn insert(&mut self, back_end: &Arc<BackEnd>, vantage: &Vantage) {
-        let preference = Preference::of(back_end, vantage);
+    fn insert(&mut self, back_end: &Arc<BackEnd>, local: &LocalDaemon) {
+        let preference = Preference::of(back_end, local);
         self.by_preference.insert(preference, Arc::clone(back_end));
-        self.places
+        self.positions
             .insert(Arc::clone(&back_end.id), self.owners.len());
         self.owners.push(Owner {
-            id: AdjacentId::of(&back_end.id),
+            id: InlineId::of(&back_end.id),
             back_end: Arc::clone(back_end),
         });
     }
 
-    fn remove(&mut self, back_end: &Arc<BackEnd>, vantage: &Vantage) {
+    fn remove(&mut self, back_end: &Arc<BackEnd>, local: &LocalDaemon) {
         self.by_preference
-            .remove(&Preference::of(back_end, vantage));
-        let Some(place) = self.places.remove(&back_end.id) else {
+            .remove(&Preference::of(back_end, local));
+        let Some(position) = self.positions.remove(&back_end.id) else {
             return;
         };
-        self.owners.swap_remove(place);
-        if let Some(moved) = self.owners.get(place) {
-            self.places.insert(Arc::clone(&moved.back_end.id), place);
+        self.owners.swap_remove(position);
+        if let Some(moved) = self.owners.get(position) {
+            self.positions.insert(Arc::clone(&moved.back_end.id), position);
         }
     }
 
     fn owners(&self, prefix: u64) -> Vec<&Owner> {
-        highest(prefix, self.owners.iter())
+        highest_scores(prefix, self.owners.iter())
     }
 }
 
-/// Those with the highest scores for a prefix, in no order.
-fn highest<'a>(prefix: u64, owners: impl Iterator<Item = &'a Owner>) -> Vec<&'a Owner> {
-    let mut best: Vec<(u64, &Owner)> = Vec::with_capacity(OWNERS + 1);
+/// The back ends with the highest rendezvous scores for a prefix, in no particular order.
+fn highest_scores<'a>(prefix: u64, owners: impl Iterator<Item = &'a Owner>) -> Vec<&'a Owner> {
+    let mut best: Vec<(u64, &Owner)> = Vec::with_capacity(OWNERS_PER_PREFIX + 1);
     for owner in owners {
         let score = owner.score(prefix);
-        if best.len() == OWNERS && best.iter().all(|(known, _owner)| *known > score) {
+        if best.len() == OWNERS_PER_PREFIX && best.iter().all(|(known, _owner)| *known > score) {
             continue;
         }
         best.push((score, owner));
-        if best.len() > OWNERS {
+        if best.len() > OWNERS_PER_PREFIX {
             let lowest = (0..best.len()).min_by_key(|index| best[*index].0);
             best.swap_remove(lowest.unwrap_or_default());
         }
@@ -303,7 +304,7 @@
     best.into_iter().map(|(_score, owner)| owner).collect()
 }
 
-/// Score of the back end with this identity for a prefix: the one with the highest owns it.
+/// Rendezvous score of a back end for a prefix; the back end with the highest score owns it.
 pub(crate) fn owner_score(id: &[u8], prefix: u64) -> u64 {
     xxh3_64_with_seed(id, prefix)
 }
