--- a/crates/fleet/src/announcements.rs
+++ b/crates/fleet/src/announcements.rs
@@ -1,7 +1,8 @@
-//! What back ends announce in their answers: that they drain, or that callers are to back off for a while.
+//! Announcements in the answers of back ends: that a back end is draining, or that callers should
+//! back off for some time.
 //!
-//! The directory tells the same later, and nothing new while the store is away. A back end whose word is in an answer has said
-//! it to this daemon, so this daemon knows it at once.
+//! The directory reports the same later, and not at all while the store is unavailable. An
+//! announcement in an answer takes effect in the receiving daemon immediately.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,47 +10,48 @@
 
 use crate::directory::{BackEnd, Incarnation, TOMBSTONE_RETENTION};
 
-/// Longest time for which requests are held back from a back end. One that asks for more is asked again after this: a single refused request is the price of
-/// finding out, and a mistaken figure does not take a back end out of use for good.
+/// Maximum backoff that is honored. A back end that asks for more gets a request again after this
+/// time: the cost is one refused request, and an erroneous value cannot disable a back end
+/// permanently.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(600);
 
-/// What one answer says of the back end that gave it.
+/// Announcement in one answer of a back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Announcement {
-    /// It ends what it has and leaves.
+    /// The back end is draining: it finishes its running requests and then stops.
     pub drains: bool,
-    /// For how long callers are to back off.
+    /// Requested backoff.
     pub backoff: RequestedBackoff,
 }
 
-/// For how long a back end that refused a request asks its caller to back off.
+/// Backoff that a back end requests when it refuses a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum RequestedBackoff {
-    /// It did not say.
+    /// The answer does not request a backoff.
     #[default]
     NotRequested,
-    /// For so long.
+    /// Back off for this duration.
     For(Duration),
-    /// It said something that is no time.
+    /// The answer contains a backoff that is not a valid duration.
     Unreadable,
 }
 
-/// Whether a back end takes new requests, by its own answers.
+/// Whether a back end accepts new requests according to its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// As far as its answers tell.
+    /// No answer says otherwise.
     Open,
-    /// Not until then.
+    /// Not before the requested backoff has ended.
     BackingOff {
-        /// The end of the time that it asked for.
+        /// End of the backoff.
         until: Instant,
     },
-    /// Not in this life.
+    /// Not any more in this incarnation.
     Draining,
 }
 
 impl Availability {
-    /// Name for logs.
+    /// Name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -60,26 +62,26 @@
     }
 }
 
-/// What the answers of all back ends announced.
+/// Announcements of all back ends.
 #[derive(Debug, Default)]
 pub struct Announcements {
-    by_back_end: HashMap<Arc<str>, Announced>,
+    by_back_end: HashMap<Arc<str>, BackEndAnnouncements>,
 }
 
 #[derive(Debug)]
-struct Announced {
+struct BackEndAnnouncements {
     incarnation: Incarnation,
     drains: bool,
-    backs_off_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     last: Instant,
 }
 
-impl Announced {
-    const fn nothing(incarnation: Incarnation, now: Instant) -> Self {
+impl BackEndAnnouncements {
+    const fn empty(incarnation: Incarnation, now: Instant) -> Self {
         Self {
             incarnation,
             drains: false,
-            backs_off_until: None,
+            backoff_until: None,
             last: now,
         }
     }
@@ -88,7 +90,7 @@
         if self.drains {
             return Availability::Draining;
         }
-        match self.backs_off_until {
+        match self.backoff_until {
             Some(until) if until > now => Availability::BackingOff { until },
             Some(_) | None => Availability::Open,
         }
@@ -96,10 +98,11 @@
 }
 
 impl Announcements {
-    /// Takes what an answer announced. Returns the availability that follows where it is news: the back end drains, or
-    /// asks for a time to back off and did not before.
+    /// Records the announcement in an answer. Returns the new availability if it changed in kind:
+    /// the back end starts to drain or to back off.
     ///
-    /// Within a life draining is final and of several times the latest end holds, so the order of answers does not matter.
+    /// Within one incarnation draining is final, and the latest end of all requested backoffs
+    /// applies, so the order of answers does not matter.
     pub fn note(
         &mut self,
         back_end: &BackEnd,
@@ -114,64 +117,64 @@
             return None;
         }
         let before = self.availability(back_end, now);
-        let known = self
+        let announced = self
             .by_back_end
             .entry(Arc::clone(&back_end.id))
-            .or_insert_with(|| Announced::nothing(back_end.incarnation, now));
-        if known.incarnation > back_end.incarnation {
+            .or_insert_with(|| BackEndAnnouncements::empty(back_end.incarnation, now));
+        if announced.incarnation > back_end.incarnation {
             return None;
         }
-        if known.incarnation < back_end.incarnation {
-            *known = Announced::nothing(back_end.incarnation, now);
+        if announced.incarnation < back_end.incarnation {
+            *announced = BackEndAnnouncements::empty(back_end.incarnation, now);
         }
-        known.drains |= announcement.drains;
-        known.backs_off_until = known.backs_off_until.max(backoff_end);
-        known.last = now;
-        let after = known.availability(now);
-        let is_news = std::mem::discriminant(&before) != std::mem::discriminant(&after);
-        is_news.then_some(after)
+        announced.drains |= announcement.drains;
+        announced.backoff_until = announced.backoff_until.max(backoff_end);
+        announced.last = now;
+        let after = announced.availability(now);
+        let is_changed = std::mem::discriminant(&before) != std::mem::discriminant(&after);
+        is_changed.then_some(after)
     }
 
-    /// Whether this life of the back end takes new requests, by its answers.
+    /// Whether this incarnation of the back end accepts new requests according to its answers.
     #[must_use]
     pub fn availability(&self, back_end: &BackEnd, now: Instant) -> Availability {
         self.by_back_end
             .get(&back_end.id)
-            .filter(|known| known.incarnation >= back_end.incarnation)
-            .map_or(Availability::Open, |known| known.availability(now))
+            .filter(|announced| announced.incarnation >= back_end.incarnation)
+            .map_or(Availability::Open, |announced| announced.availability(now))
     }
 
-    /// Whether this life of the back end drains, by its answers.
+    /// Whether this incarnation of the back end is draining according to its answers.
     #[must_use]
     pub fn is_draining(&self, back_end: &BackEnd, now: Instant) -> bool {
         self.availability(back_end, now) == Availability::Draining
     }
 
-    /// Whether the time that this life asked for is over and no answer has shown since that it takes requests again.
+    /// Whether the requested backoff is over and the back end has not accepted a request since.
     #[must_use]
     pub fn is_on_trial(&self, back_end: &BackEnd, now: Instant) -> bool {
         self.by_back_end
             .get(&back_end.id)
-            .filter(|known| known.incarnation >= back_end.incarnation)
-            .and_then(|known| known.backs_off_until)
+            .filter(|announced| announced.incarnation >= back_end.incarnation)
+            .and_then(|announced| announced.backoff_until)
             .is_some_and(|until| until <= now)
     }
 
-    /// The back end took a request: where the time that it asked for is over, the trial is too.
+    /// Records that the back end accepted a request, which ends its trial after a backoff.
     pub fn record_accepted_request(&mut self, back_end: &BackEnd, now: Instant) {
         if self.is_on_trial(back_end, now)
-            && let Some(known) = self.by_back_end.get_mut(&back_end.id)
+            && let Some(announced) = self.by_back_end.get_mut(&back_end.id)
         {
-            known.backs_off_until = None;
+            announced.backoff_until = None;
         }
     }
 
-    /// Back ends that asked their callers to back off, and those that drain.
+    /// Number of back ends that are backing off and that are draining.
     #[must_use]
     pub fn counts(&self, now: Instant) -> AnnouncedCounts {
         let mut counts = AnnouncedCounts::default();
-        for known in self.by_back_end.values() {
-            match known.availability(now) {
+        for announced in self.by_back_end.values() {
+            match announced.availability(now) {
                 Availability::Open => {}
                 Availability::BackingOff { .. } => counts.backing_off += 1,
                 Availability::Draining => counts.draining += 1,
@@ -180,20 +183,20 @@
         counts
     }
 
-    /// Forgets back ends that the directory does not name, some time after their last word: an entry that lapsed may come back
-    /// as it was.
+    /// Removes back ends that are not in the directory once [`TOMBSTONE_RETENTION`] has passed
+    /// since their last announcement: an expired entry may be written again unchanged.
     pub fn forget_absent(&mut self, is_present: impl Fn(&str) -> bool, now: Instant) {
-        self.by_back_end.retain(|id, known| {
-            is_present(id) || now.saturating_duration_since(known.last) < TOMBSTONE_RETENTION
+        self.by_back_end.retain(|id, announced| {
+            is_present(id) || now.saturating_duration_since(announced.last) < TOMBSTONE_RETENTION
         });
     }
 }
 
-/// How many back ends announced that they take nothing.
+/// Number of back ends that announced that they accept no requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AnnouncedCounts {
-    /// For a while.
+    /// Back ends that asked callers to back off.
     pub backing_off: usize,
-    /// For good.
+    /// Back ends that are draining.
     pub draining: usize,
 }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -381,7 +381,7 @@
             return Candidates::default();
         };
         let first_zone = query.zone.unwrap_or(&self.local.zone);
-        let zones = set.zones(first_zone, &self.local);
+        let zones = set.zones_in_order(first_zone, &self.local);
         let mut back_ends = set.preferred(&zones, query.eligibility);
         let owners = query.prefix.map(|prefix| set.owners(prefix, query.zone));
         let holders = self.ready_among(query.service, query.holders);
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,52 +1,57 @@
-//! What requests found out about back ends, own ones and those of the daemons of the same zone.
+//! Health of back ends, derived from the results of requests that this daemon and the other daemons
+//! of its zone sent.
 //!
-//! The directory may name a crashed engine as ready for seconds. A back end that cannot be reached, keeps silent or breaks
-//! off again and again is ejected; a health check brings it back on trial, later each time. Health checks may lie, so the
-//! first failure of a request on trial ejects it again. Daemons of one zone tell each other their results: each alone sends
-//! an engine too little to find out soon. Other zones may fare differently with the same engine and are not heard.
+//! The directory may list a crashed engine as ready for seconds. A back end that cannot be reached,
+//! does not answer in time or repeatedly breaks its connections is ejected. A successful health
+//! check reinstates it on trial; the delay before the check grows with each ejection. A health
+//! check may succeed although requests fail, so the first failed request on trial ejects the back
+//! end again. Daemons of one zone share their results, because each of them sends too few requests
+//! to one engine to detect a failure quickly. Results from other zones are ignored: the same engine
+//! may behave differently from there.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Pause before the first health check of an ejected back end.
+/// Delay before the first health check of an ejected back end.
 pub const FIRST_CHECK_DELAY: Duration = Duration::from_millis(500);
-/// Longest pause between two health checks.
+/// Maximum delay between two health checks.
 pub const MAX_CHECK_DELAY: Duration = Duration::from_secs(4);
-/// A back end that did well for this long begins anew.
-const FORGIVEN_AFTER: Duration = Duration::from_secs(15);
-/// A back end is checked for hints of peers no more often than this.
-const HINT_PAUSE: Duration = Duration::from_secs(2);
-/// Broken requests in a row, of all daemons of the zone, that eject a back end.
-const ZONE_BREAKS: u32 = 4;
-/// Successes that end a trial.
+/// After this long without a failure the delay starts again at [`FIRST_CHECK_DELAY`].
+const RESET_AFTER: Duration = Duration::from_secs(15);
+/// Minimum time between two health checks of a back end that are triggered by ejections at peers.
+const MIN_HINT_INTERVAL: Duration = Duration::from_secs(2);
+/// Consecutive broken requests, summed over all daemons of the zone, that eject a back end.
+const ZONE_BREAK_LIMIT: u32 = 4;
+/// Successful requests that end a trial.
 const TRIAL_SUCCESSES: u32 = 2;
-/// Breaks that count of one message towards that, at most: a daemon whose own link failed tells of breaks everywhere.
-const MOST_BREAKS_HEARD: u8 = 2;
-/// Results of one back end that count of one message, at most.
-const MOST_HEARD: u8 = 8;
+/// Maximum number of broken requests in one message that count toward [`ZONE_BREAK_LIMIT`]: a daemon
+/// with a failed network link reports broken requests to every back end.
+const MAX_BREAKS_PER_MESSAGE: u8 = 2;
+/// Maximum number of results of each kind per back end that count in one message.
+const MAX_RESULTS_PER_MESSAGE: u8 = 8;
 /// Weight of the newest result in the failure rate.
-const NEWEST_WEIGHT: f64 = 0.1;
-/// Cost of a back end that fails always, as a multiple of one that never does.
-const FAILURE_COST: f64 = 12.0;
+const FAILURE_RATE_WEIGHT: f64 = 0.1;
+/// Additional cost of a back end whose requests all fail, as a multiple of its normal cost.
+const FAILURE_COST_FACTOR: f64 = 12.0;
 
-/// How a request at a back end ended.
+/// Result of one request to a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// Complete response.
     Success,
-    /// No connection.
+    /// No connection could be established.
     Unreachable,
-    /// No answer in the time it should take.
+    /// No response within the expected time.
     Silent,
-    /// The connection broke, or the answer was none.
+    /// The connection broke, or the response was malformed.
     Broken,
-    /// An answer that tells of a failure.
+    /// A response that reports a failure.
     Error,
 }
 
 impl Outcome {
-    /// Failures in a row that eject a back end; none for failures that never do.
+    /// Consecutive failures that eject a back end; `None` for outcomes that never do.
     const fn ejects_after(self) -> Option<u32> {
         match self {
             Self::Success | Self::Error => None,
@@ -57,14 +62,14 @@
     }
 }
 
-/// Results of requests at one back end.
+/// Counts of request results at one back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Results {
-    /// Whole answers.
+    /// Complete responses.
     pub successes: u8,
-    /// Answers that tell of a failure.
+    /// Responses that report a failure.
     pub errors: u8,
-    /// Broken connections, and back ends that could not be reached or kept silent.
+    /// Failed or broken connections, and responses that did not arrive in time.
     pub breaks: u8,
 }
 
@@ -81,79 +86,82 @@
 
 #[derive(Debug, Default)]
 struct Record {
-    failures_in_a_row: u32,
-    /// Broken requests in a row of all daemons of the zone.
+    consecutive_failures: u32,
+    /// Consecutive broken requests, summed over all daemons of the zone.
     zone_breaks: u32,
     ejected: bool,
-    /// Successes that are missing until the trial after an ejection is over.
-    on_trial: u32,
-    ejections: u32,
+    /// Successful requests that remain until the trial ends; 0 when not on trial.
+    trial_successes_left: u32,
+    ejection_count: u32,
     last_failure: Option<Instant>,
-    last_sign: Option<Instant>,
+    last_activity: Option<Instant>,
     last_hint: Option<Instant>,
     failure_rate: f64,
     unpublished: Results,
 }
 
-/// Health of all back ends, by identity.
+/// Health records of all back ends, by id.
 #[derive(Debug, Default)]
 pub struct Health {
     records: HashMap<Arc<str>, Record>,
 }
 
 impl Health {
-    /// Takes a result. Returns the pause before a health check where it ejects the back end.
+    /// Records the result of a request of this daemon. If the back end is ejected because of it,
+    /// returns the delay before the first health check.
     pub fn record(&mut self, id: &Arc<str>, outcome: Outcome, now: Instant) -> Option<Duration> {
         let record = self.records.entry(Arc::clone(id)).or_default();
         record.unpublished.count(outcome);
         if outcome == Outcome::Success {
-            record.last_sign = Some(now);
-            record.failures_in_a_row = 0;
-            record.succeeded();
+            record.last_activity = Some(now);
+            record.consecutive_failures = 0;
+            record.count_success();
             return None;
         }
-        record.failed(now);
+        record.count_failure(now);
         let limit = outcome.ejects_after()?;
-        record.failures_in_a_row += 1;
+        record.consecutive_failures += 1;
         record.zone_breaks += 1;
-        record.eject_where(record.failures_in_a_row >= limit)
+        record.eject_if(record.consecutive_failures >= limit)
     }
 
-    /// The back end sent something that belongs to a request: it lives, however long it lets others wait.
+    /// Records that the back end sent data for some request, which shows that it is alive even if
+    /// other requests are waiting.
     pub fn record_activity(&mut self, id: &Arc<str>, now: Instant) {
         let record = self.records.entry(Arc::clone(id)).or_default();
-        record.last_sign = Some(now);
+        record.last_activity = Some(now);
     }
 
-    /// Whether the back end has shown that it lives since then.
+    /// Whether the back end has shown activity at or after `since`.
     #[must_use]
     pub fn active_since(&self, id: &str, since: Instant) -> bool {
-        let last_sign = self.records.get(id).and_then(|record| record.last_sign);
-        last_sign.is_some_and(|sign| sign >= since)
+        let last_activity = self.records.get(id).and_then(|record| record.last_activity);
+        last_activity.is_some_and(|sign| sign >= since)
     }
 
-    /// Takes results that another daemon of the zone had. Returns the pause before a health check where they eject the
-    /// back end.
+    /// Records results reported by another daemon of the zone. If the back end is ejected because
+    /// of them, returns the delay before the first health check.
     pub fn receive(&mut self, id: &Arc<str>, results: Results, now: Instant) -> Option<Duration> {
         let record = self.records.entry(Arc::clone(id)).or_default();
-        for _ in 0..results.errors.min(MOST_HEARD) {
-            record.failed(now);
+        for _ in 0..results.errors.min(MAX_RESULTS_PER_MESSAGE) {
+            record.count_failure(now);
         }
-        for _ in 0..results.breaks.min(MOST_HEARD) {
-            record.failed(now);
+        for _ in 0..results.breaks.min(MAX_RESULTS_PER_MESSAGE) {
+            record.count_failure(now);
         }
-        record.zone_breaks += u32::from(results.breaks.min(MOST_BREAKS_HEARD));
-        // What came in between is not known: a success counts as the last.
-        for _ in 0..results.successes.min(MOST_HEARD) {
-            record.succeeded();
+        record.zone_breaks += u32::from(results.breaks.min(MAX_BREAKS_PER_MESSAGE));
+        // The order of the results within a message is unknown; successes are counted last.
+        for _ in 0..results.successes.min(MAX_RESULTS_PER_MESSAGE) {
+            record.count_success();
         }
         if results.breaks == 0 {
             return None;
         }
-        record.eject_where(false)
+        record.eject_if(false)
     }
 
-    /// Own results since the last call, for telling the zone.
+    /// Returns the results of this daemon's requests since the previous call, to be sent to the
+    /// zone.
     pub fn take_unpublished(&mut self) -> Vec<(Arc<str>, Results)> {
         let with_results = self
             .records
@@ -164,8 +172,8 @@
             .collect()
     }
 
-    /// Whether an ejected back end may be checked now: not if a request at it failed within the last `pause`. Returns the
-    /// next pause where not.
+    /// Whether an ejected back end may be checked now. If a request to it has failed within half of
+    /// `pause`, returns the delay before the next attempt as the error.
     pub fn may_check(&mut self, id: &str, pause: Duration, now: Instant) -> Result<(), Duration> {
         let Some(record) = self.records.get_mut(id) else {
             return Ok(());
@@ -174,42 +182,43 @@
             .last_failure
             .is_some_and(|last| now.saturating_duration_since(last) < pause / 2);
         if failed_since {
-            return Err(record.next_pause());
+            return Err(record.next_check_delay());
         }
         Ok(())
     }
 
-    /// Whether the back end is on trial: it gets one request at a time.
+    /// Whether the back end is on trial and therefore receives only one request at a time.
     #[must_use]
     pub fn is_on_trial(&self, id: &str) -> bool {
         self.records
             .get(id)
-            .is_some_and(|record| record.on_trial > 0)
+            .is_some_and(|record| record.trial_successes_left > 0)
     }
 
-    /// A health check of an ejected back end failed. Returns the pause before the next.
+    /// Records a failed health check of an ejected back end. Returns the delay before the next one.
     pub fn record_failed_check(&mut self, id: &str) -> Option<Duration> {
         let record = self.records.get_mut(id)?;
-        Some(record.next_pause())
+        Some(record.next_check_delay())
     }
 
-    /// An ejected back end is well again.
+    /// Ends the ejection of a back end and puts it on trial.
     pub fn reinstate(&mut self, id: &str) {
         if let Some(record) = self.records.get_mut(id) {
             record.ejected = false;
-            record.failures_in_a_row = 0;
+            record.consecutive_failures = 0;
             record.zone_breaks = 0;
-            record.on_trial = TRIAL_SUCCESSES;
+            record.trial_successes_left = TRIAL_SUCCESSES;
         }
     }
 
-    /// A peer has ejected this back end. Returns whether it should be checked here too: not if it is ejected
-    /// already, or was checked for such a hint a moment ago.
+    /// Records that a peer has ejected the back end. Returns whether this daemon should check it
+    /// too, which it should not if the back end is already ejected here or was checked for the same
+    /// reason a moment ago.
     pub fn note_peer_ejection(&mut self, id: &Arc<str>, now: Instant) -> bool {
         let record = self.records.entry(Arc::clone(id)).or_default();
         let is_fresh = record
             .last_hint
-            .is_some_and(|last| now.saturating_duration_since(last) < HINT_PAUSE);
+            .is_some_and(|last| now.saturating_duration_since(last) < MIN_HINT_INTERVAL);
         if record.ejected || is_fresh {
             return false;
         }
@@ -217,71 +226,73 @@
         true
     }
 
-    /// Back ends that are ejected, for telling peers.
+    /// The ejected back ends, to be sent to peers.
     #[must_use]
     pub fn ejected(&self) -> Vec<Arc<str>> {
         let ejected = self.records.iter().filter(|(_id, record)| record.ejected);
         ejected.map(|(id, _record)| Arc::clone(id)).collect()
     }
 
-    /// Whether the back end gets no requests.
+    /// Whether the back end is ejected and receives no requests.
     #[must_use]
     pub fn is_ejected(&self, id: &str) -> bool {
         self.records.get(id).is_some_and(|record| record.ejected)
     }
 
-    /// What failures multiply the cost of a back end by; 1 for one that never fails.
+    /// Factor by which failures increase the cost of a back end; 1 without failures.
     #[must_use]
     pub fn cost_factor(&self, id: &str) -> f64 {
         let rate = self
             .records
             .get(id)
             .map_or(0.0, |record| record.failure_rate);
-        1.0 + FAILURE_COST * rate * rate
+        1.0 + FAILURE_COST_FACTOR * rate * rate
     }
 
-    /// Forgets back ends for which `keep` is false.
+    /// Removes the records of back ends for which `keep` returns false.
     pub fn keep_only(&mut self, keep: impl Fn(&str) -> bool) {
         self.records.retain(|id, _record| keep(id));
     }
 }
 
 impl Record {
-    fn succeeded(&mut self) {
-        self.failure_rate -= NEWEST_WEIGHT * self.failure_rate;
+    fn count_success(&mut self) {
+        self.failure_rate -= FAILURE_RATE_WEIGHT * self.failure_rate;
         self.zone_breaks = 0;
-        self.on_trial = self.on_trial.saturating_sub(1);
+        self.trial_successes_left = self.trial_successes_left.saturating_sub(1);
     }
 
-    fn failed(&mut self, now: Instant) {
-        self.failure_rate += NEWEST_WEIGHT * (1.0 - self.failure_rate);
-        self.forgive(now);
+    fn count_failure(&mut self, now: Instant) {
+        self.failure_rate += FAILURE_RATE_WEIGHT * (1.0 - self.failure_rate);
+        self.reset_delay(now);
         self.last_failure = Some(now);
     }
 
-    /// Ejects the back end where its own failures are enough, the zone's are, or it is on trial.
-    fn eject_where(&mut self, own_are_enough: bool) -> Option<Duration> {
-        let is_enough = own_are_enough || self.on_trial > 0 || self.zone_breaks >= ZONE_BREAKS;
+    /// Ejects the back end if it is on trial, or if the failures of this daemon's requests
+    /// (`own_are_enough`) or of the whole zone reach their limit. Returns the delay before the
+    /// first health check.
+    fn eject_if(&mut self, own_are_enough: bool) -> Option<Duration> {
+        let is_enough = own_are_enough || self.trial_successes_left > 0 || self.zone_breaks >= ZONE_BREAK_LIMIT;
         if self.ejected || !is_enough {
             return None;
         }
         self.ejected = true;
-        self.on_trial = 0;
-        Some(self.next_pause())
+        self.trial_successes_left = 0;
+        Some(self.next_check_delay())
     }
 
-    fn forgive(&mut self, now: Instant) {
-        let long_ago = self
+    fn reset_delay(&mut self, now: Instant) {
+        let is_long_ago = self
             .last_failure
-            .is_some_and(|last| now.saturating_duration_since(last) > FORGIVEN_AFTER);
-        if long_ago {
-            self.ejections = 0;
+            .is_some_and(|last| now.saturating_duration_since(last) > RESET_AFTER);
+        if is_long_ago {
+            self.ejection_count = 0;
         }
     }
 
-    fn next_pause(&mut self) -> Duration {
-        let doublings = self.ejections.min(8);
-        self.ejections += 1;
+    fn next_check_delay(&mut self) -> Duration {
+        let doublings = self.ejection_count.min(8);
+        self.ejection_count += 1;
         FIRST_CHECK_DELAY
             .saturating_mul(1 << doublings)
             .min(MAX_CHECK_DELAY)
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -1,11 +1,14 @@
-//! Requests that crash the engines that run them (queries of death), and when they are run no more.
+//! Detection and quarantine of requests that crash the engines that run them ("queries of death").
 //!
-//! An engine that ends takes all its requests along, and at most one of them is the reason. What all daemons know of a
-//! request is the runs that it lost with their engines. A run that came to its end well clears it. Engines that ended at one
-//! moment count as one: a rack that loses its power ends many under the copies of one popular request. From the second
-//! engine on the request is suspected, which all daemons are told; after the third it is quarantined.
+//! An engine that terminates fails all its running requests, of which at most one is the cause. For
+//! each request the daemons collect the runs that were lost because their engine terminated. A run
+//! that completes clears the request. Engines that terminate at about the same time under
+//! overlapping runs count once, because a power failure of a rack can terminate many engines that
+//! run copies of one popular request. After the second engine the request is suspected, which is
+//! announced to all daemons; after the third it is quarantined.
 //!
-//! Knowledge only grows and is merged as sets, so it can be sent again, out of order, and by anybody.
+//! State only grows and merges as sets, so messages may be repeated, reordered and relayed by any
+//! daemon.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,68 +16,70 @@
 
 use crate::fingerprint::RequestFingerprint;
 
-/// Engines, one after the other, after which a request is suspected: an innocent that shared one engine rarely is.
-const SUSPECTED_AFTER: usize = 2;
-/// Engines, one after the other, after which a request is run no more. After two, one to four engines fewer end, and up to
-/// sixteen of 720 innocents that met the same crashing request twice are refused for as long as it is (simulated fleet of
-/// seven engines, one to four crashing requests); after three none.
-const QUARANTINED_AFTER: usize = 3;
-/// Engines that end within this time under runs that overlap may have one cause: a rack or a switch takes all of its machines
-/// down within some tenths of a second.
-const SAME_MOMENT: Duration = Duration::from_millis(500);
-/// How long a request is run no more, and how long it is remembered after that: long enough that it costs three engines some
-/// seconds each in that time, short enough that callers are served soon after an engine release that mends it. Also the
-/// longest lease of the store.
+/// Successive engine terminations after which a request is suspected. An unrelated request that
+/// shared one engine with the cause rarely reaches two.
+const SUSPECTED_AFTER_ENGINES: usize = 2;
+/// Successive engine terminations after which a request is quarantined. With two, unrelated
+/// requests that met the same crashing request twice would be quarantined too.
+const QUARANTINED_AFTER_ENGINES: usize = 3;
+/// Terminations within this time under overlapping runs may have one common cause: the failure of a
+/// rack or a switch takes down all of its machines within tenths of a second.
+const COMMON_CAUSE_WINDOW: Duration = Duration::from_millis(500);
+/// How long a request is quarantined, and how long it is remembered after that. Long enough that a
+/// crashing request costs few engines, short enough that callers are served soon after the engines
+/// are fixed. It is also the longest lease of the store.
 pub const QUARANTINE_DURATION: Duration = Duration::from_secs(600);
-/// Lost runs that are remembered of one request: enough to tell apart those that were lost at one moment.
-const MOST_LOST_RUNS: usize = 8;
-/// Two good runs so close to each other are the same: times come from peers as ages, to which a datagram's way adds.
-const SAME_TIME: Duration = Duration::from_millis(500);
-/// Requests that are remembered, some 300 bytes each.
-const MOST_SUSPECTS: usize = 4_096;
-/// Requests that are remembered of one tenant, so that none pushes out what is known of others.
-const MOST_SUSPECTS_OF_TENANT: usize = 512;
-
-/// A run that ended because its engine did.
+/// Maximum number of lost runs kept per request: enough to separate those that were lost at the
+/// same time.
+const MAX_LOST_RUNS: usize = 8;
+/// Two completed runs closer than this are regarded as the same one: peers send times as ages,
+/// which are inaccurate by the network delay.
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(500);
+/// Maximum number of requests kept in total, about 300 bytes each.
+const MAX_SUSPECTS: usize = 4_096;
+/// Maximum number of requests kept per tenant, so that no tenant evicts the entries of others.
+const MAX_SUSPECTS_PER_TENANT: usize = 512;
+
+/// A run that was lost because its engine terminated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LostRun {
-    /// The engine's incarnation.
+    /// Incarnation of the engine.
     pub engine: Arc<str>,
-    /// When the run began.
+    /// Start of the run.
     pub begun: Instant,
-    /// When the engine ended.
+    /// Time when the engine terminated.
     pub ended: Instant,
 }
 
-/// Everything that is known of one request.
+/// What is known about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Suspicion {
-    /// Which request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Hash of its tenant's name; 0 where callers are not told apart.
+    /// Hash of the tenant's name; 0 if callers are not authenticated.
     pub tenant: u32,
-    /// Runs that it lost with their engines, in the order of their ends.
+    /// Lost runs, ordered by the time when their engines terminated.
     pub lost_runs: Vec<LostRun>,
-    /// When it last ran well.
+    /// Time of the last completed run.
     pub cleared: Option<Instant>,
 }
 
-/// What may be done with a request.
+/// Whether a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing is held against it, or no more than against any other on an engine that ended.
+    /// Too few engines have terminated under it.
     Clear,
-    /// Two engines ended under it: it still runs, and all daemons are told.
+    /// Two engines have terminated under it. It may still run, and all daemons are told.
     Suspected,
-    /// It is not run until then.
+    /// The request must not run until the given time.
     Quarantined {
-        /// When it is tried again.
+        /// End of the quarantine.
         until: Instant,
     },
 }
 
 impl Standing {
-    /// Name in logs.
+    /// Name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -84,59 +89,59 @@
         }
     }
 
-    /// Whether it is not run.
+    /// Whether the request must not run.
     #[must_use]
     pub const fn is_quarantined(self) -> bool {
         matches!(self, Self::Quarantined { .. })
     }
 }
 
-/// What news changed.
+/// Effect of merging information about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Update {
     /// Whether anything was new.
     pub added_information: bool,
-    /// Whether more is known here than the news told.
+    /// Whether this daemon knows something that the merged information lacks.
     pub peer_is_behind: bool,
-    /// Before.
+    /// Standing before the merge.
     pub before: Standing,
-    /// Now.
+    /// Standing after the merge.
     pub after: Standing,
 }
 
-/// A quarantine that the store does not hold yet.
+/// A quarantine that the store is not known to hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnstoredQuarantine {
-    /// Which request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Engines that ended under it.
+    /// Engines that terminated under it.
     pub engines: Vec<Arc<str>>,
-    /// Whether this daemon lost a run of it itself.
+    /// Whether this daemon itself lost a run of the request.
     pub is_own: bool,
 }
 
-/// How many requests are known under which engines ended.
+/// Number of requests under which engines terminated.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SuspectCounts {
-    /// All of them.
+    /// Requests that are remembered.
     pub remembered: usize,
-    /// Those that are not run now.
+    /// Requests that are quarantined now.
     pub quarantined: usize,
 }
 
 #[derive(Debug)]
 struct Entry {
     suspicion: Suspicion,
-    /// Since when the store has held its quarantine, as far as is known here.
-    filed: Option<Instant>,
-    /// The store came back from an older copy that lacks it.
+    /// Since when the store has held the quarantine, as far as this daemon knows.
+    stored: Option<Instant>,
+    /// The store was restored from an older copy that lacks the quarantine.
     is_missing: bool,
-    /// When its quarantine was ended, by its lease or by an operator.
+    /// Time when the quarantine was ended by the expiry of its lease or by an operator.
     released: Option<Instant>,
     is_own: bool,
 }
 
-/// What is known of requests under which engines ended.
+/// Requests under which engines terminated.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     entries: HashMap<RequestFingerprint, Entry>,
@@ -145,20 +150,20 @@
 }
 
 impl Quarantine {
-    /// Whether nothing is known of any request.
+    /// Whether no request is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What may be done with a request.
+    /// Standing of a request; `Clear` if it is unknown.
     #[must_use]
     pub fn standing(&self, fingerprint: RequestFingerprint, now: Instant) -> Standing {
         let entry = self.entries.get(&fingerprint);
         entry.map_or(Standing::Clear, |entry| entry.standing(now))
     }
 
-    /// How many requests are remembered.
+    /// Number of remembered and of quarantined requests.
     #[must_use]
     pub fn counts(&self, now: Instant) -> SuspectCounts {
         let entries = self.entries.values();
@@ -169,7 +174,7 @@
         }
     }
 
-    /// This daemon lost a run of a request.
+    /// Records that this daemon lost a run of a request.
     pub fn record_lost_run(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -190,23 +195,24 @@
         update
     }
 
-    /// A request ran well, which no request does that crashes engines. Returns whether anything was held against it.
+    /// Records that a run of a request completed, which clears the request. Returns whether it had
+    /// been suspected, quarantined or had lost any run since it was last cleared.
     pub fn record_good_run(&mut self, fingerprint: RequestFingerprint, now: Instant) -> bool {
         let Some(entry) = self.entries.get_mut(&fingerprint) else {
             return false;
         };
-        let was_suspected = entry.filed.is_some() || entry.held_against().next().is_some();
+        let was_suspected = entry.stored.is_some() || entry.uncleared_runs().next().is_some();
         if was_suspected {
             entry.suspicion.cleared = Some(now);
-            let was_filed = entry.filed.take().is_some();
-            if was_filed {
+            let was_stored = entry.stored.take().is_some();
+            if was_stored {
                 self.to_release.push(fingerprint);
             }
         }
         was_suspected
     }
 
-    /// Takes what another daemon knows.
+    /// Merges what another daemon knows about a request.
     pub fn merge(&mut self, news: &Suspicion, now: Instant) -> Update {
         let before = self.standing(news.fingerprint, now);
         if !self.entries.contains_key(&news.fingerprint) {
@@ -216,16 +222,16 @@
             .entries
             .entry(news.fingerprint)
             .or_insert_with(|| Entry::of(news.fingerprint, news.tenant));
-        let added_information = entry.take(news);
+        let added_information = entry.absorb(news);
         Update {
             added_information,
-            peer_is_behind: entry.knows_more_than(news),
+            peer_is_behind: entry.has_more_than(news),
             before,
             after: entry.standing(now),
         }
     }
 
-    /// The store holds a request's quarantine.
+    /// Records that the store holds the quarantine of a request.
     pub fn record_stored(&mut self, fingerprint: RequestFingerprint, now: Instant) {
         if !self.entries.contains_key(&fingerprint) {
             self.make_room(0, now);
@@ -234,44 +240,45 @@
             .entries
             .entry(fingerprint)
             .or_insert_with(|| Entry::of(fingerprint, 0));
-        entry.filed.get_or_insert(now);
+        entry.stored.get_or_insert(now);
         entry.is_missing = false;
     }
 
-    /// The store came back from an older copy that lacks a request's quarantine. It goes on, and is to be filed again.
+    /// Records that the store was restored from an older copy that lacks the quarantine of a
+    /// request. The quarantine stays in force and must be stored again.
     pub fn record_missing(&mut self, fingerprint: RequestFingerprint) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
             entry.is_missing = true;
         }
     }
 
-    /// The store holds a request's quarantine no more: its lease ended, or an operator ended it. The request is tried again,
-    /// still suspected.
+    /// Records that the store no longer holds the quarantine of a request, because its lease
+    /// expired or an operator removed it. The request may run again and remains suspected.
     pub fn record_released(&mut self, fingerprint: RequestFingerprint, now: Instant) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
-            entry.filed = None;
+            entry.stored = None;
             entry.released = Some(now);
         }
     }
 
-    /// Whether the store is known to hold the request's quarantine.
+    /// Whether the store is known to hold the quarantine of the request.
     #[must_use]
     pub fn is_stored(&self, fingerprint: RequestFingerprint) -> bool {
         let entry = self.entries.get(&fingerprint);
-        entry.is_some_and(|entry| entry.filed.is_some() && !entry.is_missing)
+        entry.is_some_and(|entry| entry.stored.is_some() && !entry.is_missing)
     }
 
-    /// Quarantines that the store is not known to hold.
+    /// Quarantines that are in force and must still be written to the store.
     #[must_use]
     pub fn unstored(&self, now: Instant) -> Vec<UnstoredQuarantine> {
         let entries = self.entries.values();
         let unstored =
-            entries.filter(|entry| entry.is_to_be_filed() && entry.standing(now).is_quarantined());
+            entries.filter(|entry| entry.must_be_stored() && entry.standing(now).is_quarantined());
         unstored
             .map(|entry| UnstoredQuarantine {
                 fingerprint: entry.suspicion.fingerprint,
                 engines: entry
-                    .held_against()
+                    .uncleared_runs()
                     .map(|run| Arc::clone(&run.engine))
                     .collect(),
                 is_own: entry.is_own,
@@ -279,36 +286,38 @@
             .collect()
     }
 
-    /// Cleared requests whose quarantine is to be taken out of the store; each is named once.
+    /// Returns the cleared requests whose quarantine must be removed from the store, each only
+    /// once.
     pub fn take_releases(&mut self) -> Vec<RequestFingerprint> {
         std::mem::take(&mut self.to_release)
     }
 
-    /// What is known of a request, for telling other daemons.
+    /// What is known about a request, to be sent to other daemons.
     #[must_use]
     pub fn suspicion(&self, fingerprint: RequestFingerprint) -> Option<&Suspicion> {
         self.entries.get(&fingerprint).map(|entry| &entry.suspicion)
     }
 
-    /// Forgets what is long past.
+    /// Removes requests without any new information for twice [`QUARANTINE_DURATION`].
     pub fn forget_old(&mut self, now: Instant) {
         self.entries.retain(|_fingerprint, entry| {
-            let newest = entry.newest_news();
+            let newest = entry.last_update();
             newest.is_some_and(|newest| {
                 now.saturating_duration_since(newest) < QUARANTINE_DURATION + QUARANTINE_DURATION
             })
         });
     }
 
-    /// Makes room for one more: of a tenant with too many its own, else any, those first that are least suspected, then the
-    /// oldest.
+    /// Makes room for one more request by evicting at most one: of the same tenant if that tenant
+    /// has too many, otherwise of any. Requests that are not quarantined go first, then those with
+    /// the fewest lost runs, then the oldest.
     fn make_room(&mut self, tenant: u32, now: Instant) {
         let of_tenant = self
             .entries
             .values()
             .filter(|entry| entry.suspicion.tenant == tenant);
-        let is_tenant_full = tenant != 0 && of_tenant.count() >= MOST_SUSPECTS_OF_TENANT;
-        if !is_tenant_full && self.entries.len() < MOST_SUSPECTS {
+        let is_tenant_full = tenant != 0 && of_tenant.count() >= MAX_SUSPECTS_PER_TENANT;
+        if !is_tenant_full && self.entries.len() < MAX_SUSPECTS {
             return;
         }
         let weakest = self
@@ -318,8 +327,8 @@
             .min_by_key(|entry| {
                 (
                     entry.standing(now).is_quarantined(),
-                    entry.engines_in_a_row().len(),
-                    entry.newest_news(),
+                    entry.successive_terminations().len(),
+                    entry.last_update(),
                 )
             })
             .map(|entry| entry.suspicion.fingerprint);
@@ -338,15 +347,15 @@
                 lost_runs: Vec::new(),
                 cleared: None,
             },
-            filed: None,
+            stored: None,
             is_missing: false,
             released: None,
             is_own: false,
         }
     }
 
-    /// Returns whether anything was new.
-    fn take(&mut self, news: &Suspicion) -> bool {
+    /// Merges information about the same request. Returns whether anything was new.
+    fn absorb(&mut self, news: &Suspicion) -> bool {
         let before = self.suspicion.clone();
         let known = &mut self.suspicion;
         if known.tenant == 0 {
@@ -354,7 +363,7 @@
         }
         if is_later(news.cleared, known.cleared) {
             known.cleared = news.cleared;
-            self.filed = None;
+            self.stored = None;
         }
         for run in &news.lost_runs {
             if known
@@ -366,84 +375,85 @@
             }
         }
         known.lost_runs.sort_by_key(|run| run.ended);
-        self.drop_surplus_runs();
+        self.trim_lost_runs();
         self.suspicion != before
     }
 
-    /// Forgets runs that add nothing to the row first, then the oldest.
-    fn drop_surplus_runs(&mut self) {
-        while self.suspicion.lost_runs.len() > MOST_LOST_RUNS {
-            let in_row: Vec<Arc<str>> = self
-                .engines_in_a_row()
+    /// Limits the number of lost runs: removes those that do not count as successive terminations
+    /// first, then the oldest.
+    fn trim_lost_runs(&mut self) {
+        while self.suspicion.lost_runs.len() > MAX_LOST_RUNS {
+            let counted: Vec<Arc<str>> = self
+                .successive_terminations()
                 .into_iter()
                 .map(|run| Arc::clone(&run.engine))
                 .collect();
             let runs = &mut self.suspicion.lost_runs;
-            let surplus = runs.iter().position(|run| !in_row.contains(&run.engine));
+            let surplus = runs.iter().position(|run| !counted.contains(&run.engine));
             runs.remove(surplus.unwrap_or_default());
         }
     }
 
-    const fn is_to_be_filed(&self) -> bool {
-        self.filed.is_none() || self.is_missing
+    const fn must_be_stored(&self) -> bool {
+        self.stored.is_none() || self.is_missing
     }
 
-    fn knows_more_than(&self, news: &Suspicion) -> bool {
+    fn has_more_than(&self, news: &Suspicion) -> bool {
         let known = &self.suspicion;
-        let is_told = |run: &LostRun| news.lost_runs.iter().any(|told| told.engine == run.engine);
-        is_later(known.cleared, news.cleared) || known.lost_runs.iter().any(|run| !is_told(run))
+        let is_known_to_peer = |run: &LostRun| news.lost_runs.iter().any(|peer_run| peer_run.engine == run.engine);
+        is_later(known.cleared, news.cleared) || known.lost_runs.iter().any(|run| !is_known_to_peer(run))
     }
 
-    /// Lost runs that no good run followed.
-    fn held_against(&self) -> impl Iterator<Item = &LostRun> {
+    /// Lost runs after the last completed run.
+    fn uncleared_runs(&self) -> impl Iterator<Item = &LostRun> {
         let cleared = self.suspicion.cleared;
         let runs = self.suspicion.lost_runs.iter();
         runs.filter(move |run| cleared.is_none_or(|cleared| run.ended > cleared))
     }
 
-    /// Engines that ended one after the other: each run in the row began after the one before had ended, or ended well after
-    /// it.
-    fn engines_in_a_row(&self) -> Vec<&LostRun> {
-        let mut row: Vec<&LostRun> = Vec::new();
-        for run in self.held_against() {
-            let follows = row.last().is_none_or(|before| {
-                run.begun >= before.ended || run.ended >= before.ended + SAME_MOMENT
+    /// Successive terminations: each run in the result started after the previous engine had
+    /// terminated, or its own engine terminated clearly later.
+    fn successive_terminations(&self) -> Vec<&LostRun> {
+        let mut successive: Vec<&LostRun> = Vec::new();
+        for run in self.uncleared_runs() {
+            let follows = successive.last().is_none_or(|before| {
+                run.begun >= before.ended || run.ended >= before.ended + COMMON_CAUSE_WINDOW
             });
             if follows {
-                row.push(run);
+                successive.push(run);
             }
         }
-        row
+        successive
     }
 
     fn standing(&self, now: Instant) -> Standing {
-        let in_a_row = self.engines_in_a_row().len();
-        let newest = self.held_against().map(|run| run.ended).max();
+        let terminations = self.successive_terminations().len();
+        let newest = self.uncleared_runs().map(|run| run.ended).max();
         let since = newest
-            .filter(|_newest| in_a_row >= QUARANTINED_AFTER)
+            .filter(|_newest| terminations >= QUARANTINED_AFTER_ENGINES)
             .filter(|newest| self.released.is_none_or(|released| *newest > released))
-            .max(self.filed);
+            .max(self.stored);
         if let Some(until) = since.map(|since| since + QUARANTINE_DURATION)
             && until > now
         {
             return Standing::Quarantined { until };
         }
-        if in_a_row >= SUSPECTED_AFTER {
+        if terminations >= SUSPECTED_AFTER_ENGINES {
             Standing::Suspected
         } else {
             Standing::Clear
         }
     }
 
-    fn newest_news(&self) -> Option<Instant> {
+    fn last_update(&self) -> Option<Instant> {
         let newest_run = self.suspicion.lost_runs.last().map(|run| run.ended);
-        newest_run.max(self.suspicion.cleared).max(self.filed)
+        newest_run.max(self.suspicion.cleared).max(self.stored)
     }
 }
 
 fn is_later(one: Option<Instant>, other: Option<Instant>) -> bool {
     match (one, other) {
-        (Some(one), Some(other)) => one > other + SAME_TIME,
+        (Some(one), Some(other)) => one > other + CLOCK_TOLERANCE,
         (one, None) => one.is_some(),
         (None, Some(_)) => false,
     }
