--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What the operators want: routes, services, tenants and limits, as one whole version.
+//! Configuration by the operators: routes, services, tenants and limits, applied as one version.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,51 +8,51 @@
 
 use crate::tenants::Tenant;
 
-/// One whole configuration. Versions rise; a process never goes back to an older one.
+/// A complete configuration. Versions increase, and a process never goes back to an earlier one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
-    /// Version, as the operators number it.
+    /// Version number assigned by the operators.
     pub version: u64,
-    /// Every route.
+    /// All routes.
     pub routes: Vec<Arc<Route>>,
-    /// Every service.
+    /// All services.
     pub services: Vec<Arc<Service>>,
-    /// Every tenant; none where requests are not authenticated.
+    /// All tenants; `None` if requests are not authenticated.
     pub tenants: Option<Vec<Arc<Tenant>>>,
-    /// Limits towards callers.
+    /// Limits on the requests of callers.
     pub limits: CallerLimits,
 }
 
 impl Configuration {
-    /// The service of this name.
+    /// The service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.iter().find(|service| &*service.name == name)
     }
 }
 
-/// What may be done with a request again.
+/// Whether and how a request may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     /// May run more than once.
     Safe,
-    /// Runs at most once.
+    /// Must run at most once.
     Unsafe,
-    /// Answered by a series of events.
+    /// Answered with a stream of events.
     Stream {
-        /// Whether it may go on at another back end after a given event.
+        /// Whether another back end can continue the stream after a given event.
         resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Whether the request may run a second time.
+    /// Whether the request may run again after it has failed.
     #[must_use]
     pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Name for logs and metrics.
+    /// Name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -64,95 +64,97 @@
     }
 }
 
-/// Which requests go where, and how.
+/// A rule that assigns requests to services and sets their deadlines and retries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// Host that callers name.
+    /// Host of the requests.
     pub host: Arc<str>,
-    /// Begins the path; begins and ends with a slash.
+    /// Path prefix of the requests; begins and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// What may be done again.
+    /// Whether and how requests may be retried.
     pub kind: RequestKind,
-    /// Longest time a request is held.
+    /// Maximum time until a request is answered or fails.
     pub timeout: Duration,
-    /// Time in which an answer is worth all.
+    /// Response time up to which an answer has its full value.
     pub target_latency: Duration,
-    /// Longest pause between two events of a stream that is in time.
+    /// Maximum time between two events of a stream that counts as in time.
     pub target_gap: Option<Duration>,
-    /// Callers abandon a stream that brings no event for this long; none where they wait for their whole time.
+    /// Callers abandon a stream without an event for this long; `None` if they wait until their
+    /// timeout.
     pub caller_stall_timeout: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Whether requests need no API key.
     pub is_public: bool,
-    /// Services and their shares.
+    /// Services and their shares of the requests.
     pub split: Vec<SplitPart>,
-    /// Most back ends that one request may run on.
+    /// Maximum number of back ends that one request may run on.
     pub maximum_attempts: u32,
 }
 
-/// One service's share of a route.
+/// Share of one service in a route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SplitPart {
-    /// Service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Its weight among the parts.
+    /// Weight relative to the other parts.
     pub weight: u32,
 }
 
-/// A group of equal back ends.
+/// A group of interchangeable back ends.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name of the service.
     pub name: Arc<str>,
-    /// Path that answers 200 while a back end is well.
+    /// Path that answers with status 200 while a back end is healthy.
     pub health_path: Arc<str>,
-    /// Connections that each back end takes from all callers together.
+    /// Maximum number of connections that each back end accepts from all callers together.
     pub maximum_connections: u32,
-    /// What its engines can do; none for a plain service.
+    /// Properties of the engines; `None` for a service of plain back ends.
     pub engine: Option<EngineTraits>,
-    /// How many engines may be ordered; none where their number is fixed.
+    /// Bounds for the number of engines; `None` if it is fixed.
     pub autoscaling: Option<Autoscaling>,
 }
 
-/// Bounds and prices of the engines of a service.
+/// Bounds and prices for scaling the engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Autoscaling {
-    /// Fewest engines of a zone, of all contracts together.
+    /// Minimum number of engines per zone, over all contracts.
     pub minimum: u32,
-    /// Most engines of a zone, of all contracts together.
+    /// Maximum number of engines per zone, over all contracts.
     pub maximum: u32,
-    /// Time from the order of an engine until it serves.
+    /// Time from ordering an engine until it serves requests.
     pub boot: Duration,
-    /// Price of a spot engine as a part of an on-demand one's; none where there are none.
+    /// Price of a spot engine as a fraction of the price of an on-demand engine; `None` if there
+    /// are no spot engines.
     pub spot_price: Option<f64>,
     /// Relative prices of the zones in which the service may run.
     pub zone_prices: BTreeMap<Arc<str>, f64>,
 }
 
-/// What the model engines of a service can do.
+/// Properties of the model engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineTraits {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Tokens of KV cache.
+    /// Capacity of the KV cache in tokens.
     pub cache_tokens: u64,
-    /// Bytes of one token's KV cache.
+    /// Size of one token in the KV cache, in bytes.
     pub token_bytes: u64,
-    /// Speed at which KV cache moves, in megabits a second.
+    /// Bandwidth for transfers of KV cache, in megabits per second.
     pub link_megabits: f64,
-    /// How long a change of stage takes the engine away.
+    /// Time for which an engine is unavailable while it changes its stage.
     pub stage_change: Duration,
 }
 
-/// Limits towards callers.
+/// Limits on the requests of callers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest request head in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Longest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
 }
 
@@ -165,17 +167,17 @@
     }
 }
 
-/// What a model engine does for requests.
+/// Stage of request processing that a model engine performs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Stage {
-    /// Reads prompts for others.
+    /// Processes prompts for other engines.
     Prefill,
-    /// Generates, and reads prompts itself when it must.
+    /// Generates tokens, and processes prompts itself when needed.
     Decode,
 }
 
 impl Stage {
-    /// Name for logs and metrics.
+    /// Name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/fleet/src/cross_zone_pacer.rs
+++ b/crates/fleet/src/cross_zone_pacer.rs
@@ -1,32 +1,32 @@
-//! When daemons of other zones are told.
+//! Limits how often digests are sent to other zones.
 //!
-//! Bytes between zones are paid for. A daemon that has nothing to tell is heard there for its position in the store and its time of
-//! day only, and nobody acts on these within a second.
+//! Traffic between zones is billed. A digest without any work reports only the daemon's position in
+//! the store and its time of day, and no receiver needs these within a second.
 
 use std::time::{Duration, Instant};
 
-/// Time between two digests to other zones that tell nothing of work. Shorter than what a peer told of its work lives, so that
-/// a daemon without work still counts as one.
+/// Interval between digests to other zones that report no work. Shorter than the time for which a
+/// report of work is valid, so that a daemon without work still counts as idle.
 const IDLE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Paces digests to daemons of other zones.
+/// Decides which digests are sent to daemons of other zones.
 #[derive(Debug, Default)]
 pub struct CrossZonePacer {
     last: Option<Instant>,
-    /// Whether the last one told of work, which has to be taken back when it ends.
-    told_of_work: bool,
+    /// Whether the last digest reported work; it must be retracted when the work ends.
+    last_reported_work: bool,
 }
 
 impl CrossZonePacer {
-    /// Whether the digest that is published now goes to other zones too.
-    pub fn is_due(&mut self, tells_of_work: bool, now: Instant) -> bool {
+    /// Whether the digest that is being published must also be sent to other zones.
+    pub fn is_due(&mut self, reports_work: bool, now: Instant) -> bool {
         let is_overdue = self
             .last
             .is_none_or(|last| now.saturating_duration_since(last) >= IDLE_INTERVAL);
-        let is_due = tells_of_work || self.told_of_work || is_overdue;
+        let is_due = reports_work || self.last_reported_work || is_overdue;
         if is_due {
             self.last = Some(now);
-            self.told_of_work = tells_of_work;
+            self.last_reported_work = reports_work;
         }
         is_due
     }
--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -1,12 +1,14 @@
-//! Along which tree the state of the store spreads to daemons that read all of it.
+//! Distribution tree along which daemons read the complete state of the store.
 //!
-//! If every daemon read everything from the store, the store would send daemons times entries, and its one link would
-//! carry gigabytes after a loss of all daemons. Instead each zone has a few distributors: the first ones read the store,
-//! the others read from those, and everybody else reads from a distributor. What one daemon sends grows with the number
-//! of its readers, which is bounded, and not with the fleet.
+//! If every daemon read the complete state from the store, the store's network link would carry the
+//! state once per daemon, which is gigabytes after a restart of the whole fleet. Instead each zone
+//! has a few distributors: the first ones read from the store, the others from those, and all other
+//! daemons read from a distributor. The amount that one daemon sends depends on the bounded number
+//! of its readers and not on the size of the fleet.
 //!
-//! After a loss of all daemons nobody knows anybody, so the addresses of a zone's distributors lie in the store under a key of
-//! their own, without a lease. They are machines, and are the same in their next lives.
+//! After a restart of the whole fleet no daemon knows any other. The addresses of the distributors
+//! of each zone are therefore kept in the store under a separate key without a lease; they belong
+//! to machines and survive a restart of the process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,25 +16,28 @@
 use crate::followers::GOSSIP_INTERVAL;
 use crate::topology::{FOLLOWERS, Member, SMALL_FLEET, rank};
 
-/// Readers of one distributor, about. 10,000 back ends take 0.31 MB (31 bytes each, compressed in pages), which a link of 200 Mbit/s
-/// carries to sixteen readers in 0.2 s. Daemons of a zone of 170 knew everything 0.41 s after all had been started (median).
-const READERS_OF_A_DISTRIBUTOR: usize = 16;
-/// Distributors of one zone, at most: the list of them stays far below a kilobyte of the store's answer to each daemon.
+/// Approximate number of readers per distributor, bounded by what its network link can send within
+/// a fraction of a second.
+const READERS_PER_DISTRIBUTOR: usize = 16;
+/// Maximum number of distributors per zone. Keeps the list far below a kilobyte in the store's
+/// answer to each daemon.
 pub const MAX_DISTRIBUTORS: usize = 64;
-/// A daemon whose distributors bring nothing more for this long reads the store itself. Far longer than one step of the tree
-/// takes (some 0.1 s), far shorter than the seconds within which a change has to be in force.
+/// Time without progress from its providers after which a daemon reads the store itself. Much
+/// longer than one step of the distribution tree takes, and much shorter than the seconds within
+/// which a change must take effect.
 pub const PROVIDER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The same for a distributor, on which others wait.
+/// The same for a distributor; shorter, because other daemons wait for it.
 pub const DISTRIBUTOR_TIMEOUT: Duration = Duration::from_millis(600);
-/// A daemon that knows everything up to a revision whose successors the store has forgotten waits this long for a peer that has
-/// read everything anew. If all daemons read the store then, 1,000 of them before 10,000 back ends would share its link for
-/// half a minute; those that do read it take less than a second.
+/// How long a daemon waits for a peer with the complete state when the store has discarded the
+/// changes after its own revision. Without this wait all daemons would read the complete state from
+/// the store at once.
 pub const REREAD_WAIT: Duration = Duration::from_secs(2);
-/// A daemon that has read everything from a peer waits this long for a follower of the store to report: two of its digests.
+/// How long a daemon that has read the complete state from a peer waits for the report of a
+/// follower of the store: two gossip intervals.
 pub const FOLLOWER_REPORT_WAIT: Duration = GOSSIP_INTERVAL.saturating_mul(2);
 
-/// The distributors of a neighbourhood, those with the fastest links first; none where it is so small that everybody may read
-/// the store.
+/// Addresses of the distributors of a neighbourhood, ordered by the speed of their links; empty if
+/// the neighbourhood is small enough for every daemon to read the store.
 #[must_use]
 pub fn distributors<'a>(neighbourhood: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
     let mut ranked: Vec<&Member> = neighbourhood.collect();
@@ -40,34 +45,34 @@
         return Vec::new();
     }
     ranked.sort_by_cached_key(|member| rank(member));
-    let wanted = ranked.len().div_ceil(READERS_OF_A_DISTRIBUTOR);
+    let wanted = ranked.len().div_ceil(READERS_PER_DISTRIBUTOR);
     let count = wanted.clamp(FOLLOWERS, MAX_DISTRIBUTORS);
     let chosen = ranked.into_iter().take(count);
     chosen.map(|member| member.peer_address).collect()
 }
 
-/// Where one daemon reads everything.
+/// Source from which a daemon reads the complete state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadPlan {
-    /// Peers to read from, in this order; none where the daemon reads the store.
+    /// Peers to read from, in order of preference; empty if the daemon reads from the store.
     pub providers: Vec<SocketAddr>,
-    /// Without anything new from any of them for so long, the daemon reads the store.
+    /// Time without progress after which the daemon reads from the store.
     pub fallback_after: Duration,
 }
 
 impl ReadPlan {
-    /// The place of the daemon at `own` in the tree of these distributors. `spread` is any number that differs from daemon to
-    /// daemon, so that readers are spread over the distributors.
+    /// The plan of the daemon at address `own`. `daemon_hash` must differ between daemons; it
+    /// spreads the readers over the distributors.
     #[must_use]
-    pub fn of(own: SocketAddr, distributors: &[SocketAddr], spread: u64) -> Self {
+    pub fn of(own: SocketAddr, distributors: &[SocketAddr], daemon_hash: u64) -> Self {
         let own_rank = distributors.iter().position(|peer| *peer == own);
         let (roots, others) = distributors.split_at(distributors.len().min(FOLLOWERS));
         let providers = match own_rank {
             Some(rank) if rank < FOLLOWERS => Vec::new(),
-            Some(_) => rotated(roots, spread),
+            Some(_) => rotated(roots, daemon_hash),
             None => {
-                let mut providers = rotated(others, spread);
-                providers.extend(rotated(roots, spread));
+                let mut providers = rotated(others, daemon_hash);
+                providers.extend(rotated(roots, daemon_hash));
                 providers
             }
         };
@@ -83,11 +88,11 @@
     }
 }
 
-/// The same addresses, rotated to begin at a place that `spread` chooses.
-fn rotated(addresses: &[SocketAddr], spread: u64) -> Vec<SocketAddr> {
+/// The addresses rotated by an offset derived from `daemon_hash`.
+fn rotated(addresses: &[SocketAddr], daemon_hash: u64) -> Vec<SocketAddr> {
     let mut rotated = addresses.to_vec();
     let length = u64::try_from(rotated.len()).unwrap_or(u64::MAX).max(1);
-    let places = usize::try_from(spread % length).unwrap_or_default();
-    rotated.rotate_left(places);
+    let offset = usize::try_from(daemon_hash % length).unwrap_or_default();
+    rotated.rotate_left(offset);
     rotated
 }
--- a/crates/fleet/src/fingerprint.rs
+++ b/crates/fleet/src/fingerprint.rs
@@ -1,35 +1,36 @@
-//! Recognizes a request that comes again: a caller's next try has another identity, but the same content.
+//! Fingerprints of requests, which identify retries: a caller's retry has a new request id but the
+//! same content.
 
 use std::fmt;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint. Two of a million different requests share one with a chance below 1e-26.
+/// Size of a fingerprint. Collisions among millions of requests are negligibly improbable.
 const BYTES: usize = 16;
 
-/// What makes two requests the same.
+/// The parts of a request that its fingerprint covers.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// Name of the tenant that sends it; none where callers are not told apart.
+    /// Name of the tenant; `None` if callers are not authenticated.
     pub tenant: Option<&'a str>,
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host that it is addressed to.
+    /// Host that the request is addressed to.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
-/// Fingerprint of a request's content. Collision-resistant, so that nobody can craft a request that is taken for
-/// somebody else's.
+/// Fingerprint of a request's content. It is collision-resistant, so that no caller can craft a
+/// request that is mistaken for a request of another caller.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct RequestFingerprint([u8; BYTES]);
 
 impl RequestFingerprint {
-    /// The fingerprint of this content. Costs some tens of microseconds for a long prompt.
+    /// Computes the fingerprint of the content.
     #[must_use]
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = Sha256::new();
@@ -42,7 +43,7 @@
             content.path.as_bytes(),
         ];
         for text in texts {
-            // The length before each part keeps "ab" + "c" apart from "a" + "bc".
+            // The length before each part distinguishes "ab" + "c" from "a" + "bc".
             hasher.update(text.len().to_le_bytes());
             hasher.update(text);
         }
@@ -54,16 +55,16 @@
         Self(bytes)
     }
 
-    /// The first of all in their order.
+    /// The smallest fingerprint.
     pub const MIN: Self = Self([0; BYTES]);
 
-    /// Its bytes.
+    /// The bytes of the fingerprint.
     #[must_use]
     pub const fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Reads the form that [`fmt::Display`] writes; none if it is not one.
+    /// Parses the format that [`fmt::Display`] writes; `None` if the text has another format.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let is_hex = text.len() == BYTES * 2 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
--- a/crates/fleet/src/fleet_time.rs
+++ b/crates/fleet/src/fleet_time.rs
@@ -1,64 +1,66 @@
-//! The time of day that most daemons agree on.
+//! Time of day that the majority of daemons agree on.
 //!
-//! A machine's time of day may be seconds off, and may jump. Each daemon gossips its own; the median of the
-//! samples of the last seconds, advanced by the steady clock, is right as long as most of the sampled machines are.
+//! The time of day of a machine may be off by seconds and may jump. Each daemon gossips its own;
+//! the median of recent samples, advanced by the monotonic clock, is correct as long as the clocks
+//! of most sampled machines are.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// Older samples do not count: a daemon gossips several times in this time.
-const SAMPLE_LIFE: Duration = Duration::from_secs(5);
+/// Age beyond which samples are ignored; each daemon gossips several times within it.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(5);
 
-/// What one daemon's clock showed.
+/// Time of day reported by one daemon.
 #[derive(Debug, Clone, Copy)]
 struct Sample {
-    /// Time of day, since the start of 1970.
-    shown: Duration,
+    /// Reported time of day, since the Unix epoch.
+    reported: Duration,
     received: Instant,
 }
 
 impl Sample {
-    /// What that clock shows now.
+    /// The reported time of day, advanced to `now`.
     fn now(&self, now: Instant) -> Duration {
-        self.shown + now.saturating_duration_since(self.received)
+        self.reported + now.saturating_duration_since(self.received)
     }
 }
 
-/// Agrees on the time of day.
+/// Collects the reported times of day and computes their median.
 #[derive(Debug, Default)]
 pub struct FleetTime {
     samples: HashMap<u64, Sample>,
 }
 
 impl FleetTime {
-    /// The daemon `source` showed the time of day `shown`, since the start of 1970.
-    pub fn observe(&mut self, source: u64, shown: Duration, now: Instant) {
+    /// Records that the daemon `source` reported the time of day `reported`, since the Unix epoch.
+    pub fn observe(&mut self, source: u64, reported: Duration, now: Instant) {
         self.samples.insert(
             source,
             Sample {
-                shown,
+                reported,
                 received: now,
             },
         );
     }
 
-    /// The time of day since the start of 1970, by the median of recent samples; `own` where there are none.
+    /// The median time of day since the Unix epoch. The daemon's own time of day `own` is one of
+    /// the samples.
     #[must_use]
     pub fn now(&self, own: Duration, now: Instant) -> Duration {
-        let mut shown: Vec<Duration> = self
+        let mut reported: Vec<Duration> = self
             .samples
             .values()
-            .filter(|sample| now.saturating_duration_since(sample.received) < SAMPLE_LIFE)
+            .filter(|sample| now.saturating_duration_since(sample.received) < MAX_SAMPLE_AGE)
             .map(|sample| sample.now(now))
             .collect();
-        shown.push(own);
-        shown.sort_unstable();
-        shown[shown.len() / 2]
+        reported.push(own);
+        reported.sort_unstable();
+        reported[reported.len() / 2]
     }
 
-    /// Forgets what no longer counts.
+    /// Removes samples that are too old to count.
     pub fn forget_old(&mut self, now: Instant) {
         self.samples
-            .retain(|_source, sample| now.saturating_duration_since(sample.received) < SAMPLE_LIFE);
+            .retain(|_source, sample| now.saturating_duration_since(sample.received) < MAX_SAMPLE_AGE);
     }
 }
--- a/crates/fleet/src/leadership.rs
+++ b/crates/fleet/src/leadership.rs
@@ -1,49 +1,51 @@
-//! When the leader may act: the daemon that holds the lease for everything that one daemon does for all (orders to
-//! engines, usage reports, the number of engines).
+//! Decides when the leader may act. The leader is the daemon that holds the lease for tasks that
+//! exactly one daemon performs for all: orders to engines, usage reports and the number of engines.
 //!
-//! Pure and driven by the holder's own steady clock. A holder counts its lease from before the call that granted or renewed
-//! it, and stops before the store can let it lapse, with time left for a call on its way to arrive. So the calls of two
-//! holders never overlap, and each carries the fencing token of its holder.
+//! The module does no I/O and uses the holder's monotonic clock. A holder counts its lease from
+//! before the call that granted or renewed it, and stops before the store can let it expire, early
+//! enough for a call in flight to arrive. The calls of two holders therefore never overlap, and
+//! each call carries the fencing token of its holder.
 
 use std::time::{Duration, Instant};
 
-/// Time within which a call of the leader arrives or is abandoned.
+/// Time after which a call of the leader has arrived or is abandoned.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// A lease counts as over this long before the store can end it: clocks of two machines do not run at quite the same speed.
+/// How long before the store can let it expire a lease is regarded as over. Compensates for clocks
+/// that run at different speeds.
 pub const SAFETY_MARGIN: Duration = Duration::from_millis(400);
-/// Where receivers do not check fencing tokens, a new holder waits this many lease times before its first call: a call of
-/// the holder before it may have been held up on its way.
-const UNFENCED_WAIT_LEASES: f64 = 1.3;
+/// Where receivers do not check fencing tokens, a new holder waits this many lease durations before
+/// its first call, because a call of the previous holder may be delayed in the network.
+const UNFENCED_WAIT_LEASE_DURATIONS: f64 = 1.3;
 
-/// How the receivers of a leader's calls treat those of former leaders.
+/// Whether the receivers of a leader's calls reject those of earlier leaders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fencing {
-    /// They refuse a token lower than one that they have seen.
+    /// Receivers reject a token lower than the highest one they have seen.
     Checked,
-    /// They take any.
+    /// Receivers accept any token.
     Ignored,
 }
 
-/// A lease as it was granted.
+/// A granted lease.
 #[derive(Debug, Clone, Copy)]
 pub struct Grant {
-    /// Rises with each holder.
+    /// Fencing token; increases with each holder.
     pub fencing_token: u64,
-    /// Time the lease lives after each renewal.
+    /// Duration of the lease after the grant and after each renewal.
     pub life: Duration,
-    /// When it was asked for.
+    /// Time when the lease was requested.
     pub asked: Instant,
-    /// When this daemon became the holder.
+    /// Time when this daemon became the holder.
     pub answered: Instant,
-    /// When a call of this daemon may last have left before: its last call, or the start of its process, before which
-    /// another process of the same machine may have led.
+    /// Latest time at which this daemon may have sent a call before: its last call, or the start of
+    /// its process, because an earlier process on the same machine may have been the leader.
     pub last_call: Instant,
 }
 
-/// One daemon's time as the leader.
+/// Time span during which one daemon is the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderTerm {
-    /// Fencing token of its calls.
+    /// Fencing token of the leader's calls.
     pub fencing_token: u64,
     life: Duration,
     begins: Instant,
@@ -51,26 +53,27 @@
 }
 
 impl LeaderTerm {
-    /// The time that a grant brings.
+    /// The term that results from a grant.
     ///
-    /// A daemon that led before lets a whole lease time pass since its last call: had another led in between, the two would
-    /// seem to take turns.
+    /// A daemon that was the leader before waits until a lease duration has passed since its last
+    /// call. Otherwise, if another daemon was the leader in between, receivers could see calls
+    /// alternate between the two.
     #[must_use]
     pub fn new(grant: &Grant, fencing: Fencing) -> Self {
         let wait = match fencing {
             Fencing::Checked => Duration::ZERO,
-            Fencing::Ignored => grant.life.mul_f64(UNFENCED_WAIT_LEASES),
+            Fencing::Ignored => grant.life.mul_f64(UNFENCED_WAIT_LEASE_DURATIONS),
         };
-        let not_in_turn = grant.last_call + CALL_TIMEOUT + grant.life;
+        let after_own_last_call = grant.last_call + CALL_TIMEOUT + grant.life;
         Self {
             fencing_token: grant.fencing_token,
             life: grant.life,
-            begins: (grant.answered + wait).max(not_in_turn),
+            begins: (grant.answered + wait).max(after_own_last_call),
             ends: end_of(grant.asked, grant.life),
         }
     }
 
-    /// The lease was renewed by a call that left at `asked`.
+    /// Extends the term after a renewal whose call was sent at `asked`.
     #[must_use]
     pub fn renewed(self, asked: Instant) -> Self {
         Self {
@@ -79,13 +82,13 @@
         }
     }
 
-    /// Whether a call that leaves now arrives while the lease surely holds.
+    /// Whether a call sent now arrives while the lease certainly holds.
     #[must_use]
     pub fn allows_call(&self, now: Instant) -> bool {
         now >= self.begins && now + CALL_TIMEOUT < self.ends
     }
 
-    /// Whether the lease may be over.
+    /// Whether the lease may have expired.
     #[must_use]
     pub fn may_have_expired(&self, now: Instant) -> bool {
         now >= self.ends
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,25 +1,41 @@
-//! Decisions about a fleet whose configuration and directory lie in a store.
+//! Decision logic for a fleet whose configuration and directory are kept in a store.
 //!
-//! Pure: everything takes the time as an argument, nothing does I/O. [`configuration`] is what the
-//! operators want, [`directory`] what back ends record of themselves, [`announcements`] and [`rate_limits`] what they say in
-//! answers, [`health`] what
-//! requests found out,
-//! [`placement`] chooses, [`budget`] bounds repeats, [`events`] cuts streams into whole events,
-//! [`stages`] plans which engines read prompts, [`capacity`] how many engines there are, [`tenants`] resolves
-//! whose request it is, [`fingerprint`] recognizes one that comes again, [`quarantine`] decides which is run no
-//! more since engines end under it, [`usage`] counts them, [`leadership`] decides when the leader may act, [`fleet_time`]
-//! agrees on the time of day, [`topology`] decides which daemons talk to each other, [`distribution`] along which of them the
-//! state of the store spreads.
+//! All modules are free of I/O and take the time as an argument.
+//!
+//! State of the fleet:
+//! - [`configuration`]: routes, services, tenants and limits set by the operators
+//! - [`directory`]: back ends as they describe themselves in the store
+//! - [`announcements`], [`rate_limits`]: what back ends announce in their answers
+//! - [`health`]: what the results of requests show about back ends
+//! - [`topology`]: which daemons talk to each other
+//! - [`followers`], [`distribution`]: how daemons share the work of reading the store
+//! - [`cross_zone_pacer`]: how often digests are sent to other zones
+//! - [`revision`]: revisions of the store
+//! - [`fleet_time`]: time of day that the daemons agree on
+//!
+//! Decisions on requests:
+//! - [`routes`], [`tenants`]: route and tenant of a request
+//! - [`prompt`]: contents of a prompt
+//! - [`placement`], [`stages`]: choice of back ends, and which engines process prompts
+//! - [`budget`]: bounds on retries
+//! - [`events`]: splitting streams into complete events
+//! - [`fingerprint`], [`quarantine`]: recognizing and blocking requests that crash engines
+//!
+//! Decisions on the whole fleet:
+//! - [`capacity`]: number of engines
+//! - [`usage`]: requests of each tenant in each reporting window
+//! - [`leadership`]: when the leader may act
 
 pub mod announcements;
 pub mod budget;
 pub mod capacity;
 pub mod configuration;
+pub mod cross_zone_pacer;
 pub mod directory;
 pub mod distribution;
 pub mod events;
-pub mod cross_zone_pacer;
 pub mod fingerprint;
+pub mod fleet_time;
 pub mod followers;
 pub mod health;
 pub mod leadership;
@@ -32,5 +48,4 @@
 pub mod stages;
 pub mod tenants;
 pub mod topology;
-pub mod fleet_time;
 pub mod usage;
--- a/crates/fleet/src/rate_limits.rs
+++ b/crates/fleet/src/rate_limits.rs
@@ -1,8 +1,10 @@
-//! Rate limits that back ends set in their answers for the requests of all daemons together, and this daemon's share of each.
+//! Rate limits that back ends announce in their answers for the requests of all daemons together,
+//! and this daemon's share of each limit.
 //!
-//! A back end in need names in its answers how many requests a second it takes. The figure holds for one life, until an answer
-//! to a later request no longer names one. It belongs to the back end, so that no daemon can keep it alone: daemons exchange
-//! it, and work out alike who may send how much.
+//! An overloaded back end announces how many requests per second it accepts. The limit applies to
+//! one incarnation, until the answer to a later request no longer announces one. Because it covers
+//! the requests of all daemons, the daemons exchange the limits and each computes the same division
+//! into shares.
 
 mod record;
 mod shares;
@@ -18,81 +20,84 @@
 pub use shares::{MIN_REQUESTS_PER_SECOND, Members, MembersTrust, Share, SharedBackEnd};
 pub use token_bucket::TokenBucket;
 
-/// Highest rate; a higher one counts as this. No back end takes more requests a second, and a mistaken figure stays a number to count with.
+/// Upper bound of a rate limit, to which higher ones are clamped. No back end accepts more, and an
+/// erroneous value stays in a range that is safe to calculate with.
 pub const MAX_REQUESTS_PER_SECOND: f64 = 1e6;
 
-/// Requests a second that a back end takes from all daemons together.
+/// Requests per second that a back end accepts from all daemons together.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// So many requests a second, [`MAX_REQUESTS_PER_SECOND`] at most; none where the figure is no rate.
+    /// Creates a rate, clamped to [`MAX_REQUESTS_PER_SECOND`]; `None` if the value is negative or
+    /// not finite.
     #[must_use]
     pub fn new(per_second: f64) -> Option<Self> {
         let is_rate = per_second.is_finite() && per_second >= 0.0;
         is_rate.then(|| Self(per_second.min(MAX_REQUESTS_PER_SECOND)))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     #[must_use]
     pub const fn per_second(self) -> f64 {
         self.0
     }
 }
 
-/// What one answer says of its back end's rate limit.
+/// Rate limit announced in one answer.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum AnnouncedRate {
-    /// Nothing: it sets none.
+    /// The answer announces no limit.
     #[default]
     Unlimited,
-    /// It takes so many.
+    /// The announced limit.
     Limited(RequestRate),
-    /// Something that is no rate.
+    /// The answer contains a limit that is not a valid rate.
     Unreadable,
 }
 
-/// An answer, as far as it matters for its back end's rate limit.
+/// The parts of an answer that are relevant to the rate limit of its back end.
 #[derive(Debug, Clone, Copy)]
 pub struct RateAnswer {
-    /// What it says.
+    /// Announced limit.
     pub rate: AnnouncedRate,
-    /// When the request that it answers was sent.
+    /// Time when the request was sent.
     pub sent: Instant,
-    /// Whether it answers a request that ran. Refusals and small calls may leave the limit out while it holds.
+    /// Whether the request ran. Refusals and auxiliary calls may omit the limit although it
+    /// applies.
     pub request_ran: bool,
 }
 
-/// How an answer, or what a peer knows, changed a back end's limit.
+/// Change of a back end's limit because of an answer or of a peer's record.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateChange {
-    /// The limit before; none where there was none.
+    /// The previous limit; `None` if there was none.
     pub before: Option<RequestRate>,
-    /// The limit from now on.
+    /// The new limit; `None` if it was lifted.
     pub after: Option<RequestRate>,
 }
 
-/// What came of merging what a peer knows.
+/// Result of merging a peer's record.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RateMerge {
-    /// The change here; none where the limit is the same as before.
+    /// The resulting change; `None` if the limit stayed the same.
     pub change: Option<RateChange>,
-    /// Whether the peer lacks something that is known here.
+    /// Whether this daemon knows something that the peer's record lacks.
     pub peer_is_behind: bool,
 }
 
-/// Whether this daemon may send a request to a back end, as far as the back end's rate limit goes.
+/// Whether the rate limit of a back end allows this daemon to send a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Allowance {
-    /// It may: there is no limit, or a token is there.
+    /// Allowed: there is no limit, or a token is available.
     Now,
-    /// Its next token comes then.
+    /// Not before this time, when the next token becomes available.
     At(Instant),
-    /// It has no share of the limit; other daemons have.
+    /// This daemon has no share of the limit; other daemons have.
     None,
 }
 
-/// The rate limits of all back ends.
+/// Rate limits of all back ends.
 #[derive(Debug, Default)]
 pub struct RateLimits {
     members: Arc<Members>,
@@ -105,21 +110,21 @@
     incarnation: Incarnation,
     zone: Arc<str>,
     record: RateRecord,
-    /// This daemon's share.
+    /// Tokens of this daemon's share.
     bucket: TokenBucket,
-    last: Instant,
+    last_update: Instant,
 }
 
 impl RateLimits {
-    /// Takes what an answer says. Returns the change where the limit is another than before.
+    /// Records the limit announced in an answer. Returns the change if the limit changed.
     pub fn note(
         &mut self,
         back_end: &BackEnd,
         answer: RateAnswer,
         now: Instant,
     ) -> Option<RateChange> {
-        let names_one = matches!(answer.rate, AnnouncedRate::Limited(_));
-        if !names_one && !self.by_back_end.contains_key(&back_end.id) {
+        let announces_rate = matches!(answer.rate, AnnouncedRate::Limited(_));
+        if !announces_rate && !self.by_back_end.contains_key(&back_end.id) {
             return None;
         }
         self.change(back_end, back_end.incarnation, now, |record| {
@@ -127,7 +132,7 @@
         })
     }
 
-    /// Takes what a peer knows of a life of the back end.
+    /// Merges a peer's record of the given incarnation.
     pub fn merge(
         &mut self,
         back_end: &BackEnd,
@@ -143,14 +148,14 @@
         RateMerge { change, peer_is_behind }
     }
 
-    /// What is known of a back end, for telling peers; none where nothing is.
+    /// The record of a back end, to be sent to peers; `None` if nothing is known.
     #[must_use]
     pub fn record(&self, id: &str) -> Option<(Incarnation, RateRecord)> {
         let known = self.by_back_end.get(id)?;
         Some((known.incarnation, known.record))
     }
 
-    /// Back ends that set a limit, in the order of their identities.
+    /// Ids of the back ends with a limit, sorted.
     #[must_use]
     pub fn limited(&self) -> Vec<Arc<str>> {
         let known = self.by_back_end.iter();
@@ -160,13 +165,13 @@
         ids
     }
 
-    /// The limit of this life of the back end; none where it sets none.
+    /// Limit of this incarnation of the back end; `None` if there is none.
     #[must_use]
     pub fn limit(&self, back_end: &BackEnd) -> Option<RequestRate> {
         self.known(back_end)?.record.in_force()
     }
 
-    /// Whether this daemon may send the back end a request now.
+    /// Whether this daemon may send a request to the back end now.
     #[must_use]
     pub fn allowance(&self, back_end: &BackEnd, now: Instant) -> Allowance {
         let known = self.known(back_end);
@@ -180,7 +185,8 @@
         }
     }
 
-    /// A request is to leave for the back end. Returns false where it must not.
+    /// Takes a token for a request that is about to be sent. Returns false if the request must not
+    /// be sent.
     pub fn take(&mut self, back_end: &BackEnd, now: Instant) -> bool {
         let known = self
             .by_back_end
@@ -190,7 +196,8 @@
         known.is_none_or(|limited| limited.bucket.take(now))
     }
 
-    /// Requests a second that this daemon may send to these back ends together, as far as they set limits.
+    /// Sum of this daemon's shares, in requests per second, over those of the back ends that have a
+    /// limit.
     #[must_use]
     pub fn shares(&self, back_ends: &[Arc<BackEnd>]) -> f64 {
         let known = back_ends.iter().filter_map(|back_end| self.known(back_end));
@@ -198,7 +205,7 @@
         limited.map(|known| known.bucket.per_second()).sum()
     }
 
-    /// Sets the daemons that there are, and whether that view can be relied on.
+    /// Sets the known members of the fleet and whether that view is reliable.
     pub fn set_members(&mut self, members: &Arc<Members>, trust: MembersTrust, now: Instant) {
         if Arc::ptr_eq(&self.members, members) && self.trust == trust {
             return;
@@ -206,15 +213,15 @@
         self.members = Arc::clone(members);
         self.trust = trust;
         for (id, known) in &mut self.by_back_end {
-            known.share_out(id, &self.members, self.trust, now);
+            known.update_share(id, &self.members, self.trust, now);
         }
     }
 
-    /// Forgets back ends that the directory does not name, some time after the last news of them: an entry that lapsed may come back
-    /// as it was.
+    /// Removes back ends that are not in the directory once [`TOMBSTONE_RETENTION`] has passed
+    /// since the last information about them: an expired entry may be written again unchanged.
     pub fn forget_absent(&mut self, is_present: impl Fn(&str) -> bool, now: Instant) {
         self.by_back_end.retain(|id, known| {
-            is_present(id) || now.saturating_duration_since(known.last) < TOMBSTONE_RETENTION
+            is_present(id) || now.saturating_duration_since(known.last_update) < TOMBSTONE_RETENTION
         });
     }
 
@@ -223,7 +230,8 @@
         known.filter(|known| known.incarnation >= back_end.incarnation)
     }
 
-    /// Changes what is known of one life, unless a later one is known. Returns how that changed its limit.
+    /// Changes the record of one incarnation unless a later one is known. Returns the change of the
+    /// limit, if any.
     fn change(
         &mut self,
         back_end: &BackEnd,
@@ -234,38 +242,39 @@
         let known = self
             .by_back_end
             .entry(Arc::clone(&back_end.id))
-            .or_insert_with(|| KnownLimit::nothing(back_end, incarnation, now));
+            .or_insert_with(|| KnownLimit::empty_for(back_end, incarnation, now));
         if known.incarnation < incarnation {
-            *known = KnownLimit::nothing(back_end, incarnation, now);
+            *known = KnownLimit::empty_for(back_end, incarnation, now);
         }
         if known.incarnation > incarnation {
             return None;
         }
         let before = known.record.in_force();
         change(&mut known.record);
-        known.last = now;
+        known.last_update = now;
         let after = known.record.in_force();
         if before == after {
             return None;
         }
-        known.share_out(&back_end.id, &self.members, self.trust, now);
+        known.update_share(&back_end.id, &self.members, self.trust, now);
         Some(RateChange { before, after })
     }
 }
 
 impl KnownLimit {
-    fn nothing(back_end: &BackEnd, incarnation: Incarnation, now: Instant) -> Self {
+    fn empty_for(back_end: &BackEnd, incarnation: Incarnation, now: Instant) -> Self {
         Self {
             incarnation,
             zone: Arc::clone(&back_end.zone),
             record: RateRecord::default(),
             bucket: TokenBucket::empty(now),
-            last: now,
+            last_update: now,
         }
     }
 
-    /// Works out this daemon's share anew. A share that begins, begins without tokens: whoever held it before may just have used its own.
-    fn share_out(&mut self, id: &str, members: &Members, trust: MembersTrust, now: Instant) {
+    /// Recomputes this daemon's share. A new share starts without tokens, because its previous
+    /// holder may just have used its own.
+    fn update_share(&mut self, id: &str, members: &Members, trust: MembersTrust, now: Instant) {
         let share = self.record.in_force().map_or(Share::NONE, |rate| {
             let back_end = SharedBackEnd {
                 id,
--- a/crates/fleet/src/rate_limits/record.rs
+++ b/crates/fleet/src/rate_limits/record.rs
@@ -1,44 +1,45 @@
-//! What is known of one life's rate limit, in a form that daemons can merge in any order.
+//! Mergeable record of the rate limit of one incarnation of a back end.
 
 use std::time::Instant;
 
 use super::{AnnouncedRate, RateAnswer, RequestRate};
 
-/// A rate that an answer named.
+/// A rate limit that an answer announced.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NamedRate {
-    /// The rate.
+    /// The announced rate.
     pub rate: RequestRate,
-    /// When the newest request was sent whose answer named it.
+    /// Send time of the newest request whose answer announced this rate.
     pub sent: Instant,
-    /// When the last answer came that named one.
+    /// Time when the last answer that announced any rate was received.
     pub received: Instant,
 }
 
-/// What answers said of one life's limit. The newest statement counts, by when its request was sent.
+/// Rate limit of one incarnation. Of several answers, the one to the most recently sent request
+/// applies.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RateRecord {
-    /// The newest rate.
+    /// The newest announced rate.
     pub named: Option<NamedRate>,
-    /// When the newest request was sent whose answer named none though one was known.
+    /// Send time of the newest request whose answer announced no rate although one was known.
     pub lifted: Option<Instant>,
 }
 
 impl RateRecord {
-    /// The limit that holds; none where there is none.
+    /// The limit that applies; `None` if there is none.
     #[must_use]
     pub fn in_force(&self) -> Option<RequestRate> {
         let is_newer = |named: &NamedRate| self.lifted.is_none_or(|lifted| named.sent > lifted);
         self.named.filter(is_newer).map(|named| named.rate)
     }
 
-    /// Takes what one answer says.
+    /// Records the limit announced in one answer.
     ///
-    /// An answer that names no rate lifts the limit only if its request was sent after the last answer came that named one:
-    /// an earlier one may have been answered before the back end set its limit.
+    /// An answer without a rate lifts the limit only if its request was sent after the last answer
+    /// with a rate was received: the answer to an earlier request may predate the limit.
     pub(super) fn note(&mut self, answer: RateAnswer, now: Instant) {
         match answer.rate {
-            AnnouncedRate::Limited(rate) => self.merge_named(NamedRate {
+            AnnouncedRate::Limited(rate) => self.merge_announced(NamedRate {
                 rate,
                 sent: answer.sent,
                 received: now,
@@ -53,15 +54,15 @@
         }
     }
 
-    /// Takes what another daemon knows. Any order of any records leads to the same.
+    /// Merges another daemon's record. The operation is commutative, associative and idempotent.
     pub(super) fn merge(&mut self, other: &Self) {
         if let Some(named) = other.named {
-            self.merge_named(named);
+            self.merge_announced(named);
         }
         self.lifted = self.lifted.max(other.lifted);
     }
 
-    fn merge_named(&mut self, other: NamedRate) {
+    fn merge_announced(&mut self, other: NamedRate) {
         let Some(known) = &mut self.named else {
             self.named = Some(other);
             return;
--- a/crates/fleet/src/rate_limits/shares.rs
+++ b/crates/fleet/src/rate_limits/shares.rs
@@ -1,7 +1,9 @@
-//! Which daemons share a back end's rate limit, and how much each may send.
+//! Division of a back end's rate limit among the daemons.
 //!
-//! Every daemon works out alike, from the daemons that it knows, which few of them send to the back end at all and that each of these may
-//! send an equal part of its rate. No message is needed for a send, and a daemon that is gone costs its part until the others know it.
+//! From the daemons that it knows, every daemon computes the same small set of holders that may
+//! send to the back end, and each holder may send an equal part of the rate. Sending a request
+//! needs no coordination. The part of a daemon that terminates stays unused until the others know
+//! of it.
 
 use std::sync::Arc;
 
@@ -9,90 +11,90 @@
 
 use super::RequestRate;
 
-/// Lowest rate that is counted with, in requests a second. A back end that takes none, or less, gets a request in ten seconds: only an answer
-/// shows that it takes more again.
+/// Lowest rate used in the calculation. A back end that announces less, or zero, still receives one
+/// request every ten seconds, because only an answer can show that it accepts more again.
 pub const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
 
-/// Part of its share that a daemon sends which has contact neither to the store nor to all of its neighbours. Those may form the rest of the
-/// fleet, who then share the whole rate: both sides together send a quarter too much, within the half that back ends bear. Without it
-/// they sent 30 requests in 4 s of the 24 that a rate of 3.3 a second allows (9 simulated daemons, 5 of them cut off).
-const UNCONFIRMED_PART: f64 = 0.25;
+/// Fraction of its share that a daemon uses while it reaches neither the store nor all of its
+/// neighbours. The unreachable daemons may form the rest of the fleet and divide the whole rate
+/// among themselves. Both sides together then exceed the rate by a quarter, within the half that
+/// back ends tolerate.
+const UNCONFIRMED_FRACTION: f64 = 0.25;
 
-/// The daemons of the fleet, as far as this one knows.
+/// The members of the fleet that this daemon knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Members {
     /// Identity of this daemon.
     pub own: u64,
-    /// All daemons that are known to serve: zone and identity. This one among them once it is known.
+    /// Zone and identity of all daemons known to be serving, including this one once it is known.
     pub daemons: Vec<(Arc<str>, u64)>,
 }
 
-/// Whether what is known of the members can be relied on.
+/// Whether the known members are reliable.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum MembersTrust {
-    /// The store is in contact, or all neighbours are.
+    /// The store or all neighbours are reachable.
     #[default]
     Confirmed,
-    /// Neither.
+    /// Neither the store nor all neighbours are reachable.
     Unconfirmed,
 }
 
-/// What one daemon may send to a back end.
+/// Share of one daemon in the rate limit of a back end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Requests that may be saved up.
+    /// Maximum number of unused tokens that accumulate.
     pub burst: f64,
 }
 
 impl Share {
-    /// Nothing.
+    /// No share: no request may be sent.
     pub const NONE: Self = Self {
         per_second: 0.0,
         burst: 0.0,
     };
 }
 
-/// A back end whose rate is shared.
+/// A back end whose rate limit is shared.
 #[derive(Debug, Clone, Copy)]
 pub struct SharedBackEnd<'a> {
-    /// Identity.
+    /// Id of the back end.
     pub id: &'a str,
-    /// Zone.
+    /// Zone of the back end.
     pub zone: &'a str,
-    /// Rate that it set.
+    /// Rate limit that it announced.
     pub rate: RequestRate,
 }
 
-/// Seconds of a back end's rate that may be saved up by all daemons together, beside one request. With N a second they send 5.5 N + 1 at most
-/// in any 4 s, of the 6 N + 5 that back ends bear: the rest is for views of the members that differ for a moment. With 95 daemons and 12
-/// a second that is enough for 56 in 100 of the rate to be used where nothing else serves, against 46 with one second; two would
-/// leave 4 requests for views that differ (`examples/shared_rates.rs`).
-const SAVED_UP_S: f64 = 1.5;
+/// Seconds of the rate that may accumulate as tokens over all daemons, in addition to one request.
+/// At rate N the daemons send at most 5.5 N + 1 requests in any 4 s, of the 6 N + 5 that back ends
+/// tolerate. The difference allows for views of the members that differ temporarily.
+const ACCUMULATION_S: f64 = 1.5;
 
-/// Requests that all daemons together may have saved up for a back end with this rate.
-fn saved_up(rate: f64) -> f64 {
-    1.0 + rate * SAVED_UP_S
+/// Maximum number of tokens that all daemons together may accumulate for a back end with this rate.
+fn max_accumulated_tokens(rate: f64) -> f64 {
+    1.0 + rate * ACCUMULATION_S
 }
 
-/// Daemons that may send to a back end at all: each may save up a request.
-fn most_holders(rate: f64) -> usize {
+/// Maximum number of daemons that share a rate, such that each may accumulate one token.
+fn max_holders(rate: f64) -> usize {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "not negative; casts saturate"
     )]
-    let whole = saved_up(rate) as usize;
+    let whole = max_accumulated_tokens(rate) as usize;
     whole
 }
 
 impl Members {
-    /// What this daemon may send to the back end.
+    /// Share of this daemon in the back end's rate limit.
     #[must_use]
     pub fn own_share(&self, back_end: SharedBackEnd<'_>, trust: MembersTrust) -> Share {
         let rate = back_end.rate.per_second().max(MIN_REQUESTS_PER_SECOND);
-        let holders = most_holders(rate).min(self.daemons.len());
+        let holders = max_holders(rate).min(self.daemons.len());
         if holders == 0 || !self.is_holder(back_end, holders) {
             return Share::NONE;
         }
@@ -102,16 +104,16 @@
         match trust {
             MembersTrust::Confirmed => Share {
                 per_second: part,
-                burst: saved_up(rate) / holders,
+                burst: max_accumulated_tokens(rate) / holders,
             },
             MembersTrust::Unconfirmed => Share {
-                per_second: part * UNCONFIRMED_PART,
+                per_second: part * UNCONFIRMED_FRACTION,
                 burst: 1.0,
             },
         }
     }
 
-    /// Whether this daemon is one of the first so many in the back end's order of the daemons.
+    /// Whether this daemon is among the first `holders` daemons in the back end's order.
     #[must_use]
     pub fn is_holder(&self, back_end: SharedBackEnd<'_>, holders: usize) -> bool {
         let mut daemons = self.daemons.iter();
@@ -127,8 +129,9 @@
     }
 }
 
-/// Place of a daemon in the back end's order: those of its zone first, then by how early the back end comes in the daemon's own order of
-/// back ends, so that it is among those that the daemon chooses from.
+/// Sort key of a daemon in the back end's order. Daemons of the back end's zone come first, then
+/// those that rank the back end early in their own order of preference, so that it is among their
+/// candidates.
 fn rank(back_end: SharedBackEnd<'_>, (zone, daemon): &(Arc<str>, u64)) -> (bool, u64) {
     let order = xxh3_64_with_seed(back_end.id.as_bytes(), *daemon);
     (**zone != *back_end.zone, order)
--- a/crates/fleet/src/rate_limits/token_bucket.rs
+++ b/crates/fleet/src/rate_limits/token_bucket.rs
@@ -1,49 +1,50 @@
-//! A token bucket that begins empty.
+//! A token bucket that starts empty.
 
 use std::time::{Duration, Instant};
 
-/// Tokens come at a steady rate and are kept up to a bound; each send takes one.
+/// Token bucket: tokens are added at a constant rate up to a maximum, and each request takes one.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     per_second: f64,
-    most: f64,
+    max_tokens: f64,
     tokens: f64,
-    as_of: Instant,
+    updated: Instant,
 }
 
-/// Sums of small parts of a token may miss a whole one by so much.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors when a token is accumulated in small fractions.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl TokenBucket {
-    /// Without tokens, and without any to come.
+    /// A bucket without tokens and with rate zero.
     #[must_use]
     pub const fn empty(now: Instant) -> Self {
         Self {
             per_second: 0.0,
-            most: 0.0,
+            max_tokens: 0.0,
             tokens: 0.0,
-            as_of: now,
+            updated: now,
         }
     }
 
-    /// From now on tokens come at this rate, and `most` at most are kept. Those that are there stay, as far as they fit.
-    pub fn set(&mut self, per_second: f64, most: f64, now: Instant) {
-        self.tokens = self.tokens_at(now).min(most);
-        self.as_of = now;
+    /// Changes the rate and the maximum number of tokens. Existing tokens are kept up to the new
+    /// maximum.
+    pub fn set(&mut self, per_second: f64, max_tokens: f64, now: Instant) {
+        self.tokens = self.tokens_at(now).min(max_tokens);
+        self.updated = now;
         self.per_second = per_second;
-        self.most = most;
+        self.max_tokens = max_tokens;
     }
 
-    /// Tokens a second.
+    /// Rate in tokens per second.
     #[must_use]
     pub const fn per_second(&self) -> f64 {
         self.per_second
     }
 
-    /// When a token is there; none where none comes.
+    /// Time when the next token is available; `None` if the rate is zero and no token is left.
     #[must_use]
     pub fn next(&self, now: Instant) -> Option<Instant> {
-        let missing = 1.0 - ROUNDING - self.tokens_at(now);
+        let missing = 1.0 - ROUNDING_TOLERANCE - self.tokens_at(now);
         if missing <= 0.0 {
             return Some(now);
         }
@@ -51,19 +52,19 @@
         now.checked_add(wait)
     }
 
-    /// Takes a token. Returns false where none is there.
+    /// Takes a token. Returns false if none is available.
     pub fn take(&mut self, now: Instant) -> bool {
         let tokens = self.tokens_at(now);
-        if tokens < 1.0 - ROUNDING {
+        if tokens < 1.0 - ROUNDING_TOLERANCE {
             return false;
         }
         self.tokens = (tokens - 1.0).max(0.0);
-        self.as_of = self.as_of.max(now);
+        self.updated = self.updated.max(now);
         true
     }
 
     fn tokens_at(&self, now: Instant) -> f64 {
-        let time = now.saturating_duration_since(self.as_of).as_secs_f64();
-        (self.tokens + time * self.per_second).min(self.most)
+        let time = now.saturating_duration_since(self.updated).as_secs_f64();
+        (self.tokens + time * self.per_second).min(self.max_tokens)
     }
 }
--- a/crates/fleet/src/revision.rs
+++ b/crates/fleet/src/revision.rs
@@ -1,34 +1,35 @@
-//! Revisions of the store, which order only within one era of it.
+//! Revisions of the store and the eras within which they are ordered.
 //!
-//! A store that comes back from an older copy gives revisions out again, and begins a new era. What was written in a later era
-//! is newer whatever its number.
+//! A store that is restored from an older copy assigns revision numbers again and starts a new era.
+//! What was written in a later era is newer, whatever its number.
 
 use std::fmt;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Bits of a revision that hold its number within the era: at a hundred changes a second enough for three centuries.
+/// Bits for the number within an era: enough for centuries at a hundred changes per second.
 const NUMBER_BITS: u32 = 40;
-/// Bits of a whole revision: what a number of JSON carries exactly, since fencing tokens travel in it.
+/// Bits of a whole revision. JSON numbers represent integers of this size exactly, and fencing
+/// tokens are sent as JSON numbers.
 const REVISION_BITS: u32 = 53;
-const NUMBERS: u64 = 1 << NUMBER_BITS;
-const ERAS: u64 = 1 << (REVISION_BITS - NUMBER_BITS);
+const NUMBERS_PER_ERA: u64 = 1 << NUMBER_BITS;
+const MAX_ERAS: u64 = 1 << (REVISION_BITS - NUMBER_BITS);
 
-/// How often the store had come back from an older copy.
+/// Number of times the store has been restored from an older copy.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Era(u64);
 
 impl Era {
-    /// Before any return.
+    /// The era before any restore.
     pub const FIRST: Self = Self(0);
 
-    /// The era after so many returns; none where there are more than a revision has room for.
+    /// The era after this many restores; `None` if the number exceeds what a revision can hold.
     #[must_use]
     pub fn after_restores(restores: u64) -> Option<Self> {
-        (restores < ERAS).then_some(Self(restores))
+        (restores < MAX_ERAS).then_some(Self(restores))
     }
 
-    /// How many returns came before.
+    /// Number of restores before this era.
     #[must_use]
     pub const fn restores(self) -> u64 {
         self.0
@@ -41,10 +42,10 @@
     }
 }
 
-/// A revision of the store: its era first, then the number that the store gave out in it.
+/// A revision of the store: the era, then the number that the store assigned within it.
 ///
-/// One integer, in messages and as a fencing token too. In the first era it is the bare number, as daemons of builds without eras
-/// send and expect it.
+/// Encoded as one integer, in messages and as a fencing token. In the first era it equals the
+/// number, which keeps it compatible with daemons of builds without eras.
 #[derive(
     Debug,
     Clone,
@@ -61,40 +62,42 @@
 pub struct Revision(u64);
 
 impl Revision {
-    /// The revision with this number in an era; none where the number is larger than any that a store gives out.
+    /// The revision with this number in an era; `None` if the number exceeds what a revision can
+    /// hold.
     #[must_use]
     pub fn new(era: Era, number: u64) -> Option<Self> {
-        (number < NUMBERS).then_some(Self(era.0 << NUMBER_BITS | number))
+        (number < NUMBERS_PER_ERA).then_some(Self(era.0 << NUMBER_BITS | number))
     }
 
-    /// In which era it was given out.
+    /// Era in which the revision was assigned.
     #[must_use]
     pub const fn era(self) -> Era {
         Era(self.0 >> NUMBER_BITS)
     }
 
-    /// The number that the store gave out.
+    /// Number that the store assigned.
     #[must_use]
     pub const fn number(self) -> u64 {
-        self.0 % NUMBERS
+        self.0 % NUMBERS_PER_ERA
     }
 
-    /// The integer that orders revisions, as a fencing token.
+    /// The revision as an integer of the same order, used as a fencing token.
     #[must_use]
     pub const fn as_token(self) -> u64 {
         self.0
     }
 
-    /// The revision so many numbers before, in the same era: its beginning at the earliest.
+    /// The revision this many numbers earlier in the same era, but not before the beginning of the
+    /// era.
     #[must_use]
     pub const fn back_by(self, numbers: u64) -> Self {
         let number = self.number();
-        let back = if numbers < number { numbers } else { number };
-        Self(self.0 - back)
+        let distance = if numbers < number { numbers } else { number };
+        Self(self.0 - distance)
     }
 }
 
-/// `ERA.NUMBER`.
+/// Formats the revision as `ERA.NUMBER`.
 impl fmt::Display for Revision {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}.{}", self.era(), self.number())
--- a/crates/fleet/src/usage.rs
+++ b/crates/fleet/src/usage.rs
@@ -1,8 +1,9 @@
-//! How many requests of each tenant began to run in each reporting window.
+//! Number of requests of each tenant that started to run in each reporting window.
 //!
-//! Each life of a daemon counts what it saw. Its counts only grow, so they can be sent again, out of order and in parts:
-//! whoever holds a copy merges by maximum. A killed daemon's counts are known from the copies. What several lives counted
-//! is added up only when a window is reported.
+//! Each process of a daemon counts the requests it saw. Its counts only grow, so they may be sent
+//! repeatedly, out of order and in parts; receivers merge copies by maximum. The counts of a killed
+//! daemon are known from its copies. The counts of several processes are added up only when a
+//! window is reported.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,48 +11,48 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Number of a reporting window: window `k` starts `k` window lengths after the start of 1970.
+/// Number of a reporting window: window `k` starts `k` window lengths after the Unix epoch.
 pub type WindowNumber = u64;
 
-/// Counts of each tenant, by name.
+/// Number of requests of each tenant, by name.
 pub type TenantCounts = BTreeMap<Arc<str>, u32>;
 
-/// The window that a time of day falls into.
+/// The window that contains a time of day.
 #[must_use]
 pub fn window_at(time_of_day: Duration, length: Duration) -> WindowNumber {
     let windows = time_of_day.as_millis() / length.as_millis().max(1);
     u64::try_from(windows).unwrap_or(u64::MAX)
 }
 
-/// Time of day at which a window ends.
+/// End of a window as a time of day since the Unix epoch.
 #[must_use]
 pub fn end_of_window(window: WindowNumber, length: Duration) -> Duration {
     let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
     Duration::from_millis(window.saturating_add(1).saturating_mul(length_ms))
 }
 
-/// One life of one daemon.
+/// One process of a daemon. A restarted daemon is a new instance.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct DaemonInstance {
-    /// Which daemon.
+    /// Identity of the daemon.
     pub daemon: u64,
-    /// Which start of its process.
+    /// Identifies the start of the process.
     pub start: u64,
 }
 
-/// What one life counted in one window, or a part of it.
+/// Counts of one instance in one window, or a part of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Tally {
-    /// Requests that began to run.
+    /// Requests that started to run.
     pub counts: TenantCounts,
-    /// Sum over all tenants, once the window has ended there and the counts grow no more.
+    /// Sum over all tenants once the instance has closed the window and its counts no longer grow.
     pub final_total: Option<u64>,
 }
 
 impl Tally {
-    /// Takes what another copy knows.
+    /// Merges another copy by maximum.
     pub fn merge(&mut self, other: &Self) {
         for (tenant, count) in &other.counts {
             let known = self.counts.entry(Arc::clone(tenant)).or_default();
@@ -60,7 +61,7 @@
         self.final_total = self.final_total.max(other.final_total);
     }
 
-    /// Whether these are all counts of a window that has ended.
+    /// Whether the tally contains all counts of a closed window.
     #[must_use]
     pub fn is_final(&self) -> bool {
         self.final_total == Some(self.total())
@@ -71,44 +72,44 @@
     }
 }
 
-/// A tally with whose and when.
+/// A tally with its instance and window.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct TallyRecord {
-    /// Whose.
+    /// Instance that counted.
     pub instance: DaemonInstance,
-    /// Of which window.
+    /// Window of the counts.
     pub window: WindowNumber,
-    /// What was counted.
+    /// The counts.
     pub tally: Tally,
 }
 
-/// Every tally that a daemon knows of.
+/// All tallies that a daemon knows.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
     windows: BTreeMap<WindowNumber, BTreeMap<DaemonInstance, Tally>>,
 }
 
 impl UsageLedger {
-    /// One more request of `tenant` began to run, as seen by `instance` itself.
+    /// Counts one more request of `tenant` that `instance`, this process, started to run.
     pub fn count(&mut self, instance: DaemonInstance, window: WindowNumber, tenant: &Arc<str>) {
         let tally = self.tally_mut(instance, window);
         let count = tally.counts.entry(Arc::clone(tenant)).or_default();
         *count = count.saturating_add(1);
     }
 
-    /// The window has ended for `instance`, which counts nothing more in it. Returns its tally.
+    /// Closes the window for `instance`, which must count nothing more in it. Returns its tally.
     pub fn close(&mut self, instance: DaemonInstance, window: WindowNumber) -> Tally {
         let tally = self.tally_mut(instance, window);
         tally.final_total = Some(tally.total());
         tally.clone()
     }
 
-    /// Takes another copy of a tally, or a part of one.
+    /// Merges another copy of a tally, or a part of one.
     pub fn merge(&mut self, other: &TallyRecord) {
         self.tally_mut(other.instance, other.window).merge(&other.tally);
     }
 
-    /// Every tally of a window.
+    /// All tallies of a window.
     #[must_use]
     pub fn tallies(&self, window: WindowNumber) -> Vec<TallyRecord> {
         let lives = self.windows.get(&window).into_iter().flatten();
@@ -121,20 +122,21 @@
             .collect()
     }
 
-    /// Whether anything is known of a window.
+    /// Whether any tally of the window is known.
     #[must_use]
     pub fn knows(&self, window: WindowNumber) -> bool {
         self.windows.contains_key(&window)
     }
 
-    /// Whether the counts of some life of this daemon are complete: the window has ended there, and all of them are here.
+    /// Whether the counts of some instance of the daemon are complete: the instance has closed the
+    /// window, and all of its counts are known here.
     #[must_use]
     pub fn is_final(&self, window: WindowNumber, daemon: u64) -> bool {
         let mut lives = self.windows.get(&window).into_iter().flatten();
         lives.any(|(instance, tally)| instance.daemon == daemon && tally.is_final())
     }
 
-    /// What all lives counted in a window.
+    /// Sum over all instances in a window.
     #[must_use]
     pub fn totals(&self, window: WindowNumber) -> TenantCounts {
         let mut totals = TenantCounts::new();
@@ -152,14 +154,14 @@
         totals
     }
 
-    /// What one life counted of a tenant in a window.
+    /// Count of one instance for a tenant in a window.
     #[must_use]
     pub fn count_of(&self, instance: DaemonInstance, window: WindowNumber, tenant: &str) -> Option<u32> {
         let tally = self.windows.get(&window)?.get(&instance)?;
         tally.counts.get(tenant).copied()
     }
 
-    /// Forgets windows before this one.
+    /// Removes windows before this one.
     pub fn forget_before(&mut self, window: WindowNumber) {
         self.windows = self.windows.split_off(&window);
     }
