--- a/crates/fleet/tests/announcements.rs
+++ b/crates/fleet/tests/announcements.rs
@@ -1,4 +1,5 @@
-//! What back ends announce in their answers: leaving, rest, lives.
+//! Guards against sending requests to back ends whose answers announced that they drain or back
+//! off, and against holding requests back from a later incarnation.
 
 mod support;
 
@@ -11,7 +12,7 @@
 use ponddrift_fleet::directory::{BackEnd, Incarnation, TOMBSTONE_RETENTION};
 use support::engines;
 
-const DRAINS: Announcement = Announcement {
+const DRAINING: Announcement = Announcement {
     drains: true,
     backoff: RequestedBackoff::NotRequested,
 };
@@ -23,9 +24,9 @@
     }
 }
 
-fn life(born: u64) -> BackEnd {
+fn back_end(started_ms: u64) -> BackEnd {
     BackEnd {
-        incarnation: Incarnation(born),
+        incarnation: Incarnation(started_ms),
         ..BackEnd::clone(&engines(0, 1)[0])
     }
 }
@@ -35,35 +36,35 @@
 }
 
 #[test]
-fn leaving_is_final_for_a_life_and_ends_with_it() {
+fn draining_is_final_within_an_incarnation_and_ends_with_it() {
     let start = Instant::now();
     let mut announcements = Announcements::default();
-    let news = announcements.note(&life(5), DRAINS, start);
-    assert_eq!(news, Some(Availability::Draining));
+    let change = announcements.note(&back_end(5), DRAINING, start);
+    assert_eq!(change, Some(Availability::Draining));
     assert_eq!(
-        announcements.note(&life(5), DRAINS, start),
+        announcements.note(&back_end(5), DRAINING, start),
         None,
-        "said before"
+        "already announced"
     );
-    announcements.note(&life(5), backoff(1), start);
+    announcements.note(&back_end(5), backoff(1), start);
     let later = after(3_600, start);
     assert_eq!(
-        announcements.availability(&life(5), later),
+        announcements.availability(&back_end(5), later),
         Availability::Draining
     );
     assert_eq!(
-        announcements.availability(&life(6), later),
+        announcements.availability(&back_end(6), later),
         Availability::Open
     );
-    announcements.note(&life(6), backoff(1), later);
+    announcements.note(&back_end(6), backoff(1), later);
     assert_eq!(
-        announcements.note(&life(5), DRAINS, later),
+        announcements.note(&back_end(5), DRAINING, later),
         None,
-        "an older life"
+        "an earlier incarnation"
     );
-    let resting = announcements.availability(&life(6), later);
+    let availability = announcements.availability(&back_end(6), later);
     assert_eq!(
-        resting,
+        availability,
         Availability::BackingOff {
             until: after(1, later)
         }
@@ -71,17 +72,17 @@
 }
 
 #[test]
-fn of_several_rests_the_latest_end_holds() {
+fn the_latest_end_of_several_backoffs_applies() {
     let start = Instant::now();
     let mut announcements = Announcements::default();
-    let news = announcements.note(&life(0), backoff(5), start);
+    let change = announcements.note(&back_end(0), backoff(5), start);
     let until = after(5, start);
-    assert_eq!(news, Some(Availability::BackingOff { until }));
-    assert_eq!(announcements.note(&life(0), backoff(1), start), None);
-    let resting = announcements.availability(&life(0), after(4, start));
-    assert_eq!(resting, Availability::BackingOff { until });
+    assert_eq!(change, Some(Availability::BackingOff { until }));
+    assert_eq!(announcements.note(&back_end(0), backoff(1), start), None);
+    let availability = announcements.availability(&back_end(0), after(4, start));
+    assert_eq!(availability, Availability::BackingOff { until });
     assert_eq!(
-        announcements.availability(&life(0), until),
+        announcements.availability(&back_end(0), until),
         Availability::Open
     );
 }
@@ -89,19 +90,19 @@
 #[test]
 fn the_order_of_answers_does_not_matter() {
     let start = Instant::now();
-    let words = [(5, DRAINS), (6, backoff(2)), (6, backoff(9)), (4, DRAINS)];
-    for first in 0..words.len() {
-        for second in 0..words.len() {
+    let answers = [(5, DRAINING), (6, backoff(2)), (6, backoff(9)), (4, DRAINING)];
+    for first in 0..answers.len() {
+        for second in 0..answers.len() {
             let mut announcements = Announcements::default();
-            let mut order: Vec<usize> = (0..words.len()).collect();
+            let mut order: Vec<usize> = (0..answers.len()).collect();
             order.swap(first, second);
             for index in order {
-                let (born, announcement) = words[index];
-                announcements.note(&life(born), announcement, start);
+                let (started_ms, announcement) = answers[index];
+                announcements.note(&back_end(started_ms), announcement, start);
             }
-            let resting = announcements.availability(&life(6), start);
+            let availability = announcements.availability(&back_end(6), start);
             assert_eq!(
-                resting,
+                availability,
                 Availability::BackingOff {
                     until: after(9, start)
                 }
@@ -111,45 +112,46 @@
 }
 
 #[test]
-fn a_rest_beyond_all_measure_is_bounded() {
+fn an_excessive_backoff_is_bounded() {
     let start = Instant::now();
     let mut announcements = Announcements::default();
-    let forever = Announcement {
+    let excessive = Announcement {
         drains: false,
         backoff: RequestedBackoff::For(Duration::MAX),
     };
-    announcements.note(&life(0), forever, start);
-    let over = start + MAX_BACKOFF;
+    announcements.note(&back_end(0), excessive, start);
+    let backoff_end = start + MAX_BACKOFF;
     assert_eq!(
-        announcements.availability(&life(0), over),
+        announcements.availability(&back_end(0), backoff_end),
         Availability::Open
     );
 }
 
 #[test]
-fn what_is_no_time_says_nothing() {
+fn an_unreadable_backoff_is_ignored() {
     let start = Instant::now();
     let mut announcements = Announcements::default();
     let unreadable = Announcement {
         drains: false,
         backoff: RequestedBackoff::Unreadable,
     };
-    assert_eq!(announcements.note(&life(0), unreadable, start), None);
+    assert_eq!(announcements.note(&back_end(0), unreadable, start), None);
     assert_eq!(
-        announcements.availability(&life(0), start),
+        announcements.availability(&back_end(0), start),
         Availability::Open
     );
 }
 
-/// While the store is away entries lapse though their back ends are well, and come back as they were before.
+/// While the store is unavailable, entries of healthy back ends expire and are later written again
+/// unchanged.
 #[test]
-fn what_was_said_outlives_an_entry_that_lapsed() {
+fn announcements_outlive_an_expired_entry() {
     let start = Instant::now();
     let mut announcements = Announcements::default();
-    announcements.note(&life(0), DRAINS, start);
+    announcements.note(&back_end(0), DRAINING, start);
     announcements.forget_absent(|_id| false, after(1, start));
     assert_eq!(
-        announcements.availability(&life(0), start),
+        announcements.availability(&back_end(0), start),
         Availability::Draining
     );
     announcements.forget_absent(|_id| true, start + TOMBSTONE_RETENTION);
@@ -159,31 +161,31 @@
 }
 
 #[test]
-fn those_that_rest_and_leave_are_counted_apart() {
+fn backing_off_and_draining_back_ends_are_counted_separately() {
     let start = Instant::now();
     let mut announcements = Announcements::default();
-    announcements.note(&life(0), backoff(2), start);
+    announcements.note(&back_end(0), backoff(2), start);
     let other = BackEnd {
         id: Arc::from("other"),
-        ..life(0)
+        ..back_end(0)
     };
-    announcements.note(&other, DRAINS, start);
+    announcements.note(&other, DRAINING, start);
     let counts = announcements.counts(start);
     assert_eq!((counts.backing_off, counts.draining), (1, 1));
     assert_eq!(announcements.counts(after(2, start)).backing_off, 0);
 }
 
-/// Whatever answers come in whatever order, of however many lives: what holds for the latest life is the same, and said twice it
-/// changes nothing.
+/// The state of the latest incarnation depends neither on the order nor on the repetition of
+/// answers.
 #[test]
-fn any_order_of_any_answers_leads_to_the_same() {
+fn availability_does_not_depend_on_the_order_or_repetition_of_answers() {
     let start = Instant::now();
     bolero::check!()
         .with_type::<Vec<(u8, bool, Option<u8>)>>()
-        .for_each(|words| {
-            let told = |words: &mut dyn Iterator<Item = &(u8, bool, Option<u8>)>| {
+        .for_each(|answers| {
+            let final_availability = |answers: &mut dyn Iterator<Item = &(u8, bool, Option<u8>)>| {
                 let mut announcements = Announcements::default();
-                for (born, drains, seconds) in words {
+                for (started_ms, drains, seconds) in answers {
                     let backoff = seconds.map_or(RequestedBackoff::NotRequested, |seconds| {
                         RequestedBackoff::For(Duration::from_secs(u64::from(seconds)))
                     });
@@ -191,12 +193,12 @@
                         drains: *drains,
                         backoff,
                     };
-                    announcements.note(&life(u64::from(born % 4)), announcement, start);
+                    announcements.note(&back_end(u64::from(started_ms % 4)), announcement, start);
                 }
-                announcements.availability(&life(3), start)
+                announcements.availability(&back_end(3), start)
             };
-            let in_order = told(&mut words.iter());
-            assert_eq!(in_order, told(&mut words.iter().rev()));
-            assert_eq!(in_order, told(&mut words.iter().chain(words)));
+            let in_order = final_availability(&mut answers.iter());
+            assert_eq!(in_order, final_availability(&mut answers.iter().rev()));
+            assert_eq!(in_order, final_availability(&mut answers.iter().chain(answers)));
         });
 }
--- a/crates/fleet/tests/distribution.rs
+++ b/crates/fleet/tests/distribution.rs
@@ -1,4 +1,5 @@
-//! Who reads everything from whom: counted at the size of a fleet, and at ten times that.
+//! Guards against overloading the store or single daemons when all daemons of a large fleet read
+//! the complete state.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,7 +9,7 @@
 use ponddrift_fleet::topology::{FOLLOWERS, Member, SMALL_FLEET};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One zone in which one daemon of sixteen has a fast link.
+/// A zone in which one in sixteen daemons has a fast link.
 fn zone(daemons: u16) -> Vec<Member> {
     (0..daemons)
         .map(|number| {
@@ -24,17 +25,17 @@
 }
 
 fn plans(zone: &[Member]) -> Vec<(SocketAddr, ReadPlan)> {
-    let list = distributors(zone.iter());
+    let distributor_list = distributors(zone.iter());
     zone.iter()
         .map(|member| {
             let own = member.peer_address;
             let spread = xxh3_64(member.name.as_bytes());
-            (own, ReadPlan::of(own, &list, spread))
+            (own, ReadPlan::of(own, &distributor_list, spread))
         })
         .collect()
 }
 
-/// Readers by first provider; those that read the store are under none.
+/// Number of readers by first provider; `None` stands for the store.
 fn readers(zone: &[Member]) -> HashMap<Option<SocketAddr>, usize> {
     let mut readers = HashMap::new();
     for (_own, plan) in plans(zone) {
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn as_many_daemons_read_the_store_in_a_zone_of_a_thousand_as_in_one_of_a_hundred() {
+fn the_number_of_store_readers_does_not_grow_with_the_zone() {
     for daemons in [100, 1_000] {
         let readers = readers(&zone(daemons));
         assert_eq!(readers[&None], FOLLOWERS, "{daemons} daemons");
@@ -52,47 +53,47 @@
 }
 
 #[test]
-fn no_daemon_hands_everything_to_more_than_a_few_whatever_the_size_of_the_zone() {
+fn the_number_of_readers_per_daemon_is_bounded_for_any_zone_size() {
     for daemons in [100, 200, 400, 1_000] {
-        let busiest = readers(&zone(daemons))
+        let most_readers = readers(&zone(daemons))
             .into_iter()
             .filter_map(|(provider, readers)| provider.map(|_provider| readers))
             .max();
         assert!(
-            busiest.is_some_and(|readers| readers <= 40),
-            "{daemons} daemons: {busiest:?}"
+            most_readers.is_some_and(|readers| readers <= 40),
+            "{daemons} daemons: {most_readers:?}"
         );
     }
 }
 
 #[test]
-fn whoever_reads_from_a_daemon_is_two_steps_from_one_that_reads_the_store_at_most() {
+fn every_daemon_is_at_most_two_hops_from_a_reader_of_the_store() {
     let zone = zone(1_000);
     let plans: HashMap<SocketAddr, ReadPlan> = plans(&zone).into_iter().collect();
     for member in &zone {
-        let mut at = member.peer_address;
-        let mut steps = 0;
-        while let Some(provider) = plans[&at].providers.first() {
-            at = *provider;
-            steps += 1;
+        let mut current = member.peer_address;
+        let mut hops = 0;
+        while let Some(provider) = plans[&current].providers.first() {
+            current = *provider;
+            hops += 1;
         }
-        assert!(steps <= 2, "{} is {steps} steps away", member.name);
+        assert!(hops <= 2, "{} is {hops} hops away", member.name);
     }
 }
 
 #[test]
-fn those_with_the_fastest_links_distribute() {
+fn daemons_with_the_fastest_links_are_distributors() {
     let zone = zone(160);
-    let list = distributors(zone.iter());
-    assert_eq!(list.len(), 10);
-    for address in list {
+    let distributor_list = distributors(zone.iter());
+    assert_eq!(distributor_list.len(), 10);
+    for address in distributor_list {
         let member = zone.iter().find(|member| member.peer_address == address);
         assert_eq!(member.map(|member| member.link_megabits), Some(200));
     }
 }
 
 #[test]
-fn a_daemon_has_other_providers_where_its_first_one_fails() {
+fn every_reader_has_several_providers_and_never_itself() {
     let zone = zone(160);
     for (own, plan) in plans(&zone) {
         if plan.providers.is_empty() {
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn in_a_small_neighbourhood_everybody_reads_the_store() {
+fn in_a_small_neighbourhood_all_daemons_read_the_store() {
     let zone = zone(u16::try_from(SMALL_FLEET).expect("small"));
     assert!(distributors(zone.iter()).is_empty());
     assert_eq!(readers(&zone)[&None], zone.len());
--- a/crates/fleet/tests/fingerprint.rs
+++ b/crates/fleet/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints of requests.
+//! Guards against different requests sharing a fingerprint and retries receiving a different one.
 
 use ponddrift_fleet::fingerprint::{RequestContent, RequestFingerprint};
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn whatever_differs_makes_another_fingerprint() {
+fn a_difference_in_any_part_changes_the_fingerprint() {
     let others = [
         RequestContent {
             tenant: None,
@@ -44,7 +44,7 @@
             body: b"another",
             ..CONTENT
         },
-        // Parts that run together are kept apart.
+        // The boundaries between the parts matter.
         RequestContent {
             tenant: Some("aliceP"),
             method: "OST",
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_fingerprint_is_read_as_it_is_written() {
+fn a_formatted_fingerprint_parses_to_the_same() {
     let fingerprint = RequestFingerprint::of(&CONTENT);
     assert_eq!(
         RequestFingerprint::parse(&fingerprint.to_string()),
--- a/crates/fleet/tests/health.rs
+++ b/crates/fleet/tests/health.rs
@@ -1,4 +1,5 @@
-//! What results of a zone's requests find out about a back end.
+//! Guards against back ends that fail for the daemons of a zone staying in use, and against
+//! ejections caused by the faults of a single daemon.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,14 +18,14 @@
     }
 }
 
-const WELL: Results = Results {
+const ONE_SUCCESS: Results = Results {
     successes: 1,
     errors: 0,
     breaks: 0,
 };
 
 #[test]
-fn what_breaks_for_several_daemons_of_a_zone_is_ejected_by_all() {
+fn broken_requests_of_several_daemons_of_a_zone_eject_a_back_end() {
     let mut health = Health::default();
     let now = Instant::now();
     let mut pauses = (0..4).map(|_peer| health.receive(&id(), broken(1), now));
@@ -35,18 +36,18 @@
 }
 
 #[test]
-fn one_daemon_whose_own_link_failed_ejects_nothing_elsewhere() {
+fn broken_requests_of_a_single_daemon_eject_nothing_elsewhere() {
     let mut health = Health::default();
     let now = Instant::now();
     for _ in 0..50 {
         assert!(health.receive(&id(), broken(200), now).is_none());
-        assert!(health.receive(&id(), WELL, now).is_none());
+        assert!(health.receive(&id(), ONE_SUCCESS, now).is_none());
     }
     assert!(!health.is_ejected("i-1"));
 }
 
 #[test]
-fn the_first_failure_on_trial_ejects_again_for_longer() {
+fn the_first_failure_on_trial_ejects_again_with_a_longer_delay() {
     let mut health = Health::default();
     let now = Instant::now();
     let first = health.record(&id(), Outcome::Unreachable, now);
@@ -57,19 +58,19 @@
 }
 
 #[test]
-fn a_trial_ends_with_successes() {
+fn a_trial_ends_after_enough_successes() {
     let mut health = Health::default();
     let now = Instant::now();
     health.record(&id(), Outcome::Unreachable, now);
     health.reinstate("i-1");
     health.record(&id(), Outcome::Success, now);
-    health.receive(&id(), WELL, now);
+    health.receive(&id(), ONE_SUCCESS, now);
     assert!(!health.is_on_trial("i-1"));
     assert!(health.record(&id(), Outcome::Broken, now).is_none());
 }
 
 #[test]
-fn an_ejected_back_end_is_not_checked_while_it_fails_for_others() {
+fn an_ejected_back_end_is_not_checked_while_it_fails_for_peers() {
     let mut health = Health::default();
     let mut now = Instant::now();
     let pause = health
@@ -77,14 +78,14 @@
         .expect("ejected");
     now += pause;
     health.receive(&id(), broken(1), now);
-    let next = health.may_check("i-1", pause, now).expect_err("it fails");
+    let next = health.may_check("i-1", pause, now).expect_err("it failed recently");
     assert!(next > pause);
     now += next;
     assert!(health.may_check("i-1", next, now).is_ok());
 }
 
 #[test]
-fn errors_that_others_had_make_a_back_end_dearer() {
+fn errors_reported_by_peers_increase_the_cost_of_a_back_end() {
     let mut health = Health::default();
     let now = Instant::now();
     let half = Results {
@@ -100,35 +101,35 @@
 }
 
 #[test]
-fn results_are_told_once() {
+fn own_results_are_published_once() {
     let mut health = Health::default();
     health.record(&id(), Outcome::Success, Instant::now());
     health.record(&id(), Outcome::Error, Instant::now());
-    let told = health.take_unpublished();
+    let published = health.take_unpublished();
     let expected = Results {
         successes: 1,
         errors: 1,
         breaks: 0,
     };
-    assert_eq!(told, [(id(), expected)]);
+    assert_eq!(published, [(id(), expected)]);
     assert!(health.take_unpublished().is_empty());
-    let heard = broken(1);
-    health.receive(&id(), heard, Instant::now());
+    let received = broken(1);
+    health.receive(&id(), received, Instant::now());
     assert!(
         health.take_unpublished().is_empty(),
-        "what was heard is not told on"
+        "received results are not published again"
     );
 }
 
 #[test]
-fn whatever_a_back_end_sends_is_a_sign_of_life() {
+fn anything_that_a_back_end_sends_counts_as_activity() {
     let (mut health, now) = (Health::default(), Instant::now());
     let id: Arc<str> = Arc::from("i-1");
     assert!(!health.active_since(&id, now), "never seen");
     health.record_activity(&id, now);
     assert!(health.active_since(&id, now));
     let later = now + Duration::from_millis(300);
-    assert!(!health.active_since(&id, later), "it is old by then");
+    assert!(!health.active_since(&id, later), "the activity was earlier");
     health.record(&id, Outcome::Success, later);
     assert!(health.active_since(&id, later));
     health.record(&id, Outcome::Silent, later + Duration::from_secs(1));
--- a/crates/fleet/tests/leadership_model.rs
+++ b/crates/fleet/tests/leadership_model.rs
@@ -1,73 +1,77 @@
-//! Explores every interleaving of two candidates and one store, up to a bound, and checks what receivers of a leader's calls
-//! may see. Answers are late or lost, one candidate is paused or killed, the lead is given back.
+//! Model checker for the leadership rules: explores all interleavings of two candidates and one
+//! store up to a bound, with delayed and lost answers, pauses, kills and releases. Guards against
+//! receivers seeing a lower fencing token, a token shared by two leaders, or calls that alternate
+//! between leaders.
 //!
-//! Time passes in ticks. In each, either candidate does one thing or none. States are kept relative to the present, so that
-//! the search ends; each is visited once. Faults seeded into the rules must be found.
+//! Time passes in ticks; in each tick every candidate performs at most one action. Times in a state
+//! are relative to the present, so that the number of states is finite and each is visited once.
+//! Faults seeded into the rules must be detected.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
 use ponddrift_fleet::leadership::{Fencing, Grant, LeaderTerm};
 
-/// Length of a tick.
-const TICK: Duration = Duration::from_millis(300);
-/// Ticks that a call takes at most; it is abandoned before the next one.
-const SLOWEST_CALL: u8 = 2;
-/// More states than this are too many to visit in a test.
-const MOST_STATES: usize = 3_000_000;
-/// Ticks until the store takes a call up, and from then to its answer; none where the answer is lost.
-type StoreTimes = &'static [(u8, Option<u8>)];
+/// Duration of a tick.
+const TICK_DURATION: Duration = Duration::from_millis(300);
+/// Maximum number of ticks until a call arrives; it is abandoned before the next tick.
+const MAX_CALL_TICKS: u8 = 2;
+/// Limit on the number of visited states.
+const MAX_STATES: usize = 3_000_000;
+/// Ticks until the store processes a request, and from then until its answer; `None` if the answer
+/// is lost.
+type StoreDelays = &'static [(u8, Option<u8>)];
 
-/// What is explored.
+/// Bounds of an exploration.
 #[derive(Debug, Clone, Copy)]
 struct Scope {
-    /// Pauses and kills.
+    /// Number of pauses and kills.
     faults: u8,
-    /// Times that the lead is given back.
+    /// Number of voluntary releases of the lease.
     releases: u8,
-    store_times: StoreTimes,
-    /// Ticks.
+    store_delays: StoreDelays,
+    /// Number of ticks.
     horizon: usize,
 }
 
-/// A store that is late and loses answers, a fault, and a lead that is given back.
-const TROUBLED: Scope = Scope {
+/// Delayed and lost answers, one fault and one release.
+const UNRELIABLE_STORE: Scope = Scope {
     faults: 1,
     releases: 1,
-    store_times: &[(0, Some(0)), (0, Some(3)), (1, Some(1)), (0, None)],
+    store_delays: &[(0, Some(0)), (0, Some(3)), (1, Some(1)), (0, None)],
     horizon: 16,
 };
-/// A lead that is given back twice, with leases long enough for three leaders in one.
-const HANDED_ON: Scope = Scope {
+/// Two releases, with a lease long enough for three leaders within it.
+const TWO_RELEASES: Scope = Scope {
     faults: 0,
     releases: 2,
-    store_times: &[(0, Some(0)), (0, None)],
+    store_delays: &[(0, Some(0)), (0, None)],
     horizon: 24,
 };
-/// Life of a lease in ticks, by scope.
-const SHORT: u8 = 6;
-const LONG: u8 = 12;
+/// Lease duration in ticks for each scope.
+const SHORT_LEASE_TICKS: u8 = 6;
+const LONG_LEASE_TICKS: u8 = 12;
 
-/// The rules as they are, and faults that the search must find.
+/// The rules as implemented, and variants with a seeded fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Rules {
-    AsTheyAre,
-    /// A lease counts from the store's answer.
+    AsImplemented,
+    /// The lease counts from the store's answer.
     LeaseFromAnswer,
     /// A renewal counts from the store's answer.
     RenewalFromAnswer,
-    /// A call may leave until the store lets the lease lapse.
-    NoTimeForCalls,
-    /// A former leader does not wait.
+    /// A call may be sent until the lease expires in the store.
+    CallUntilExpiry,
+    /// A former leader does not wait after its own last call.
     NoWaitAfterOwnCalls,
-    /// The lead is given back while calls are on their way.
+    /// The lease is released while calls are in flight.
     ReleaseAtOnce,
 }
 
-/// What a candidate was granted; times in ticks before now.
+/// A grant held by a candidate; times in ticks before now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Held {
-    /// Grants since this one.
+struct HeldGrant {
+    /// Number of later grants.
     token_age: u8,
     asked: u8,
     answered: u8,
@@ -76,98 +80,98 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Question {
+enum RequestKind {
     Take,
     Renew,
     Release,
 }
 
-/// A call to the store on its way.
+/// A request to the store in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Asked {
-    question: Question,
+struct PendingRequest {
+    kind: RequestKind,
     asked: u8,
-    taken_up_in: Option<u8>,
-    answered_in: Option<u8>,
-    /// Whether the store did it, once it has taken it up.
+    processed_in: Option<u8>,
+    answer_in: Option<u8>,
+    /// Whether the store performed the request, once processed.
     done: bool,
     token_age: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct Candidate {
-    held: Option<Held>,
-    asked: Option<Asked>,
+    held: Option<HeldGrant>,
+    pending: Option<PendingRequest>,
     last_call: u8,
     paused: u8,
-    /// A call on its way: ticks until it arrives, and its token's age.
+    /// Call in flight: ticks until it arrives, and the age of its token.
     call: Option<(u8, u8)>,
-    /// Gives the lead back in so many ticks.
+    /// Ticks until the candidate releases the lease.
     releases_in: Option<u8>,
 }
 
-/// The store's lease.
+/// The lease as the store holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Lease {
     holder: usize,
     left: u8,
 }
 
-/// What the receiver has seen of one candidate, in ticks before now.
+/// Times of a candidate's calls at the receiver, in ticks before now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Seen {
+struct SeenCalls {
     newest: u8,
-    /// Its newest call before the other's newest.
+    /// The last call before the newest call of the other candidate.
     before_other: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct State<const LIFE: u8> {
+struct State<const LEASE_TICKS: u8> {
     candidates: [Candidate; 2],
     lease: Option<Lease>,
-    seen: [Seen; 2],
-    /// Age of the highest token that was seen, and whose it was.
+    seen: [SeenCalls; 2],
+    /// Age of the highest token seen, and the candidate that sent it.
     highest: Option<(u8, usize)>,
     faults_left: u8,
     releases_left: u8,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fault {
+enum Violation {
     LowerToken,
-    SameTokenOfTwo,
-    TakeTurns,
+    SharedToken,
+    AlternatingCalls,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Step {
     Nothing,
-    Ask(Question, u8, Option<u8>),
-    Call(u8),
+    SendRequest(RequestKind, u8, Option<u8>),
+    SendCall(u8),
     Pause,
     Kill,
     BeginRelease,
 }
 
-impl<const LIFE: u8> State<LIFE> {
-    /// What happened so many ticks ago no longer matters.
-    const LONG_AGO: u8 = LIFE + 3;
-    /// A lease is renewed when it was granted or renewed so many ticks ago.
-    const RENEWAL: u8 = LIFE / 3;
-    /// Ticks that a paused candidate stands still.
-    const PAUSE: u8 = LIFE + 3;
+impl<const LEASE_TICKS: u8> State<LEASE_TICKS> {
+    /// Age in ticks beyond which events no longer matter.
+    const MAX_AGE_TICKS: u8 = LEASE_TICKS + 3;
+    /// Age in ticks of a grant or renewal at which the lease is renewed.
+    const RENEWAL_AGE_TICKS: u8 = LEASE_TICKS / 3;
+    /// Duration of a pause in ticks.
+    const PAUSE_TICKS: u8 = LEASE_TICKS + 3;
 
-    fn older(ticks: u8) -> u8 {
-        (ticks + 1).min(Self::LONG_AGO)
+    fn increment_age(ticks: u8) -> u8 {
+        (ticks + 1).min(Self::MAX_AGE_TICKS)
     }
 
     fn first(scope: Scope) -> Self {
-        let long_ago = Seen {
-            newest: Self::LONG_AGO,
-            before_other: Self::LONG_AGO,
+        let long_ago = SeenCalls {
+            newest: Self::MAX_AGE_TICKS,
+            before_other: Self::MAX_AGE_TICKS,
         };
         let candidate = Candidate {
-            last_call: Self::LONG_AGO,
+            last_call: Self::MAX_AGE_TICKS,
             ..Candidate::default()
         };
         Self {
@@ -180,29 +184,29 @@
         }
     }
 
-    fn may_call(&self, who: usize, rules: Rules) -> bool {
-        let candidate = &self.candidates[who];
+    fn may_call(&self, index: usize, rules: Rules) -> bool {
+        let candidate = &self.candidates[index];
         let Some(held) = candidate.held else {
             return false;
         };
         if candidate.releases_in.is_some() {
             return false;
         }
-        let now = Instant::now() + TICK * 1_000;
-        let ago = |ticks: u8| now - TICK * u32::from(ticks);
+        let now = Instant::now() + TICK_DURATION * 1_000;
+        let ago = |ticks: u8| now - TICK_DURATION * u32::from(ticks);
         let asked = match rules {
             Rules::LeaseFromAnswer => ago(held.answered),
             _ => ago(held.asked),
         };
         let last_call = match rules {
             Rules::NoWaitAfterOwnCalls => ago(100),
-            // Beyond that nobody remembers, and nothing depends on it.
-            _ if held.last_call >= Self::LONG_AGO => ago(100),
+            // Nothing depends on older calls.
+            _ if held.last_call >= Self::MAX_AGE_TICKS => ago(100),
             _ => ago(held.last_call),
         };
         let grant = Grant {
             fencing_token: 1,
-            life: TICK * u32::from(LIFE),
+            life: TICK_DURATION * u32::from(LEASE_TICKS),
             asked,
             answered: ago(held.answered),
             last_call,
@@ -213,76 +217,76 @@
             None => term,
         };
         match rules {
-            Rules::NoTimeForCalls => held.renewed.unwrap_or(held.asked) < LIFE,
+            Rules::CallUntilExpiry => held.renewed.unwrap_or(held.asked) < LEASE_TICKS,
             _ => term.allows_call(now),
         }
     }
 
-    fn steps(&self, who: usize, rules: Rules, scope: Scope) -> Vec<Step> {
-        let candidate = &self.candidates[who];
+    fn steps(&self, index: usize, rules: Rules, scope: Scope) -> Vec<Step> {
+        let candidate = &self.candidates[index];
         let mut steps = vec![Step::Nothing];
         if candidate.paused > 0 {
             return steps;
         }
-        let mut ask = |question| {
-            let times = scope.store_times.iter();
-            steps.extend(times.map(|(up, answer)| Step::Ask(question, *up, *answer)));
+        let mut ask = |kind| {
+            let times = scope.store_delays.iter();
+            steps.extend(times.map(|(processing, answering)| Step::SendRequest(kind, *processing, *answering)));
         };
-        if candidate.asked.is_none() && candidate.releases_in.is_none() {
+        if candidate.pending.is_none() && candidate.releases_in.is_none() {
             match candidate.held {
-                // Both watch the store.
-                None if self.lease.is_none() => ask(Question::Take),
-                Some(held) if held.renewed.unwrap_or(held.asked) >= Self::RENEWAL => {
-                    ask(Question::Renew);
+                // Both candidates watch the store.
+                None if self.lease.is_none() => ask(RequestKind::Take),
+                Some(held) if held.renewed.unwrap_or(held.asked) >= Self::RENEWAL_AGE_TICKS => {
+                    ask(RequestKind::Renew);
                 }
                 _ => {}
             }
         }
-        if candidate.call.is_none() && self.may_call(who, rules) {
-            steps.push(Step::Call(0));
-            steps.push(Step::Call(SLOWEST_CALL));
+        if candidate.call.is_none() && self.may_call(index, rules) {
+            steps.push(Step::SendCall(0));
+            steps.push(Step::SendCall(MAX_CALL_TICKS));
         }
-        if self.faults_left > 0 && (candidate.held.is_some() || candidate.asked.is_some()) {
+        if self.faults_left > 0 && (candidate.held.is_some() || candidate.pending.is_some()) {
             steps.push(Step::Pause);
             steps.push(Step::Kill);
         }
         let may_release = self.releases_left > 0 && candidate.releases_in.is_none();
-        if may_release && candidate.held.is_some() && candidate.asked.is_none() {
+        if may_release && candidate.held.is_some() && candidate.pending.is_none() {
             steps.push(Step::BeginRelease);
         }
         steps
     }
 
-    fn take_step(&mut self, who: usize, step: Step, rules: Rules) {
-        let candidate = &mut self.candidates[who];
+    fn take_step(&mut self, index: usize, step: Step, rules: Rules) {
+        let candidate = &mut self.candidates[index];
         match step {
             Step::Nothing => {}
-            Step::Ask(question, up, answer) => {
-                candidate.asked = Some(Asked {
-                    question,
+            Step::SendRequest(kind, processing, answering) => {
+                candidate.pending = Some(PendingRequest {
+                    kind,
                     asked: 0,
-                    taken_up_in: Some(up),
-                    answered_in: answer.map(|answer| up + answer),
+                    processed_in: Some(processing),
+                    answer_in: answering.map(|answering| processing + answering),
                     done: false,
                     token_age: 0,
                 });
             }
-            Step::Call(takes) => {
+            Step::SendCall(takes) => {
                 let held = candidate.held.expect("it leads");
                 candidate.call = Some((takes, held.token_age));
                 candidate.last_call = 0;
                 if rules == Rules::ReleaseAtOnce && self.releases_left > 0 {
                     candidate.held = None;
-                    self.lease = self.lease.filter(|lease| lease.holder != who);
+                    self.lease = self.lease.filter(|lease| lease.holder != index);
                     self.releases_left -= 1;
                 }
             }
             Step::Pause => {
-                candidate.paused = Self::PAUSE;
+                candidate.paused = Self::PAUSE_TICKS;
                 self.faults_left -= 1;
             }
             Step::Kill => {
-                // Another process starts at once; what is on its way arrives all the same.
+                // The process restarts immediately; a call in flight still arrives.
                 *candidate = Candidate {
                     last_call: 0,
                     call: candidate.call,
@@ -291,35 +295,35 @@
                 self.faults_left -= 1;
             }
             Step::BeginRelease => {
-                candidate.releases_in = Some(SLOWEST_CALL + 1);
+                candidate.releases_in = Some(MAX_CALL_TICKS + 1);
                 self.releases_left -= 1;
             }
         }
     }
 
-    /// Lets one tick pass: what is due arrives.
-    fn pass(&mut self, rules: Rules) -> Result<(), Fault> {
-        for who in 0..2 {
-            self.begin_release(who);
-            self.store_takes_up(who);
-            self.answer_arrives(who);
-            self.call_arrives(who)?;
+    /// Advances time by one tick and delivers what is due.
+    fn advance_tick(&mut self, rules: Rules) -> Result<(), Violation> {
+        for index in 0..2 {
+            self.begin_release(index);
+            self.store_processes_request(index);
+            self.answer_arrives(index);
+            self.call_arrives(index)?;
         }
         self.age(rules);
         Ok(())
     }
 
-    fn begin_release(&mut self, who: usize) {
-        let candidate = &mut self.candidates[who];
+    fn begin_release(&mut self, index: usize) {
+        let candidate = &mut self.candidates[index];
         match candidate.releases_in {
             Some(0) => {
                 candidate.releases_in = None;
                 candidate.held = None;
-                candidate.asked = Some(Asked {
-                    question: Question::Release,
+                candidate.pending = Some(PendingRequest {
+                    kind: RequestKind::Release,
                     asked: 0,
-                    taken_up_in: Some(0),
-                    answered_in: Some(0),
+                    processed_in: Some(0),
+                    answer_in: Some(0),
                     done: false,
                     token_age: 0,
                 });
@@ -329,49 +333,49 @@
         }
     }
 
-    fn store_takes_up(&mut self, who: usize) {
-        let Some(mut asked) = self.candidates[who].asked else {
+    fn store_processes_request(&mut self, index: usize) {
+        let Some(mut pending) = self.candidates[index].pending else {
             return;
         };
-        if asked.taken_up_in != Some(0) {
+        if pending.processed_in != Some(0) {
             return;
         }
-        asked.taken_up_in = None;
-        let holds = self.lease.is_some_and(|lease| lease.holder == who);
-        match asked.question {
-            Question::Take if self.lease.is_none() => {
+        pending.processed_in = None;
+        let holds = self.lease.is_some_and(|lease| lease.holder == index);
+        match pending.kind {
+            RequestKind::Take if self.lease.is_none() => {
                 self.lease = Some(Lease {
-                    holder: who,
-                    left: LIFE,
+                    holder: index,
+                    left: LEASE_TICKS,
                 });
-                asked.done = true;
-                self.tokens_age();
+                pending.done = true;
+                self.age_tokens();
             }
-            Question::Take => {}
-            Question::Renew if holds => {
+            RequestKind::Take => {}
+            RequestKind::Renew if holds => {
                 self.lease = Some(Lease {
-                    holder: who,
-                    left: LIFE,
+                    holder: index,
+                    left: LEASE_TICKS,
                 });
-                asked.done = true;
+                pending.done = true;
             }
-            Question::Renew => {}
-            Question::Release if holds => self.lease = None,
-            Question::Release => {}
+            RequestKind::Renew => {}
+            RequestKind::Release if holds => self.lease = None,
+            RequestKind::Release => {}
         }
-        self.candidates[who].asked = Some(asked);
+        self.candidates[index].pending = Some(pending);
     }
 
-    /// Another token was handed out: all others are one older.
-    fn tokens_age(&mut self) {
+    /// Ages all tokens after a new one was granted.
+    fn age_tokens(&mut self) {
         for candidate in &mut self.candidates {
             if let Some(held) = &mut candidate.held {
                 held.token_age = (held.token_age + 1).min(9);
             }
-            if let Some(asked) = &mut candidate.asked
-                && asked.done
+            if let Some(pending) = &mut candidate.pending
+                && pending.done
             {
-                asked.token_age = (asked.token_age + 1).min(9);
+                pending.token_age = (pending.token_age + 1).min(9);
             }
             if let Some((_left, token_age)) = &mut candidate.call {
                 *token_age = (*token_age + 1).min(9);
@@ -382,94 +386,94 @@
         }
     }
 
-    fn answer_arrives(&mut self, who: usize) {
-        let candidate = &mut self.candidates[who];
-        let Some(asked) = candidate.asked else {
+    fn answer_arrives(&mut self, index: usize) {
+        let candidate = &mut self.candidates[index];
+        let Some(pending) = candidate.pending else {
             return;
         };
-        let is_due = asked.answered_in == Some(0) && candidate.paused == 0;
+        let is_due = pending.answer_in == Some(0) && candidate.paused == 0;
         if !is_due {
             return;
         }
-        candidate.asked = None;
-        match (asked.question, asked.done) {
-            (Question::Take, true) => {
-                candidate.held = Some(Held {
-                    token_age: asked.token_age,
-                    asked: asked.asked,
+        candidate.pending = None;
+        match (pending.kind, pending.done) {
+            (RequestKind::Take, true) => {
+                candidate.held = Some(HeldGrant {
+                    token_age: pending.token_age,
+                    asked: pending.asked,
                     answered: 0,
                     last_call: candidate.last_call,
                     renewed: None,
                 });
             }
-            (Question::Renew, true) => {
+            (RequestKind::Renew, true) => {
                 if let Some(held) = &mut candidate.held {
-                    held.renewed = Some(asked.asked);
+                    held.renewed = Some(pending.asked);
                 }
             }
-            (Question::Renew, false) => candidate.held = None,
+            (RequestKind::Renew, false) => candidate.held = None,
             _ => {}
         }
     }
 
-    fn call_arrives(&mut self, who: usize) -> Result<(), Fault> {
-        let Some((left, token_age)) = self.candidates[who].call else {
+    fn call_arrives(&mut self, index: usize) -> Result<(), Violation> {
+        let Some((left, token_age)) = self.candidates[index].call else {
             return Ok(());
         };
         if left > 0 {
-            self.candidates[who].call = Some((left - 1, token_age));
+            self.candidates[index].call = Some((left - 1, token_age));
             return Ok(());
         }
-        self.candidates[who].call = None;
-        if let Some((highest_age, whose)) = self.highest {
+        self.candidates[index].call = None;
+        if let Some((highest_age, sender)) = self.highest {
             if token_age > highest_age {
-                return Err(Fault::LowerToken);
+                return Err(Violation::LowerToken);
             }
-            if token_age == highest_age && whose != who {
-                return Err(Fault::SameTokenOfTwo);
+            if token_age == highest_age && sender != index {
+                return Err(Violation::SharedToken);
             }
         }
-        let other = 1 - who;
-        if self.seen[who].before_other < LIFE && self.seen[other].newest < Self::LONG_AGO {
-            return Err(Fault::TakeTurns);
+        let other = 1 - index;
+        if self.seen[index].before_other < LEASE_TICKS && self.seen[other].newest < Self::MAX_AGE_TICKS {
+            return Err(Violation::AlternatingCalls);
         }
-        self.highest = Some((token_age, who));
-        self.seen[who].newest = 0;
+        self.highest = Some((token_age, index));
+        self.seen[index].newest = 0;
         let others_newest = self.seen[other].newest;
         self.seen[other].before_other = others_newest;
-        self.seen[who].before_other = Self::LONG_AGO;
+        self.seen[index].before_other = Self::MAX_AGE_TICKS;
         Ok(())
     }
 
     fn age(&mut self, rules: Rules) {
         for candidate in &mut self.candidates {
             candidate.paused = candidate.paused.saturating_sub(1);
-            candidate.last_call = Self::older(candidate.last_call);
+            candidate.last_call = Self::increment_age(candidate.last_call);
             if let Some(held) = &mut candidate.held {
-                held.asked = Self::older(held.asked);
-                held.answered = Self::older(held.answered);
-                held.last_call = Self::older(held.last_call);
-                held.renewed = held.renewed.map(Self::older);
-                if held.renewed.unwrap_or(held.asked) >= Self::LONG_AGO {
+                held.asked = Self::increment_age(held.asked);
+                held.answered = Self::increment_age(held.answered);
+                held.last_call = Self::increment_age(held.last_call);
+                held.renewed = held.renewed.map(Self::increment_age);
+                if held.renewed.unwrap_or(held.asked) >= Self::MAX_AGE_TICKS {
                     candidate.held = None;
                 }
             }
-            if let Some(asked) = &mut candidate.asked {
-                // A renewal that is counted from its answer seems never to grow old.
-                if !(rules == Rules::RenewalFromAnswer && asked.question == Question::Renew) {
-                    asked.asked = Self::older(asked.asked);
+            if let Some(pending) = &mut candidate.pending {
+                // A renewal that counts from its answer does not age while in flight.
+                if !(rules == Rules::RenewalFromAnswer && pending.kind == RequestKind::Renew) {
+                    pending.asked = Self::increment_age(pending.asked);
                 }
-                asked.taken_up_in = asked.taken_up_in.map(|left| left.saturating_sub(1));
-                asked.answered_in = asked.answered_in.map(|left| left.saturating_sub(1));
-                let is_given_up = asked.answered_in.is_none() && asked.taken_up_in.is_none();
-                if is_given_up {
-                    candidate.asked = None;
+                pending.processed_in = pending.processed_in.map(|left| left.saturating_sub(1));
+                pending.answer_in = pending.answer_in.map(|left| left.saturating_sub(1));
+                let is_abandoned = pending.answer_in.is_none() && pending.processed_in.is_none();
+                if is_abandoned {
+                    candidate.pending = None;
                 }
             }
         }
         for seen in &mut self.seen {
-            seen.newest = Self::older(seen.newest);
-            seen.before_other = Self::older(seen.before_other);
+            seen.newest = Self::increment_age(seen.newest);
+            seen.before_other = Self::increment_age(seen.before_other);
         }
         if let Some(lease) = &mut self.lease {
             lease.left -= 1;
@@ -480,27 +484,27 @@
     }
 }
 
-/// Visits every state within the horizon. Returns how many there are, and the first fault with the steps of its last tick.
-fn explore<const LIFE: u8>(rules: Rules, scope: Scope) -> (usize, Option<Fault>) {
-    let first = State::<LIFE>::first(scope);
+/// Visits all states within the horizon. Returns their number and the first violation found.
+fn explore<const LEASE_TICKS: u8>(rules: Rules, scope: Scope) -> (usize, Option<Violation>) {
+    let first = State::<LEASE_TICKS>::first(scope);
     let mut visited = HashSet::from([first]);
     let mut layer = vec![first];
     for _tick in 0..scope.horizon {
         let mut next = Vec::new();
         for state in layer {
             for first in state.steps(0, rules, scope) {
-                let mut half = state;
-                half.take_step(0, first, rules);
-                for second in half.steps(1, rules, scope) {
-                    let mut after = half;
+                let mut intermediate = state;
+                intermediate.take_step(0, first, rules);
+                for second in intermediate.steps(1, rules, scope) {
+                    let mut after = intermediate;
                     after.take_step(1, second, rules);
-                    if let Err(fault) = after.pass(rules) {
-                        return (visited.len(), Some(fault));
+                    if let Err(violation) = after.advance_tick(rules) {
+                        return (visited.len(), Some(violation));
                     }
                     if visited.insert(after) {
                         next.push(after);
                     }
-                    assert!(visited.len() <= MOST_STATES, "too many states");
+                    assert!(visited.len() <= MAX_STATES, "too many states");
                 }
             }
         }
@@ -510,32 +514,32 @@
 }
 
 #[test]
-fn no_interleaving_shows_receivers_a_lower_token_a_shared_one_or_turns() {
-    let found = [
-        explore::<SHORT>(Rules::AsTheyAre, TROUBLED),
-        explore::<LONG>(Rules::AsTheyAre, HANDED_ON),
+fn no_interleaving_violates_the_rules_at_receivers() {
+    let results = [
+        explore::<SHORT_LEASE_TICKS>(Rules::AsImplemented, UNRELIABLE_STORE),
+        explore::<LONG_LEASE_TICKS>(Rules::AsImplemented, TWO_RELEASES),
     ];
-    for (states, fault) in found {
-        assert_eq!(fault, None);
+    for (states, violation) in results {
+        assert_eq!(violation, None);
         assert!(
             states > 1_000,
-            "{states} states are too few to mean anything"
+            "only {states} states were visited"
         );
     }
 }
 
 #[test]
-fn each_fault_seeded_into_the_rules_is_found() {
+fn each_fault_seeded_into_the_rules_is_detected() {
     let seeded = [
         Rules::LeaseFromAnswer,
         Rules::RenewalFromAnswer,
-        Rules::NoTimeForCalls,
+        Rules::CallUntilExpiry,
         Rules::NoWaitAfterOwnCalls,
         Rules::ReleaseAtOnce,
     ];
     for rules in seeded {
-        let troubled = explore::<SHORT>(rules, TROUBLED).1;
-        let fault = troubled.or_else(|| explore::<LONG>(rules, HANDED_ON).1);
-        assert!(fault.is_some(), "{rules:?} is not found");
+        let in_first_scope = explore::<SHORT_LEASE_TICKS>(rules, UNRELIABLE_STORE).1;
+        let violation = in_first_scope.or_else(|| explore::<LONG_LEASE_TICKS>(rules, TWO_RELEASES).1);
+        assert!(violation.is_some(), "{rules:?} is not detected");
     }
 }
--- a/crates/fleet/tests/rate_limits.rs
+++ b/crates/fleet/tests/rate_limits.rs
@@ -1,4 +1,5 @@
-//! Rate limits of back ends: what holds of several answers, who shares a limit, what a share allows.
+//! Guards against daemons that together exceed the rate limit of a back end, and against limits
+//! that are lost or outlive their incarnation.
 
 mod support;
 
@@ -13,16 +14,16 @@
 };
 use support::engines;
 
-/// Time over which back ends count their requests.
+/// Time window in which back ends count requests.
 const WINDOW_S: f64 = 4.0;
 
 fn rate(per_second: f64) -> RequestRate {
     RequestRate::new(per_second).expect("a rate")
 }
 
-fn life(born: u64) -> BackEnd {
+fn back_end_started_at(started_ms: u64) -> BackEnd {
     BackEnd {
-        incarnation: Incarnation(born),
+        incarnation: Incarnation(started_ms),
         ..BackEnd::clone(&engines(0, 1)[0])
     }
 }
@@ -31,7 +32,7 @@
     start + Duration::from_millis(milliseconds)
 }
 
-fn names(per_second: f64, sent: Instant) -> RateAnswer {
+fn announces(per_second: f64, sent: Instant) -> RateAnswer {
     RateAnswer {
         rate: AnnouncedRate::Limited(rate(per_second)),
         sent,
@@ -39,7 +40,7 @@
     }
 }
 
-fn names_none(sent: Instant) -> RateAnswer {
+fn announces_none(sent: Instant) -> RateAnswer {
     RateAnswer {
         rate: AnnouncedRate::Unlimited,
         sent,
@@ -47,7 +48,7 @@
     }
 }
 
-/// So many daemons of so many zones, seen by the one with this number.
+/// The given numbers of daemons and zones as seen by daemon `own`.
 fn members(daemons: u64, zones: u64, own: u64) -> Arc<Members> {
     let zone = |daemon: u64| Arc::from(format!("z{}", daemon % zones));
     Arc::new(Members {
@@ -58,15 +59,15 @@
     })
 }
 
-/// Limits as a fleet's only daemon keeps them.
-fn alone(now: Instant) -> RateLimits {
+/// Limits of a daemon that is alone in its fleet.
+fn single_daemon_limits(now: Instant) -> RateLimits {
     let mut limits = RateLimits::default();
     limits.set_members(&members(1, 1, 0), MembersTrust::Confirmed, now);
     limits
 }
 
 #[test]
-fn a_figure_that_is_no_rate_is_none() {
+fn an_invalid_rate_is_rejected() {
     for figure in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -0.1, -1e300] {
         assert_eq!(RequestRate::new(figure), None, "{figure}");
     }
@@ -75,41 +76,41 @@
 }
 
 #[test]
-fn the_newest_word_counts_by_when_its_request_was_sent() {
+fn the_answer_to_the_most_recently_sent_request_applies() {
     let start = Instant::now();
-    let back_end = life(1);
-    let mut limits = alone(start);
+    let back_end = back_end_started_at(1);
+    let mut limits = single_daemon_limits(start);
     assert_eq!(limits.limit(&back_end), None);
-    limits.note(&back_end, names(5.0, at(100, start)), at(200, start));
-    limits.note(&back_end, names(3.0, at(50, start)), at(300, start));
-    assert_eq!(limits.limit(&back_end), Some(rate(5.0)), "sent before");
-    limits.note(&back_end, names_none(at(250, start)), at(400, start));
+    limits.note(&back_end, announces(5.0, at(100, start)), at(200, start));
+    limits.note(&back_end, announces(3.0, at(50, start)), at(300, start));
+    assert_eq!(limits.limit(&back_end), Some(rate(5.0)), "the answer belongs to an earlier request");
+    limits.note(&back_end, announces_none(at(250, start)), at(400, start));
     assert_eq!(
         limits.limit(&back_end),
         Some(rate(5.0)),
-        "it may have been answered before the last one that named a rate"
+        "the answer may predate the last one that announced a rate"
     );
-    limits.note(&back_end, names_none(at(301, start)), at(500, start));
+    limits.note(&back_end, announces_none(at(301, start)), at(500, start));
     assert_eq!(limits.limit(&back_end), None, "lifted");
-    limits.note(&back_end, names(4.0, at(120, start)), at(600, start));
-    assert_eq!(limits.limit(&back_end), None, "an older word comes late");
-    limits.note(&back_end, names(4.0, at(610, start)), at(620, start));
+    limits.note(&back_end, announces(4.0, at(120, start)), at(600, start));
+    assert_eq!(limits.limit(&back_end), None, "a delayed answer to an earlier request");
+    limits.note(&back_end, announces(4.0, at(610, start)), at(620, start));
     assert_eq!(limits.limit(&back_end), Some(rate(4.0)));
 }
 
 #[test]
-fn a_refusal_or_a_figure_that_cannot_be_read_lifts_no_limit() {
+fn a_refusal_or_an_unreadable_rate_lifts_no_limit() {
     let start = Instant::now();
-    let back_end = life(1);
-    let mut limits = alone(start);
-    limits.note(&back_end, names(2.0, start), at(10, start));
+    let back_end = back_end_started_at(1);
+    let mut limits = single_daemon_limits(start);
+    limits.note(&back_end, announces(2.0, start), at(10, start));
     let refusal = RateAnswer {
         request_ran: false,
-        ..names_none(at(20, start))
+        ..announces_none(at(20, start))
     };
     let unreadable = RateAnswer {
         rate: AnnouncedRate::Unreadable,
-        ..names_none(at(20, start))
+        ..announces_none(at(20, start))
     };
     for answer in [refusal, unreadable] {
         limits.note(&back_end, answer, at(30, start));
@@ -118,42 +119,43 @@
 }
 
 #[test]
-fn a_limit_ends_with_its_life_and_is_forgotten_some_time_after_the_entry() {
+fn a_limit_ends_with_its_incarnation_and_is_removed_some_time_after_the_entry() {
     let start = Instant::now();
-    let mut limits = alone(start);
-    limits.note(&life(5), names(2.0, start), start);
-    assert_eq!(limits.limit(&life(6)), None, "a later life set none");
-    limits.note(&life(6), names(1.0, start), start);
-    limits.note(&life(5), names(3.0, at(9, start)), at(9, start));
-    assert_eq!(limits.limit(&life(6)), Some(rate(1.0)));
+    let mut limits = single_daemon_limits(start);
+    limits.note(&back_end_started_at(5), announces(2.0, start), start);
+    assert_eq!(limits.limit(&back_end_started_at(6)), None, "a later incarnation announced none");
+    limits.note(&back_end_started_at(6), announces(1.0, start), start);
+    limits.note(&back_end_started_at(5), announces(3.0, at(9, start)), at(9, start));
+    assert_eq!(limits.limit(&back_end_started_at(6)), Some(rate(1.0)));
     limits.forget_absent(|_id| false, start + TOMBSTONE_RETENTION / 2);
     assert_eq!(limits.limited().len(), 1, "its entry may have lapsed");
     limits.forget_absent(|_id| false, start + TOMBSTONE_RETENTION);
     assert!(limits.limited().is_empty());
 }
 
-/// Daemons that tell each other what they know end up with the same, in whatever order, and then have nothing more to tell.
+/// After an exchange in any order, two daemons hold the same record and have nothing more to
+/// exchange.
 #[test]
-fn daemons_that_merge_in_any_order_know_the_same() {
+fn merged_records_do_not_depend_on_the_order() {
     bolero::check!()
         .with_type::<Vec<(bool, bool, u8, u8, u8)>>()
         .for_each(|answers| {
             let start = Instant::now();
-            let back_end = life(1);
-            let mut daemons = [alone(start), alone(start)];
-            for (daemon, names_one, sent, took, per_second) in answers {
+            let back_end = back_end_started_at(1);
+            let mut daemons = [single_daemon_limits(start), single_daemon_limits(start)];
+            for (daemon, announces_one, sent, took, per_second) in answers {
                 let sent = at(u64::from(*sent), start);
-                let came = sent + Duration::from_millis(u64::from(*took));
-                let answer = if *names_one {
-                    names(f64::from(*per_second), sent)
+                let received = sent + Duration::from_millis(u64::from(*took));
+                let answer = if *announces_one {
+                    announces(f64::from(*per_second), sent)
                 } else {
-                    names_none(sent)
+                    announces_none(sent)
                 };
-                daemons[usize::from(*daemon)].note(&back_end, answer, came);
+                daemons[usize::from(*daemon)].note(&back_end, answer, received);
             }
             let [first, second] = &mut daemons;
             let known = |limits: &RateLimits| {
-                let record = limits.record(&back_end.id).map(|(_life, record)| record);
+                let record = limits.record(&back_end.id).map(|(_incarnation, record)| record);
                 record.unwrap_or_default()
             };
             let (of_first, of_second): (RateRecord, RateRecord) = (known(first), known(second));
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn a_bucket_begins_empty_and_saves_up_no_more_than_its_bound() {
+fn a_bucket_starts_empty_and_accumulates_up_to_its_maximum() {
     let start = Instant::now();
     let mut bucket = TokenBucket::empty(start);
     assert_eq!(bucket.next(start), None);
@@ -176,19 +178,19 @@
     assert!(!bucket.take(start), "empty");
     assert_eq!(bucket.next(start).map(|next| next > start), Some(true));
     assert!(bucket.take(at(500, start)));
-    // Nothing is saved up over a suspension.
-    let woken = at(60_000, start);
-    assert!(bucket.take(woken));
-    assert!(!bucket.take(woken));
+    // Tokens do not accumulate beyond the maximum while the process is suspended.
+    let resumed = at(60_000, start);
+    assert!(bucket.take(resumed));
+    assert!(!bucket.take(resumed));
     bucket.set(0.0, 0.0, at(60_500, start));
     bucket.set(2.0, 1.0, at(60_500, start));
     assert!(
         !bucket.take(at(60_500, start)),
-        "a share that begins anew is empty"
+        "a new share starts empty"
     );
 }
 
-/// Shares of all daemons of a fleet at one back end.
+/// Shares of all daemons of a fleet in the limit of one back end.
 fn shares(daemons: u64, zones: u64, zone: &str, per_second: f64) -> Vec<(u64, Share)> {
     let back_end = SharedBackEnd {
         id: "i-1",
@@ -203,7 +205,7 @@
 }
 
 #[test]
-fn the_shares_of_all_daemons_are_the_rate_and_stay_within_what_back_ends_bear() {
+fn the_shares_of_all_daemons_sum_to_the_rate_within_the_tolerance_of_back_ends() {
     for daemons in [1, 2, 3, 9, 24, 95, 986] {
         for per_second in [0.1, 0.5, 1.0, 3.3, 4.0, 12.5, 40.0, 700.0] {
             let shares = shares(daemons, 3, "z1", per_second);
@@ -211,16 +213,16 @@
             assert!((sum - per_second).abs() < 1e-6, "{daemons}: {sum}");
             let bursts: f64 = shares.iter().map(|(_own, share)| share.burst).sum();
             let worst = sum * WINDOW_S + bursts;
-            let borne = 1.5 * per_second * WINDOW_S + 5.0;
-            // What is left of it is for views of the members that differ for a moment.
-            let left = 0.5 * per_second + 4.0 - 1e-6;
-            assert!(worst + left <= borne, "{daemons}, {per_second}: {worst}");
+            let tolerated = 1.5 * per_second * WINDOW_S + 5.0;
+            // The remainder is reserved for views of the members that differ temporarily.
+            let reserve = 0.5 * per_second + 4.0 - 1e-6;
+            assert!(worst + reserve <= tolerated, "{daemons}, {per_second}: {worst}");
         }
     }
 }
 
 #[test]
-fn a_rate_of_nothing_is_asked_about_now_and_then() {
+fn a_rate_of_zero_permits_a_few_requests() {
     let shares = shares(9, 3, "z1", 0.0);
     let sum: f64 = shares.iter().map(|(_own, share)| share.per_second).sum();
     assert!((sum - MIN_REQUESTS_PER_SECOND).abs() < 1e-9);
@@ -234,7 +236,7 @@
 }
 
 #[test]
-fn daemons_of_the_back_ends_zone_share_it_first_and_few_shares_move_when_one_goes() {
+fn daemons_of_the_back_ends_zone_hold_the_shares_and_few_change_when_one_leaves() {
     let holders = |shares: Vec<(u64, Share)>| -> BTreeSet<u64> {
         let held = shares
             .into_iter()
@@ -249,7 +251,7 @@
 }
 
 #[test]
-fn a_daemon_without_its_peers_sends_a_quarter_and_one_that_is_no_member_nothing() {
+fn an_isolated_daemon_uses_a_quarter_of_its_share_and_a_non_member_has_none() {
     let back_end = SharedBackEnd {
         id: "i-1",
         zone: "z0",
@@ -266,17 +268,18 @@
     }
 }
 
-/// Whatever daemons come and go, with views that differ for up to a second, no window sees more than back ends bear.
+/// The total stays within the tolerance of back ends while members change and views differ for up
+/// to a second.
 #[test]
-fn no_window_sees_more_than_the_back_end_bears_while_members_come_and_go() {
+fn no_window_exceeds_the_tolerance_while_members_change() {
     bolero::check!()
         .with_type::<(Vec<(u8, u8)>, u8)>()
-        .for_each(|(changes, rate_seed)| assert_no_window_sees_more(changes, *rate_seed));
+        .for_each(|(changes, rate_seed)| assert_no_window_exceeds_the_tolerance(changes, *rate_seed));
 }
 
-/// An input that the test above came upon.
+/// Regression case: an input that the previous test has found.
 #[test]
-fn no_window_sees_more_while_a_member_comes_or_goes_each_400_ms() {
+fn no_window_exceeds_the_tolerance_while_a_member_changes_every_400_ms() {
     let changes = [
         (140, 127),
         (168, 51),
@@ -318,24 +321,25 @@
         (163, 13),
         (51, 71),
     ];
-    assert_no_window_sees_more(&changes, 201);
+    assert_no_window_exceeds_the_tolerance(&changes, 201);
 }
 
-/// `changes` are daemons that come or go, and how differently late others see it.
-fn assert_no_window_sees_more(changes: &[(u8, u8)], rate_seed: u8) {
-    /// Time between two steps, in which each daemon sends as often as it may.
+/// Each of the `changes` adds or removes a daemon; its second number determines how late the others
+/// see it.
+fn assert_no_window_exceeds_the_tolerance(changes: &[(u8, u8)], rate_seed: u8) {
+    /// Interval between two steps; in each step every daemon sends as many requests as it may.
     const STEP_MS: u64 = 50;
     const VIEW_LAG_MS: u64 = 1_000;
     let start = Instant::now();
     let per_second = 0.1 + f64::from(rate_seed) / 8.0;
-    let back_end = life(1);
+    let back_end = back_end_started_at(1);
     let fleet = 12_u64;
     let mut limits: Vec<RateLimits> = (0..fleet).map(|_| RateLimits::default()).collect();
     let mut present: Vec<bool> = (0..fleet).map(|number| number % 2 == 0).collect();
-    // What each daemon will see, and from when on; each view in its turn.
+    // The views of each daemon with the times at which they take effect, in order.
     let mut views: Vec<Vec<(u64, Arc<Members>)>> = Vec::new();
     for (own, known) in (0..).zip(&mut limits) {
-        known.note(&back_end, names(per_second, start), start);
+        known.note(&back_end, announces(per_second, start), start);
         views.push(vec![(0, view_of(&present, own))]);
     }
     let mut changes = changes.iter().take(40);
@@ -343,10 +347,10 @@
     for step in 0..160_u64 {
         let now_ms = step * STEP_MS;
         if step % 8 == 0
-            && let Some((who, lag)) = changes.next()
+            && let Some((changed_daemon, lag)) = changes.next()
         {
-            let who = usize::from(*who) % present.len();
-            present[who] = !present[who];
+            let changed_daemon = usize::from(*changed_daemon) % present.len();
+            present[changed_daemon] = !present[changed_daemon];
             for (own, view) in (0..).zip(&mut views) {
                 let lag = (u64::from(*lag) * (own + 1) * 37) % VIEW_LAG_MS;
                 view.push((now_ms + lag, view_of(&present, own)));
@@ -354,7 +358,7 @@
         }
         let now = at(now_ms, start);
         for (number, known) in limits.iter_mut().enumerate() {
-            // News that comes late does not take the place of news that came before it.
+            // A delayed view does not replace a later one.
             let seen = views[number]
                 .iter()
                 .rfind(|(since, _view)| *since <= now_ms);
@@ -369,15 +373,15 @@
             }
         }
     }
-    let borne = 1.5 * per_second * WINDOW_S + 5.0;
+    let tolerated = 1.5 * per_second * WINDOW_S + 5.0;
     for from in &sent {
         let in_window = sent
             .iter()
             .filter(|at| **at >= *from && **at < from + 4_000);
         let count = u32::try_from(in_window.count()).expect("few");
         assert!(
-            f64::from(count) <= borne,
-            "{count} of {borne} at {per_second}"
+            f64::from(count) <= tolerated,
+            "{count} requests, {tolerated} tolerated at {per_second} per second"
         );
     }
 }
@@ -393,19 +397,19 @@
 }
 
 #[test]
-fn a_daemon_without_a_share_is_told_so() {
+fn a_daemon_without_a_share_gets_no_allowance() {
     let start = Instant::now();
-    let back_end = life(1);
+    let back_end = back_end_started_at(1);
     let mut limits = RateLimits::default();
     limits.set_members(&members(9, 1, 0), MembersTrust::Confirmed, start);
-    limits.note(&back_end, names(0.2, start), start);
+    limits.note(&back_end, announces(0.2, start), start);
     let mut holders = 0;
     for own in 0..9 {
         limits.set_members(&members(9, 1, own), MembersTrust::Confirmed, start);
         match limits.allowance(&back_end, start) {
             Allowance::At(_) => holders += 1,
             Allowance::None => {}
-            Allowance::Now => panic!("a share begins empty"),
+            Allowance::Now => panic!("a share starts empty"),
         }
     }
     assert_eq!(holders, 1);
--- a/crates/fleet/tests/restored_directory.rs
+++ b/crates/fleet/tests/restored_directory.rs
@@ -1,4 +1,5 @@
-//! What the directory keeps when the store, back from an older copy, shows less than was known.
+//! Guards against a store restored from an older copy bringing back removed or draining back ends,
+//! or removing healthy ones.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,16 +10,16 @@
 };
 use ponddrift_fleet::revision::{Era, Revision};
 
-/// A revision of the era after so many returns.
-fn at(restores: u64, number: u64) -> Revision {
+/// Revision `number` of the era after `restores` restores.
+fn revision(restores: u64, number: u64) -> Revision {
     let era = Era::after_restores(restores).expect("few");
     Revision::new(era, number).expect("small")
 }
 
-fn back_end(life: u64, lifecycle: Lifecycle) -> BackEnd {
+fn back_end(started_ms: u64, lifecycle: Lifecycle) -> BackEnd {
     BackEnd {
         id: Arc::from("a"),
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(started_ms),
         service: Arc::from("records"),
         address: "10.0.0.1:80".parse().expect("an address"),
         zone: Arc::from("z"),
@@ -30,105 +31,106 @@
     }
 }
 
-/// Whether it would get a request.
-fn is_used(directory: &Directory, now: Instant) -> bool {
+/// Whether the back end would receive requests.
+fn receives_requests(directory: &Directory, now: Instant) -> bool {
     !directory.ready("records", now).is_empty()
 }
 
 #[test]
-fn a_back_end_that_leaves_goes_on_leaving_until_it_says_otherwise() {
+fn a_draining_back_end_stays_draining_until_a_new_entry_is_written() {
     let now = Instant::now();
     let mut directory = Directory::default();
-    directory.put(back_end(1, Lifecycle::Draining), at(0, 39), now);
-    let taken = directory.put(back_end(1, Lifecycle::Ready), at(1, 30), now);
-    assert_eq!(taken, PutOutcome::Superseded);
-    assert!(!is_used(&directory, now));
-    // Written in the new era, not merely shown by the copy.
-    let taken = directory.put(back_end(1, Lifecycle::Ready), at(1, 31), now);
-    assert_eq!(taken, PutOutcome::Applied);
-    assert!(is_used(&directory, now));
+    directory.put(back_end(1, Lifecycle::Draining), revision(0, 39), now);
+    let outcome = directory.put(back_end(1, Lifecycle::Ready), revision(1, 30), now);
+    assert_eq!(outcome, PutOutcome::Superseded);
+    assert!(!receives_requests(&directory, now));
+    // Written in the new era, not restored from the older copy.
+    let outcome = directory.put(back_end(1, Lifecycle::Ready), revision(1, 31), now);
+    assert_eq!(outcome, PutOutcome::Applied);
+    assert!(receives_requests(&directory, now));
 }
 
 #[test]
-fn a_later_life_is_known_though_the_copy_shows_the_one_before() {
+fn a_later_incarnation_is_kept_over_a_restored_earlier_one() {
     let now = Instant::now();
     let mut directory = Directory::default();
-    directory.put(back_end(2, Lifecycle::Ready), at(0, 39), now);
-    let taken = directory.put(back_end(1, Lifecycle::Draining), at(1, 30), now);
-    assert_eq!(taken, PutOutcome::Superseded);
-    assert!(is_used(&directory, now));
+    directory.put(back_end(2, Lifecycle::Ready), revision(0, 39), now);
+    let outcome = directory.put(back_end(1, Lifecycle::Draining), revision(1, 30), now);
+    assert_eq!(outcome, PutOutcome::Superseded);
+    assert!(receives_requests(&directory, now));
 }
 
 #[test]
-fn a_back_end_that_had_gone_is_used_again_once_its_entry_has_stood_for_long() {
+fn a_removed_back_end_is_used_again_once_its_restored_entry_has_persisted() {
     let now = Instant::now();
     let mut directory = Directory::default();
-    directory.put(back_end(1, Lifecycle::Ready), at(0, 38), now);
-    directory.remove("a", at(0, 39), now, false);
-    let taken = directory.put(back_end(1, Lifecycle::Ready), at(1, 30), now);
-    assert_eq!(taken, PutOutcome::Superseded);
+    directory.put(back_end(1, Lifecycle::Ready), revision(0, 38), now);
+    directory.remove("a", revision(0, 39), now, false);
+    let outcome = directory.put(back_end(1, Lifecycle::Ready), revision(1, 30), now);
+    assert_eq!(outcome, PutOutcome::Superseded);
     assert!(directory.expire_removals(now).is_empty());
-    assert!(!is_used(&directory, now));
+    assert!(!receives_requests(&directory, now));
     let later = now + REMOVAL_HOLD_AFTER_RESTORE;
     assert_eq!(directory.expire_removals(later).len(), 1);
-    assert!(is_used(&directory, later));
+    assert!(receives_requests(&directory, later));
 }
 
 #[test]
-fn one_that_had_gone_and_whose_entry_lapses_stays_gone() {
+fn a_removed_back_end_whose_restored_entry_expires_stays_removed() {
     let now = Instant::now();
     let mut directory = Directory::default();
-    directory.put(back_end(1, Lifecycle::Ready), at(0, 38), now);
-    directory.remove("a", at(0, 39), now, false);
-    directory.put(back_end(1, Lifecycle::Ready), at(1, 30), now);
-    directory.remove("a", at(1, 31), now + Duration::from_secs(3), false);
+    directory.put(back_end(1, Lifecycle::Ready), revision(0, 38), now);
+    directory.remove("a", revision(0, 39), now, false);
+    directory.put(back_end(1, Lifecycle::Ready), revision(1, 30), now);
+    directory.remove("a", revision(1, 31), now + Duration::from_secs(3), false);
     let later = now + REMOVAL_HOLD_AFTER_RESTORE;
     assert!(directory.expire_removals(later).is_empty());
-    assert!(!is_used(&directory, later));
+    assert!(!receives_requests(&directory, later));
 }
 
 #[test]
-fn an_entry_that_the_copy_lacks_is_in_doubt_for_a_while() {
+fn the_removal_of_an_entry_missing_after_a_restore_is_unconfirmed_for_a_while() {
     let now = Instant::now();
     let mut directory = Directory::default();
-    directory.put(back_end(1, Lifecycle::Ready), at(0, 39), now);
-    directory.remove("a", at(1, 30), now, false);
-    assert!(is_used(&directory, now));
-    assert!(!is_used(&directory, now + UNCONFIRMED_REMOVAL_GRACE));
+    directory.put(back_end(1, Lifecycle::Ready), revision(0, 39), now);
+    directory.remove("a", revision(1, 30), now, false);
+    assert!(receives_requests(&directory, now));
+    assert!(!receives_requests(&directory, now + UNCONFIRMED_REMOVAL_GRACE));
 }
 
 #[test]
-fn one_that_was_leaving_or_had_gone_is_not_in_doubt() {
+fn the_removal_of_a_draining_or_removed_back_end_is_confirmed() {
     let now = Instant::now();
-    for had_gone in [false, true] {
+    for was_removed in [false, true] {
         let mut directory = Directory::default();
-        directory.put(back_end(1, Lifecycle::Draining), at(0, 38), now);
-        if had_gone {
-            directory.remove("a", at(0, 39), now, false);
+        directory.put(back_end(1, Lifecycle::Draining), revision(0, 38), now);
+        if was_removed {
+            directory.remove("a", revision(0, 39), now, false);
         }
-        directory.remove("a", at(1, 30), now, true);
-        assert!(!is_used(&directory, now), "had gone: {had_gone}");
+        directory.remove("a", revision(1, 30), now, true);
+        assert!(!receives_requests(&directory, now), "removed before: {was_removed}");
     }
 }
 
-/// A daemon that only knows the copy takes from a peer what says more, and nothing else.
+/// A daemon that only knows restored entries accepts later information from a peer, and nothing
+/// else.
 #[test]
-fn what_a_peer_knows_counts_where_it_says_more_than_the_copy() {
+fn later_information_of_a_peer_replaces_a_restored_entry() {
     let now = Instant::now();
-    let shown = || {
+    let restored = || {
         let mut directory = Directory::default();
-        directory.put(back_end(2, Lifecycle::Ready), at(1, 30), now);
+        directory.put(back_end(2, Lifecycle::Ready), revision(1, 30), now);
         directory
     };
-    let mut directory = shown();
+    let mut directory = restored();
     assert!(directory.put_from_peer(back_end(2, Lifecycle::Draining)));
-    assert!(!is_used(&directory, now));
-    let mut directory = shown();
+    assert!(!receives_requests(&directory, now));
+    let mut directory = restored();
     assert!(!directory.put_from_peer(back_end(1, Lifecycle::Draining)));
-    assert!(is_used(&directory, now));
-    let mut directory = shown();
+    assert!(receives_requests(&directory, now));
+    let mut directory = restored();
     assert!(directory.remove_from_peer("a", now));
-    assert!(!is_used(&directory, now));
-    assert!(!directory.remove_from_peer("a", now), "it has gone already");
-    assert!(!directory.remove_from_peer("b", now), "it is not known");
+    assert!(!receives_requests(&directory, now));
+    assert!(!directory.remove_from_peer("a", now), "already removed");
+    assert!(!directory.remove_from_peer("b", now), "unknown back end");
 }
--- a/crates/fleet/tests/revision.rs
+++ b/crates/fleet/tests/revision.rs
@@ -1,4 +1,5 @@
-//! Revisions order by era first, and are bare numbers in the first era.
+//! Guards against revisions of a restored store being mistaken for older ones, and against a
+//! changed encoding in the first era.
 
 use ponddrift_fleet::revision::{Era, Revision};
 
@@ -17,9 +18,9 @@
     assert_eq!(revision(3, 41).to_string(), "3.41");
 }
 
-/// Daemons of builds without eras read and send bare numbers.
+/// Daemons of builds without eras use bare numbers.
 #[test]
-fn in_the_first_era_it_is_the_bare_number_in_messages_and_as_a_token() {
+fn in_the_first_era_a_revision_is_encoded_as_its_number() {
     let first = revision(0, 39);
     assert_eq!(first.as_token(), 39);
     let bytes = borsh::to_vec(&first).expect("bytes");
@@ -27,23 +28,23 @@
 }
 
 #[test]
-fn tokens_rise_with_the_era_and_fit_a_number_of_json() {
-    /// Above this, numbers of JSON are rounded by many readers.
-    const EXACT: u64 = 1 << 53;
+fn tokens_increase_with_the_era_and_are_exact_in_json() {
+    /// Many JSON parsers round integers above this.
+    const MAX_EXACT_JSON_INTEGER: u64 = 1 << 53;
     assert!(revision(1, 1).as_token() > revision(0, 1_000_000).as_token());
     let last_era = (0..).find(|restores| Era::after_restores(*restores).is_none());
     let last_era = last_era.expect("bounded") - 1;
-    assert!(revision(last_era, (1 << 40) - 1).as_token() < EXACT);
+    assert!(revision(last_era, (1 << 40) - 1).as_token() < MAX_EXACT_JSON_INTEGER);
 }
 
 #[test]
-fn what_has_no_room_is_no_revision() {
+fn numbers_out_of_range_are_rejected() {
     assert_eq!(Era::after_restores(u64::MAX), None);
     assert_eq!(Revision::new(Era::FIRST, u64::MAX), None);
 }
 
 #[test]
-fn going_back_ends_at_the_beginning_of_the_era() {
+fn back_by_stops_at_the_beginning_of_the_era() {
     assert_eq!(revision(2, 100).back_by(30), revision(2, 70));
     assert_eq!(revision(2, 100).back_by(10_000), revision(2, 0));
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Engines of one service, for tests.
+//! Engines of one service for the tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use ponddrift_fleet::configuration::Stage;
 use ponddrift_fleet::directory::{BackEnd, Incarnation, Lifecycle};
 
-/// Engines `i-1` and on, those that read prompts first.
+/// Engines `i-1`, `i-2` and so on, the prefill engines first.
 pub fn engines(prefill: u8, decode: u8) -> Vec<Arc<BackEnd>> {
     let stages = std::iter::repeat_n(Stage::Prefill, usize::from(prefill))
         .chain(std::iter::repeat_n(Stage::Decode, usize::from(decode)));
--- a/crates/fleet/tests/usage.rs
+++ b/crates/fleet/tests/usage.rs
@@ -1,4 +1,5 @@
-//! Counts that only grow, their copies, and the time that they are counted in.
+//! Guards against usage counts that are lost or counted twice when copies are merged, and against
+//! windows that depend on the clock of one machine.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,7 +22,7 @@
     start: 1,
 };
 
-/// A copy as it may come: of few lives, windows and tenants, so that they meet.
+/// A copy of a tally. The values come from small sets, so that copies of the same tally occur.
 #[derive(Debug, Clone, TypeGenerator)]
 struct Row {
     daemon: bool,
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn copies_merge_to_the_same_in_any_order_grouping_and_number() {
+fn merging_copies_is_commutative_associative_and_idempotent() {
     bolero::check!().with_type::<Vec<Row>>().for_each(|rows| {
         let once = merged(rows.iter());
         assert_eq!(merged(rows.iter().rev()), once, "commutative");
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn lives_add_up_and_copies_of_one_do_not() {
+fn instances_add_up_and_copies_of_one_instance_do_not() {
     let mut own = UsageLedger::default();
     let tenant: Arc<str> = Arc::from("a");
     for instance in [FIRST, FIRST, RESTARTED, SECOND] {
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_daemons_counts_are_final_once_all_parts_of_a_closed_window_have_come() {
+fn counts_are_final_once_all_parts_of_a_closed_window_are_merged() {
     let mut own = UsageLedger::default();
     let (a, b): (Arc<str>, Arc<str>) = (Arc::from("a"), Arc::from("b"));
     own.count(FIRST, 3, &a);
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn a_daemon_that_counted_nothing_is_final_when_it_says_so() {
+fn an_empty_tally_is_final_once_its_window_is_closed() {
     let mut own = UsageLedger::default();
     let nothing = own.close(FIRST, 3);
     assert!(nothing.is_final());
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn windows_follow_each_other_without_a_gap() {
+fn consecutive_windows_have_no_gap() {
     let noon = Duration::from_secs(1_767_225_600);
     let window = window_at(noon, LENGTH);
     assert_eq!(window, 353_445_120);
@@ -127,14 +128,14 @@
 }
 
 #[test]
-fn the_time_of_day_is_that_of_most_daemons() {
+fn the_time_of_day_is_the_median_of_the_daemons() {
     let start = Instant::now();
     let noon = Duration::from_secs(1_767_225_600);
     let ahead = noon + Duration::from_secs(2);
     let mut time = FleetTime::default();
     assert_eq!(time.now(ahead, start), ahead, "there is no sample");
-    for (source, shown) in [(1, noon), (2, noon), (3, ahead), (4, noon)] {
-        time.observe(source, shown, start);
+    for (source, reported) in [(1, noon), (2, noon), (3, ahead), (4, noon)] {
+        time.observe(source, reported, start);
     }
     let later = start + Duration::from_millis(400);
     let expected = noon + Duration::from_millis(400);
@@ -145,13 +146,13 @@
 }
 
 #[test]
-fn absurd_times_are_no_panic() {
+fn extreme_times_do_not_panic() {
     let mut time = FleetTime::default();
     let start = Instant::now();
     time.observe(1, Duration::from_millis(u64::MAX), start);
     time.observe(2, Duration::ZERO, start);
-    let shown = time.now(Duration::from_secs(5), start);
-    assert_eq!(window_at(shown, LENGTH), 1);
+    let reported = time.now(Duration::from_secs(5), start);
+    assert_eq!(window_at(reported, LENGTH), 1);
     assert_eq!(
         end_of_window(u64::MAX, LENGTH),
         Duration::from_millis(u64::MAX)
