--- a/crates/fleet/src/announcements.rs
+++ b/crates/fleet/src/announcements.rs
@@ -46,7 +46,7 @@
         /// End of the backoff.
         until: Instant,
     },
-    /// Not any more in this incarnation.
+    /// No longer in this incarnation.
     Draining,
 }
 
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -71,7 +71,7 @@
     pub name: Arc<str>,
     /// Host of the requests.
     pub host: Arc<str>,
-    /// Path prefix of the requests; begins and ends with a slash.
+    /// Path prefix of the requests; starts and ends with a slash.
     pub path_prefix: Arc<str>,
     /// Whether and how requests may be retried.
     pub kind: RequestKind,
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -294,9 +294,9 @@
         }
     }
 
-    /// Applies the removal of an entry. `store_was_unavailable` tells that the store was recently
-    /// unavailable, so that entries of healthy back ends may have expired. Returns whether the
-    /// removal is newer than what is known.
+    /// Applies the removal of an entry. If `store_was_unavailable`, the store was unavailable
+    /// recently, so that entries of healthy back ends may have expired. Returns whether the removal
+    /// is newer than what is known.
     ///
     /// An entry that is missing from a store restored from an older copy may also be written again,
     /// so its removal is unconfirmed as well.
@@ -323,13 +323,13 @@
         true
     }
 
-    fn mark_removed(&mut self, id: &str, revision: Revision, now: Instant, store_was_unavailable: bool) {
+    fn mark_removed(&mut self, id: &str, revision: Revision, now: Instant, may_be_alive: bool) {
         self.remove_from_ready_set(id);
         let last = self.entries.get(id).and_then(Entry::present).cloned();
         let was_ready = last
             .as_ref()
             .is_some_and(|last| last.lifecycle == Lifecycle::Ready);
-        let is_unconfirmed = store_was_unavailable && was_ready;
+        let is_unconfirmed = may_be_alive && was_ready;
         if is_unconfirmed {
             self.last_unconfirmed_removal = Some(now);
         }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -25,8 +25,8 @@
 const ZONE_BREAK_LIMIT: u32 = 4;
 /// Successful requests that end a trial.
 const TRIAL_SUCCESSES: u32 = 2;
-/// Maximum number of broken requests in one message that count toward [`ZONE_BREAK_LIMIT`]: a daemon
-/// with a failed network link reports broken requests to every back end.
+/// Maximum number of broken requests in one message that count toward [`ZONE_BREAK_LIMIT`]: a
+/// daemon with a failed network link reports broken requests at every back end.
 const MAX_BREAKS_PER_MESSAGE: u8 = 2;
 /// Maximum number of results of each kind per back end that count in one message.
 const MAX_RESULTS_PER_MESSAGE: u8 = 8;
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -69,7 +69,7 @@
 pub enum Standing {
     /// Too few engines have terminated under it.
     Clear,
-    /// Two engines have terminated under it. It may still run, and all daemons are told.
+    /// Two engines have terminated under it. It may still run, and all daemons are informed.
     Suspected,
     /// The request must not run until the given time.
     Quarantined {
