--- a/crates/fleet/src/usage.rs
+++ b/crates/fleet/src/usage.rs
@@ -1,8 +1,9 @@
-//! How many requests of each tenant began to run in each reporting window.
+//! Number of requests of each tenant that started to run in each reporting window.
 //!
-//! Each life of a daemon counts what it saw. Its counts only grow, so they can be sent again, out of order and in parts:
-//! whoever holds a copy merges by maximum. A killed daemon's counts are known from the copies. What several lives counted
-//! is added up only when a window is reported.
+//! Each process of a daemon counts the requests it saw. Its counts only grow, so they may be sent
+//! repeatedly, out of order and in parts; receivers merge copies by maximum. The counts of a killed
+//! daemon are known from its copies. The counts of several processes are added up only when a
+//! window is reported.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,60 +11,60 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Number of a reporting window: window `k` starts `k` window lengths after the start of 1970.
+/// Number of a reporting window: window `k` starts `k` window lengths after the Unix epoch.
 pub type WindowNumber = u64;
 
-/// Counts of each tenant, by name.
+/// Number of requests of each tenant, by name.
 pub type TenantCounts = BTreeMap<Arc<str>, u32>;
 
-/// The window that a time of day falls into.
+/// The window that contains a time of day.
 #[must_use]
 pub fn window_at(time_of_day: Duration, length: Duration) -> WindowNumber {
     let windows = time_of_day.as_millis() / length.as_millis().max(1);
     u64::try_from(windows).unwrap_or(u64::MAX)
 }
 
-/// Time of day at which a window ends.
+/// End of a window as a time of day since the Unix epoch.
 #[must_use]
 pub fn end_of_window(window: WindowNumber, length: Duration) -> Duration {
     let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
     Duration::from_millis(window.saturating_add(1).saturating_mul(length_ms))
 }
 
-/// One life of one daemon.
+/// One process of a daemon. A restarted daemon is a new instance.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
-pub struct Life {
-    /// Which daemon.
+pub struct DaemonInstance {
+    /// Identity of the daemon.
     pub daemon: u64,
-    /// Which start of its process.
+    /// Identifies the start of the process.
     pub start: u64,
 }
 
-/// What one life counted in one window, or a part of it.
+/// Counts of one instance in one window, or a part of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Tally {
-    /// Requests that began to run.
+    /// Requests that started to run.
     pub counts: TenantCounts,
-    /// Sum over all tenants, once the window has ended there and the counts grow no more.
-    pub closed_with: Option<u64>,
+    /// Sum over all tenants once the instance has closed the window and its counts no longer grow.
+    pub final_total: Option<u64>,
 }
 
 impl Tally {
-    /// Takes what another copy knows.
+    /// Merges another copy by maximum.
     pub fn merge(&mut self, other: &Self) {
         for (tenant, count) in &other.counts {
             let known = self.counts.entry(Arc::clone(tenant)).or_default();
             *known = (*known).max(*count);
         }
-        self.closed_with = self.closed_with.max(other.closed_with);
+        self.final_total = self.final_total.max(other.final_total);
     }
 
-    /// Whether these are all counts of a window that has ended.
+    /// Whether the tally contains all counts of a closed window.
     #[must_use]
     pub fn is_final(&self) -> bool {
-        self.closed_with == Some(self.total())
+        self.final_total == Some(self.total())
     }
 
     fn total(&self) -> u64 {
@@ -71,70 +72,71 @@
     }
 }
 
-/// A tally with whose and when.
+/// A tally with its instance and window.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct TallyOf {
-    /// Whose.
-    pub life: Life,
-    /// Of which window.
+pub struct TallyRecord {
+    /// Instance that counted.
+    pub instance: DaemonInstance,
+    /// Window of the counts.
     pub window: WindowNumber,
-    /// What was counted.
+    /// The counts.
     pub tally: Tally,
 }
 
-/// Every tally that a daemon knows of.
+/// All tallies that a daemon knows.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
-    windows: BTreeMap<WindowNumber, BTreeMap<Life, Tally>>,
+    windows: BTreeMap<WindowNumber, BTreeMap<DaemonInstance, Tally>>,
 }
 
 impl UsageLedger {
-    /// One more request of `tenant` began to run, as seen by `life` itself.
-    pub fn count(&mut self, life: Life, window: WindowNumber, tenant: &Arc<str>) {
-        let tally = self.tally_mut(life, window);
+    /// Counts one more request of `tenant` that `instance`, this process, started to run.
+    pub fn count(&mut self, instance: DaemonInstance, window: WindowNumber, tenant: &Arc<str>) {
+        let tally = self.tally_mut(instance, window);
         let count = tally.counts.entry(Arc::clone(tenant)).or_default();
         *count = count.saturating_add(1);
     }
 
-    /// The window has ended for `life`, which counts nothing more in it. Returns its tally.
-    pub fn close(&mut self, life: Life, window: WindowNumber) -> Tally {
-        let tally = self.tally_mut(life, window);
-        tally.closed_with = Some(tally.total());
+    /// Closes the window for `instance`, which must count nothing more in it. Returns its tally.
+    pub fn close(&mut self, instance: DaemonInstance, window: WindowNumber) -> Tally {
+        let tally = self.tally_mut(instance, window);
+        tally.final_total = Some(tally.total());
         tally.clone()
     }
 
-    /// Takes another copy of a tally, or a part of one.
-    pub fn merge(&mut self, other: &TallyOf) {
-        self.tally_mut(other.life, other.window).merge(&other.tally);
+    /// Merges another copy of a tally, or a part of one.
+    pub fn merge(&mut self, other: &TallyRecord) {
+        self.tally_mut(other.instance, other.window).merge(&other.tally);
     }
 
-    /// Every tally of a window.
+    /// All tallies of a window.
     #[must_use]
-    pub fn tallies(&self, window: WindowNumber) -> Vec<TallyOf> {
+    pub fn tallies(&self, window: WindowNumber) -> Vec<TallyRecord> {
         let lives = self.windows.get(&window).into_iter().flatten();
         lives
-            .map(|(life, tally)| TallyOf {
-                life: *life,
+            .map(|(instance, tally)| TallyRecord {
+                instance: *instance,
                 window,
                 tally: tally.clone(),
             })
             .collect()
     }
 
-    /// Whether anything is known of a window.
+    /// Whether any tally of the window is known.
     #[must_use]
     pub fn knows(&self, window: WindowNumber) -> bool {
         self.windows.contains_key(&window)
     }
 
-    /// Whether the counts of some life of this daemon are complete: the window has ended there, and all of them are here.
+    /// Whether the counts of some instance of the daemon are complete: the instance has closed the
+    /// window, and all of its counts are known here.
     #[must_use]
     pub fn is_final(&self, window: WindowNumber, daemon: u64) -> bool {
         let mut lives = self.windows.get(&window).into_iter().flatten();
-        lives.any(|(life, tally)| life.daemon == daemon && tally.is_final())
+        lives.any(|(instance, tally)| instance.daemon == daemon && tally.is_final())
     }
 
-    /// What all lives counted in a window.
+    /// Sum over all instances in a window.
     #[must_use]
     pub fn totals(&self, window: WindowNumber) -> TenantCounts {
         let mut totals = TenantCounts::new();
@@ -152,20 +154,20 @@
         totals
     }
 
-    /// What one life counted of a tenant in a window.
+    /// Count of one instance for a tenant in a window.
     #[must_use]
-    pub fn count_of(&self, life: Life, window: WindowNumber, tenant: &str) -> Option<u32> {
-        let tally = self.windows.get(&window)?.get(&life)?;
+    pub fn count_of(&self, instance: DaemonInstance, window: WindowNumber, tenant: &str) -> Option<u32> {
+        let tally = self.windows.get(&window)?.get(&instance)?;
         tally.counts.get(tenant).copied()
     }
 
-    /// Forgets windows before this one.
+    /// Removes windows before this one.
     pub fn forget_before(&mut self, window: WindowNumber) {
         self.windows = self.windows.split_off(&window);
     }
 
-    fn tally_mut(&mut self, life: Life, window: WindowNumber) -> &mut Tally {
+    fn tally_mut(&mut self, instance: DaemonInstance, window: WindowNumber) -> &mut Tally {
         let lives = self.windows.entry(window).or_default();
-        lives.entry(life).or_default()
+        lives.entry(instance).or_default()
     }
 }
--- a/crates/fleet/tests/usage.rs
+++ b/crates/fleet/tests/usage.rs
@@ -1,27 +1,28 @@
-//! Counts that only grow, their copies, and the time that they are counted in.
+//! Guards against usage counts that are lost or counted twice when copies are merged, and against
+//! windows that depend on the clock of one machine.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use bolero::generator::TypeGenerator;
-use ponddrift_fleet::true_time::TrueTime;
-use ponddrift_fleet::usage::{Life, Tally, TallyOf, UsageLedger, end_of_window, window_at};
+use ponddrift_fleet::fleet_time::FleetTime;
+use ponddrift_fleet::usage::{DaemonInstance, Tally, TallyRecord, UsageLedger, end_of_window, window_at};
 
 const LENGTH: Duration = Duration::from_secs(5);
-const FIRST: Life = Life {
+const FIRST: DaemonInstance = DaemonInstance {
     daemon: 1,
     start: 1,
 };
-const RESTARTED: Life = Life {
+const RESTARTED: DaemonInstance = DaemonInstance {
     daemon: 1,
     start: 2,
 };
-const SECOND: Life = Life {
+const SECOND: DaemonInstance = DaemonInstance {
     daemon: 2,
     start: 1,
 };
 
-/// A copy as it may come: of few lives, windows and tenants, so that they meet.
+/// A copy of a tally. The values come from small sets, so that copies of the same tally occur.
 #[derive(Debug, Clone, TypeGenerator)]
 struct Row {
     daemon: bool,
@@ -31,26 +32,26 @@
     closed: Option<u8>,
 }
 
-fn copy(row: &Row) -> TallyOf {
+fn copy(row: &Row) -> TallyRecord {
     let tenant = if row.tenant { "a" } else { "b" };
-    TallyOf {
-        life: if row.daemon { FIRST } else { SECOND },
+    TallyRecord {
+        instance: if row.daemon { FIRST } else { SECOND },
         window: u64::from(row.window),
         tally: Tally {
             counts: [(Arc::from(tenant), u32::from(row.count))].into(),
-            closed_with: row.closed.map(u64::from),
+            final_total: row.closed.map(u64::from),
         },
     }
 }
 
-fn merged<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Vec<TallyOf>> {
+fn merged<'a>(rows: impl Iterator<Item = &'a Row>) -> Vec<Vec<TallyRecord>> {
     let mut ledger = UsageLedger::default();
     rows.for_each(|row| ledger.merge(&copy(row)));
     (0..2).map(|window| ledger.tallies(window)).collect()
 }
 
 #[test]
-fn copies_merge_to_the_same_in_any_order_grouping_and_number() {
+fn merging_copies_is_commutative_associative_and_idempotent() {
     bolero::check!().with_type::<Vec<Row>>().for_each(|rows| {
         let once = merged(rows.iter());
         assert_eq!(merged(rows.iter().rev()), once, "commutative");
@@ -68,11 +69,11 @@
 }
 
 #[test]
-fn lives_add_up_and_copies_of_one_do_not() {
+fn instances_add_up_and_copies_of_one_instance_do_not() {
     let mut own = UsageLedger::default();
     let tenant: Arc<str> = Arc::from("a");
-    for life in [FIRST, FIRST, RESTARTED, SECOND] {
-        own.count(life, 3, &tenant);
+    for instance in [FIRST, FIRST, RESTARTED, SECOND] {
+        own.count(instance, 3, &tenant);
     }
     let mut replica = UsageLedger::default();
     for _ in 0..2 {
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_daemons_counts_are_final_once_all_parts_of_a_closed_window_have_come() {
+fn counts_are_final_once_all_parts_of_a_closed_window_are_merged() {
     let mut own = UsageLedger::default();
     let (a, b): (Arc<str>, Arc<str>) = (Arc::from("a"), Arc::from("b"));
     own.count(FIRST, 3, &a);
@@ -93,12 +94,12 @@
     assert!(!replica.is_final(3, FIRST.daemon));
     for (tenant, count) in &whole.counts {
         assert!(!replica.is_final(3, FIRST.daemon));
-        replica.merge(&TallyOf {
-            life: FIRST,
+        replica.merge(&TallyRecord {
+            instance: FIRST,
             window: 3,
             tally: Tally {
                 counts: [(Arc::clone(tenant), *count)].into(),
-                closed_with: whole.closed_with,
+                final_total: whole.final_total,
             },
         });
     }
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn a_daemon_that_counted_nothing_is_final_when_it_says_so() {
+fn an_empty_tally_is_final_once_its_window_is_closed() {
     let mut own = UsageLedger::default();
     let nothing = own.close(FIRST, 3);
     assert!(nothing.is_final());
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn windows_follow_each_other_without_a_gap() {
+fn consecutive_windows_have_no_gap() {
     let noon = Duration::from_secs(1_767_225_600);
     let window = window_at(noon, LENGTH);
     assert_eq!(window, 353_445_120);
@@ -127,14 +128,14 @@
 }
 
 #[test]
-fn the_time_of_day_is_that_of_most_daemons() {
+fn the_time_of_day_is_the_median_of_the_daemons() {
     let start = Instant::now();
     let noon = Duration::from_secs(1_767_225_600);
     let ahead = noon + Duration::from_secs(2);
-    let mut time = TrueTime::default();
+    let mut time = FleetTime::default();
     assert_eq!(time.now(ahead, start), ahead, "there is no sample");
-    for (source, shown) in [(1, noon), (2, noon), (3, ahead), (4, noon)] {
-        time.observe(source, shown, start);
+    for (source, reported) in [(1, noon), (2, noon), (3, ahead), (4, noon)] {
+        time.observe(source, reported, start);
     }
     let later = start + Duration::from_millis(400);
     let expected = noon + Duration::from_millis(400);
@@ -145,13 +146,13 @@
 }
 
 #[test]
-fn absurd_times_are_no_panic() {
-    let mut time = TrueTime::default();
+fn extreme_times_do_not_panic() {
+    let mut time = FleetTime::default();
     let start = Instant::now();
     time.observe(1, Duration::from_millis(u64::MAX), start);
     time.observe(2, Duration::ZERO, start);
-    let shown = time.now(Duration::from_secs(5), start);
-    assert_eq!(window_at(shown, LENGTH), 1);
+    let reported = time.now(Duration::from_secs(5), start);
+    assert_eq!(window_at(reported, LENGTH), 1);
     assert_eq!(
         end_of_window(u64::MAX, LENGTH),
         Duration::from_millis(u64::MAX)
