--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -153,7 +153,7 @@
 
 /// The part of the slack that a zone's pool saves up, in repeats: its daemons' parts together.
 #[must_use]
-pub fn pool_share(settings: BudgetSettings, of_zone: usize, daemons: usize) -> f64 {
+pub fn pool_capacity(settings: BudgetSettings, of_zone: usize, daemons: usize) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "some thousand daemons")]
     let part = of_zone as f64 / daemons.max(1) as f64;
     settings.slack * SHARE_USED * part
--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::followers::GOSSIP_INTERVAL;
-use crate::topology::{FOLLOWERS, Member, SMALL_FLEET, rank};
+use crate::topology::{FOLLOWERS_PER_NEIGHBOURHOOD, Member, SMALL_FLEET_MAX_DAEMONS, rank};
 
 /// Readers of one distributor, about. 10,000 back ends take 0.31 MB (31 bytes each, compressed in pages), which a link of 200 Mbit/s
 /// carries to sixteen readers in 0.2 s. Daemons of a zone of 170 knew everything 0.41 s after all had been started (median).
@@ -36,12 +36,12 @@
 #[must_use]
 pub fn distributors<'a>(neighbourhood: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
     let mut ranked: Vec<&Member> = neighbourhood.collect();
-    if ranked.len() <= SMALL_FLEET {
+    if ranked.len() <= SMALL_FLEET_MAX_DAEMONS {
         return Vec::new();
     }
     ranked.sort_by_cached_key(|member| rank(member));
     let wanted = ranked.len().div_ceil(READERS_OF_A_DISTRIBUTOR);
-    let count = wanted.clamp(FOLLOWERS, MOST_DISTRIBUTORS);
+    let count = wanted.clamp(FOLLOWERS_PER_NEIGHBOURHOOD, MOST_DISTRIBUTORS);
     let chosen = ranked.into_iter().take(count);
     chosen.map(|member| member.peer_address).collect()
 }
@@ -61,9 +61,9 @@
     #[must_use]
     pub fn of(own: SocketAddr, distributors: &[SocketAddr], spread: u64) -> Self {
         let own_rank = distributors.iter().position(|peer| *peer == own);
-        let (roots, others) = distributors.split_at(distributors.len().min(FOLLOWERS));
+        let (roots, others) = distributors.split_at(distributors.len().min(FOLLOWERS_PER_NEIGHBOURHOOD));
         let providers = match own_rank {
-            Some(rank) if rank < FOLLOWERS => Vec::new(),
+            Some(rank) if rank < FOLLOWERS_PER_NEIGHBOURHOOD => Vec::new(),
             Some(_) => rotated(roots, spread),
             None => {
                 let mut providers = rotated(others, spread);
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -52,7 +52,7 @@
 
     /// Whether a part of an event waits for its end.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -29,12 +29,12 @@
 
 pub use arrivals::Arrivals;
 pub use confidence::Confidence;
-pub use costs::RateOpening;
+pub use costs::NextRateToken;
 use costs::{Choice, Estimate};
-pub use fairness::{FairShares, Offer};
-pub use link::OwnLink;
+pub use fairness::{FairShares, OfferedRequest};
+pub use link::LocalLink;
 pub use load::{LoadTable, Outstanding, Urgency, WorkReport, WorkRow};
-pub use prefixes::{HeadState, HeadUse, LEAST_HEAD_TOKENS, PrefixMemory, remembered_head};
+pub use prefixes::{PrefixState, PrefixUse, MIN_PREFIX_TOKENS, PrefixMemory, tracked_prefix};
 use reading::Reading;
 pub use speed::{PromptReading, SpeedTable};
 pub use stream_times::StreamTimes;
@@ -57,14 +57,14 @@
 
 /// What a request asks of its answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Aims {
+pub struct LatencyTargets {
     /// Time to the first event in which the answer is worth all.
     pub latency: Duration,
     /// Longest pause between two events that is in time.
     pub gap: Option<Duration>,
 }
 
-impl Aims {
+impl LatencyTargets {
     fn latency_ms(self) -> f64 {
         self.latency.as_secs_f64() * MS_PER_S
     }
@@ -76,7 +76,7 @@
     /// The prompt.
     pub prompt: &'a Prompt,
     /// What is asked of its answer.
-    pub aims: Aims,
+    pub latency_targets: LatencyTargets,
     /// What the engines of its service can do.
     pub traits: &'a EngineTraits,
     /// Behind what it waits.
@@ -193,13 +193,13 @@
     /// How often prompts come.
     pub arrivals: Arrivals,
     /// What this daemon's link takes.
-    pub link: OwnLink,
+    pub link: LocalLink,
     /// Prompt heads that engines are believed to keep.
     pub prefixes: PrefixMemory,
     /// Daemons that serve, this one among them.
     pub daemons: usize,
     /// Work of all daemons by service, as it was added up last.
-    work_of_all: Vec<(Arc<str>, StageWork)>,
+    fleet_work: Vec<(Arc<str>, StageWork)>,
     work_added_up: Option<Instant>,
     /// Work that own requests bring.
     pub work: WorkMeter,
@@ -226,10 +226,10 @@
             confidence: Confidence::default(),
             fairness: FairShares::default(),
             arrivals: Arrivals::default(),
-            link: OwnLink::default(),
+            link: LocalLink::default(),
             prefixes: PrefixMemory::default(),
             daemons: 1,
-            work_of_all: Vec::new(),
+            fleet_work: Vec::new(),
             work_added_up: None,
             work: WorkMeter::default(),
             peer_work: PeerWork::default(),
@@ -255,7 +255,7 @@
     }
 
     /// An engine is about to change: it gets nothing new for so long. `own`: this daemon changes it, and tells peers.
-    pub fn set_away(&mut self, engine: &BackEnd, time: Duration, own: bool, now: Instant) {
+    pub fn suspend_engine(&mut self, engine: &BackEnd, time: Duration, own: bool, now: Instant) {
         self.away.retain(|_id, away| away.until > now);
         let until = now + time;
         let is_known = self
@@ -270,7 +270,7 @@
     }
 
     /// An engine that was about to change takes requests again.
-    pub fn set_back(&mut self, id: &str) {
+    pub fn resume_engine(&mut self, id: &str) {
         self.away.remove(id);
     }
 
@@ -339,7 +339,7 @@
             placement: self,
             request,
             keepers: &keepers,
-            excess_reading: self.excess_reading(&decoders, request.aims),
+            excess_reading: self.excess_reading(&decoders, request.latency_targets),
             link_wait_ms: self.link.wait_ms(now),
             direct_per_ms: self.reads_per_ms(&decoders, Stage::Decode),
             apart_per_ms: self.reads_per_ms(&prefills, Stage::Prefill),
@@ -375,12 +375,12 @@
 
     /// Engines that are believed to keep the prompt's head.
     fn keepers(&self, ready: &[Arc<BackEnd>], prompt: &Prompt, now: Instant) -> Vec<Arc<BackEnd>> {
-        let Some(head) = prefixes::remembered_head(prompt) else {
+        let Some(head) = prefixes::tracked_prefix(prompt) else {
             return Vec::new();
         };
         ready
             .iter()
-            .filter(|engine| self.prefixes.state(&engine.id, head, now) == Some(HeadState::Kept))
+            .filter(|engine| self.prefixes.state(&engine.id, head, now) == Some(PrefixState::Cached))
             .filter(|engine| self.may_hand_on(engine, now))
             .cloned()
             .collect()
@@ -394,8 +394,8 @@
     /// Whether the prompt's head is being read for another request, and kept nowhere yet: an engine that reads two
     /// prompts with one head at a time reads it twice.
     #[must_use]
-    pub fn is_head_coming(&self, ready: &[Arc<BackEnd>], prompt: &Prompt, now: Instant) -> bool {
-        let Some(head) = prefixes::remembered_head(prompt) else {
+    pub fn is_prefix_pending(&self, ready: &[Arc<BackEnd>], prompt: &Prompt, now: Instant) -> bool {
+        let Some(head) = prefixes::tracked_prefix(prompt) else {
             return false;
         };
         let states = ready
@@ -405,8 +405,8 @@
         let mut is_coming = false;
         for state in states {
             match state {
-                HeadState::Kept => return false,
-                HeadState::Coming => is_coming = true,
+                PrefixState::Cached => return false,
+                PrefixState::Pending => is_coming = true,
             }
         }
         is_coming
@@ -421,11 +421,11 @@
         now: Instant,
         random: &mut impl Rng,
     ) -> Option<Arc<BackEnd>> {
-        self.choose_decode_after(ready, tried, prompt, None, now, random)
+        self.choose_decode_after_prefill(ready, tried, prompt, None, now, random)
     }
 
     /// The same where it is known which engine holds what is moved.
-    pub fn choose_decode_after(
+    pub fn choose_decode_after_prefill(
         &self,
         ready: &[Arc<BackEnd>],
         tried: &[Arc<str>],
@@ -450,7 +450,7 @@
         random: &mut impl Rng,
     ) -> Option<Choice> {
         let rate = self.speed.decode_tokens_per_ms();
-        let head = prompt.and_then(prefixes::remembered_head);
+        let head = prompt.and_then(prefixes::tracked_prefix);
         // All daemons know alike where a prefix is read, and so where it is handed over to.
         let near_reader = hand_over.map(|hand_over| hand_over.engines_near(decoders));
         let rivals = near_reader.filter(|near| !near.is_empty());
--- a/crates/fleet/src/placement/confidence.rs
+++ b/crates/fleet/src/placement/confidence.rs
@@ -26,7 +26,7 @@
 
 impl Confidence {
     /// A request that was expected to need this share of its target was in time, or was not.
-    pub fn was_in_time(&mut self, service: &Arc<str>, expected_share: f64, in_time: bool) {
+    pub fn record_deadline_outcome(&mut self, service: &Arc<str>, expected_share: f64, in_time: bool) {
         let (least, most) = BOUNDS;
         let share = self.by_service.entry(Arc::clone(service)).or_insert(FIRST);
         if in_time && expected_share < *share * NEAR_THE_END {
--- a/crates/fleet/src/placement/costs.rs
+++ b/crates/fleet/src/placement/costs.rs
@@ -31,14 +31,14 @@
 
 /// When this daemon may send one more request to back ends that all limit the rate of requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RateOpening {
+pub struct NextRateToken {
     /// When the first token is there.
     pub at: Instant,
     /// Tokens a second, of all these back ends.
     pub per_second: f64,
 }
 
-impl RateOpening {
+impl NextRateToken {
     /// When the turn of a request comes that has so many ahead of it.
     #[must_use]
     pub fn turn_after(self, ahead: u32) -> Instant {
@@ -129,7 +129,7 @@
     /// When the first of these back ends takes a request of this daemon, where all of them drain, asked their callers to back off or
     /// limit the rate of requests. None where one of them takes requests now, or none ever does.
     #[must_use]
-    pub fn first_opening(&self, back_ends: &[Arc<BackEnd>], now: Instant) -> Option<Instant> {
+    pub fn earliest_available(&self, back_ends: &[Arc<BackEnd>], now: Instant) -> Option<Instant> {
         let mut first = None;
         for back_end in back_ends {
             match self.opening(back_end, now) {
@@ -146,12 +146,12 @@
     /// When the first of these back ends that were not tried has a token for this daemon, where all that are open to it limit the rate of
     /// requests. None where one is open without, or none ever is.
     #[must_use]
-    pub fn rate_opening(
+    pub fn next_rate_token(
         &self,
         back_ends: &[Arc<BackEnd>],
         tried: &[Arc<str>],
         now: Instant,
-    ) -> Option<RateOpening> {
+    ) -> Option<NextRateToken> {
         let mut open: Vec<Arc<BackEnd>> = back_ends.to_vec();
         open.retain(|back_end| !tried.contains(&back_end.id) && !self.is_closed(back_end, now));
         let has_limit = |back_end: &Arc<BackEnd>| self.rate_limits.limit(back_end).is_some();
@@ -166,7 +166,7 @@
             Allowance::At(at) => Some(at),
             Allowance::None => None,
         });
-        Some(RateOpening {
+        Some(NextRateToken {
             at: first.min()?,
             per_second: self.rate_limits.shares(&open),
         })
--- a/crates/fleet/src/placement/fairness.rs
+++ b/crates/fleet/src/placement/fairness.rs
@@ -86,7 +86,7 @@
 
 /// A request that engines are chosen for.
 #[derive(Debug, Clone, Copy)]
-pub struct Offer<'a> {
+pub struct OfferedRequest<'a> {
     /// Its service.
     pub service: &'a Arc<str>,
     /// Whose it is.
@@ -100,7 +100,7 @@
 impl FairShares {
     /// Decides whether a request stands behind those of other tenants. `draw` is a random number from 0 to 1: of a tenant
     /// beyond its share, a part of the requests yields.
-    pub fn yields(&mut self, offer: Offer<'_>, draw: f64, now: Instant) -> bool {
+    pub fn yields(&mut self, offer: OfferedRequest<'_>, draw: f64, now: Instant) -> bool {
         let demands = self
             .by_service
             .entry(Arc::clone(offer.service))
@@ -139,7 +139,7 @@
         }
     }
 
-    fn add(&mut self, offer: Offer<'_>, now: Instant) {
+    fn add(&mut self, offer: OfferedRequest<'_>, now: Instant) {
         self.by_tenant
             .entry(Arc::clone(offer.tenant))
             .or_insert_with(|| Decayed::nothing(HALF_LIFE, now))
--- a/crates/fleet/src/placement/link.rs
+++ b/crates/fleet/src/placement/link.rs
@@ -12,13 +12,13 @@
 
 /// Bytes that wait to leave, as far as they can be counted here.
 #[derive(Debug, Default)]
-pub struct OwnLink {
+pub struct LocalLink {
     bytes_per_ms: Option<f64>,
     queued_bytes: f64,
     at: Option<Instant>,
 }
 
-impl OwnLink {
+impl LocalLink {
     /// Tells the link's speed; 0 where it is not known, and then it is taken to be free.
     pub fn set_megabits(&mut self, megabits: u32) {
         let bytes_per_ms = f64::from(megabits) * KILOBITS_IN_MEGABIT / BITS;
@@ -26,7 +26,7 @@
     }
 
     /// A request with a body of so many bytes leaves.
-    pub fn sends(&mut self, body_bytes: usize, now: Instant) {
+    pub fn record_send(&mut self, body_bytes: usize, now: Instant) {
         self.drain(now);
         self.queued_bytes += whole_bytes(body_bytes);
     }
--- a/crates/fleet/src/placement/metering.rs
+++ b/crates/fleet/src/placement/metering.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::{Aims, MS_PER_S, Placement, PromptPlan};
+use super::{LatencyTargets, MS_PER_S, Placement, PromptPlan};
 use crate::configuration::Stage;
 use crate::directory::BackEnd;
 use crate::stages::{DECODE_READING_SHARE, StageWork};
@@ -19,39 +19,39 @@
 
 impl Placement {
     /// Work of every service, of all daemons; added up anew where that is some time ago.
-    pub fn work_of_all(&mut self, now: Instant) -> &[(Arc<str>, StageWork)] {
+    pub fn fleet_work(&mut self, now: Instant) -> &[(Arc<str>, StageWork)] {
         let is_due = self
             .work_added_up
             .is_none_or(|last| now.saturating_duration_since(last) >= WORK_PERIOD);
         if is_due {
             let own = self.work.rates(now);
-            self.work_of_all = self.peer_work.with_own(&own, self.daemons, now);
+            self.fleet_work = self.peer_work.with_own(&own, self.daemons, now);
             self.work_added_up = Some(now);
         }
-        &self.work_of_all
+        &self.fleet_work
     }
 
     /// Share of their time that the service's decode engines read beyond what the pauses of their streams bear.
     /// Measured (chladnica-hq, scale-2): with two thirds of their time spent reading short prompts, most streams there
     /// paused beyond their target, while prefill engines idled.
-    pub(super) fn excess_reading(&self, decoders: &[Arc<BackEnd>], aims: Aims) -> f64 {
+    pub(super) fn excess_reading(&self, decoders: &[Arc<BackEnd>], latency_targets: LatencyTargets) -> f64 {
         let Some(first) = decoders.first() else {
             return 0.0;
         };
         let known = self
-            .work_of_all
+            .fleet_work
             .iter()
             .find(|(service, _work)| *service == first.service);
         let work = known.map_or(0.0, |(_service, work)| work.decode_reading);
         #[expect(clippy::cast_precision_loss, reason = "some ten thousand engines")]
         let busy = work / self.ready_engines(decoders, Stage::Decode) as f64;
-        (busy - self.bearable_reading(&first.service, aims)).max(0.0)
+        (busy - self.bearable_reading(&first.service, latency_targets)).max(0.0)
     }
 
     /// Share of their time that decode engines may read.
-    fn bearable_reading(&self, service: &str, aims: Aims) -> f64 {
+    fn bearable_reading(&self, service: &str, latency_targets: LatencyTargets) -> f64 {
         let quiet_ms = self.streams.quiet_gap_ms(service);
-        let Some(target) = aims.gap.filter(|_| quiet_ms > 0.0) else {
+        let Some(target) = latency_targets.gap.filter(|_| quiet_ms > 0.0) else {
             return DECODE_READING_SHARE;
         };
         let target_ms = target.as_secs_f64() * MS_PER_S;
@@ -60,18 +60,18 @@
     }
 
     /// Tokens that a decode engine reads without holding its streams up noticeably.
-    fn unnoticed_tokens(&self, aims: Aims) -> f64 {
-        let target = aims.gap.unwrap_or(aims.latency);
+    fn unnoticed_tokens(&self, latency_targets: LatencyTargets) -> f64 {
+        let target = latency_targets.gap.unwrap_or(latency_targets.latency);
         let time_ms = target.as_secs_f64() * MS_PER_S * UNNOTICED_GAP_SHARE;
         time_ms * self.speed.decode_tokens_per_ms()
     }
 
     /// Adds the reading that a plan brings to the work of its service.
-    pub fn meter(&mut self, service: &Arc<str>, plan: &PromptPlan, aims: Aims, now: Instant) {
+    pub fn record_prompt_work(&mut self, service: &Arc<str>, plan: &PromptPlan, latency_targets: LatencyTargets, now: Instant) {
         let prefill_s = plan.tokens_to_read / self.speed.prefill_tokens_per_ms() / MS_PER_S;
         let decode_s = plan.tokens_to_read / self.speed.decode_tokens_per_ms() / MS_PER_S;
         let mut work = StageWork::default();
-        if plan.tokens_to_read > self.unnoticed_tokens(aims) {
+        if plan.tokens_to_read > self.unnoticed_tokens(latency_targets) {
             work.prefill = prefill_s;
         } else {
             work.short_reading = prefill_s;
@@ -88,7 +88,7 @@
     }
 
     /// Adds a stream's time to the work of its service: it held one of the engine's slots.
-    pub fn meter_stream(&mut self, service: &Arc<str>, slots: u32, time: Duration, now: Instant) {
+    pub fn record_stream_work(&mut self, service: &Arc<str>, slots: u32, time: Duration, now: Instant) {
         self.streams.ran(service, time, now);
         let held = time.as_secs_f64() / f64::from(slots.max(1));
         let work = StageWork {
--- a/crates/fleet/src/placement/prefixes.rs
+++ b/crates/fleet/src/placement/prefixes.rs
@@ -21,7 +21,7 @@
 /// Uses that peers have not been told of, at most.
 const MAXIMUM_UNTOLD: usize = 256;
 /// A head of fewer tokens is read anew in a few milliseconds: it is neither remembered nor told.
-pub const LEAST_HEAD_TOKENS: u32 = 500;
+pub const MIN_PREFIX_TOKENS: u32 = 500;
 /// Engines that are noted for one head before those that no longer keep it are dropped.
 const HOLDERS_TIDIED_ABOVE: usize = 64;
 /// Heads that are remembered of one engine before the forgotten ones are dropped.
@@ -29,16 +29,16 @@
 
 /// How far an engine is with a head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HeadState {
+pub enum PrefixState {
     /// A prompt with it is on its way there: whatever comes behind it finds it kept.
-    Coming,
+    Pending,
     /// It is kept, and others can fetch it.
-    Kept,
+    Cached,
 }
 
 /// One use of a head at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeadUse {
+pub struct PrefixUse {
     /// Engine.
     pub engine: Arc<str>,
     /// Head.
@@ -48,16 +48,16 @@
     /// Tokens of the prompt that follow it; they take memory too.
     pub own_tokens: u32,
     /// How far the engine is with it.
-    pub state: HeadState,
+    pub state: PrefixState,
 }
 
-impl HeadUse {
+impl PrefixUse {
     /// The use that a prompt makes of an engine's cache; none where it shares no head worth remembering.
     #[must_use]
-    pub fn of(prompt: &Prompt, engine: &BackEnd, state: HeadState) -> Option<Self> {
+    pub fn of(prompt: &Prompt, engine: &BackEnd, state: PrefixState) -> Option<Self> {
         Some(Self {
             engine: Arc::clone(&engine.id),
-            head: remembered_head(prompt)?,
+            head: tracked_prefix(prompt)?,
             tokens: prompt.shared_tokens(),
             own_tokens: prompt.own_tokens(),
             state,
@@ -66,27 +66,27 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Kept {
-    state: HeadState,
+struct Cached {
+    state: PrefixState,
     last_used: Instant,
     /// What had come in until then, in tokens.
-    came_in: u64,
+    record_inserted_tokens: u64,
 }
 
 #[derive(Debug, Default)]
 struct Heads {
-    kept: HashMap<u64, Kept>,
+    kept: HashMap<u64, Cached>,
     /// All that has come into the engine's memory, in tokens.
-    came_in: u64,
+    record_inserted_tokens: u64,
 }
 
 impl Heads {
-    fn holds(&self, kept: &Kept, capacity_tokens: u64, now: Instant) -> bool {
-        let since = self.came_in - kept.came_in;
+    fn holds(&self, kept: &Cached, capacity_tokens: u64, now: Instant) -> bool {
+        let since = self.record_inserted_tokens - kept.record_inserted_tokens;
         let age = now.saturating_duration_since(kept.last_used);
         let life = match kept.state {
-            HeadState::Coming => COMING_FOR,
-            HeadState::Kept => BELIEVED_FOR,
+            PrefixState::Pending => COMING_FOR,
+            PrefixState::Cached => BELIEVED_FOR,
         };
         since <= capacity_tokens && age < life
     }
@@ -99,7 +99,7 @@
     /// Engines that have kept a head, some of which may have dropped it since.
     by_head: HashMap<u64, Vec<Arc<str>>>,
     capacity_tokens: u64,
-    unpublished: Vec<HeadUse>,
+    unpublished: Vec<PrefixUse>,
 }
 
 impl PrefixMemory {
@@ -116,7 +116,7 @@
     }
 
     /// An engine has read, or fetched, a prompt with this head, sent by this daemon.
-    pub fn used(&mut self, usage: HeadUse, now: Instant) {
+    pub fn used(&mut self, usage: PrefixUse, now: Instant) {
         self.note(&usage, now);
         if self.unpublished.len() < MAXIMUM_UNTOLD {
             self.unpublished.push(usage);
@@ -124,43 +124,43 @@
     }
 
     /// Own uses since the last call, for telling peers.
-    pub fn take_unpublished(&mut self) -> Vec<HeadUse> {
+    pub fn take_unpublished(&mut self) -> Vec<PrefixUse> {
         std::mem::take(&mut self.unpublished)
     }
 
     /// An engine has read a prompt with this head, sent by another daemon or seen in the engine's own words.
-    pub fn note(&mut self, usage: &HeadUse, now: Instant) {
+    pub fn note(&mut self, usage: &PrefixUse, now: Instant) {
         let capacity = self.capacity_tokens;
         let heads = self.by_engine.entry(Arc::clone(&usage.engine)).or_default();
         let before = heads.kept.get(&usage.head).copied();
         let before = before.filter(|kept| heads.holds(kept, capacity, now));
-        let came_in = match (before.map(|kept| kept.state), usage.state) {
-            (Some(HeadState::Kept), HeadState::Kept) => usage.own_tokens,
-            (_, HeadState::Kept) => usage.tokens + usage.own_tokens,
-            (_, HeadState::Coming) => 0,
+        let record_inserted_tokens = match (before.map(|kept| kept.state), usage.state) {
+            (Some(PrefixState::Cached), PrefixState::Cached) => usage.own_tokens,
+            (_, PrefixState::Cached) => usage.tokens + usage.own_tokens,
+            (_, PrefixState::Pending) => 0,
         };
-        let was_read = before.is_some_and(|kept| kept.state == HeadState::Kept);
-        heads.came_in += u64::from(came_in);
-        let kept = Kept {
+        let was_read = before.is_some_and(|kept| kept.state == PrefixState::Cached);
+        heads.record_inserted_tokens += u64::from(record_inserted_tokens);
+        let kept = Cached {
             state: if was_read {
-                HeadState::Kept
+                PrefixState::Cached
             } else {
                 usage.state
             },
             last_used: now,
-            came_in: heads.came_in,
+            record_inserted_tokens: heads.record_inserted_tokens,
         };
         heads.kept.insert(usage.head, kept);
         if heads.kept.len() > TIDIED_ABOVE {
-            let came_in = heads.came_in;
+            let record_inserted_tokens = heads.record_inserted_tokens;
             heads
                 .kept
-                .retain(|_head, kept| came_in - kept.came_in <= capacity);
+                .retain(|_head, kept| record_inserted_tokens - kept.record_inserted_tokens <= capacity);
         }
         self.note_holder(usage, now);
     }
 
-    fn note_holder(&mut self, usage: &HeadUse, now: Instant) {
+    fn note_holder(&mut self, usage: &PrefixUse, now: Instant) {
         let mut holders = self.by_head.remove(&usage.head).unwrap_or_default();
         if holders.len() > HOLDERS_TIDIED_ABOVE {
             holders.retain(|engine| self.state(engine, usage.head, now).is_some());
@@ -182,15 +182,15 @@
     }
 
     /// Prompts without a head worth remembering came into an engine's memory: so many tokens, of all daemons together.
-    pub fn came_in(&mut self, engine: &str, tokens: u64) {
+    pub fn record_inserted_tokens(&mut self, engine: &str, tokens: u64) {
         if let Some(heads) = self.by_engine.get_mut(engine) {
-            heads.came_in += tokens;
+            heads.record_inserted_tokens += tokens;
         }
     }
 
     /// How far the engine is believed to be with this head; none where it does not keep it.
     #[must_use]
-    pub fn state(&self, engine: &str, head: u64, now: Instant) -> Option<HeadState> {
+    pub fn state(&self, engine: &str, head: u64, now: Instant) -> Option<PrefixState> {
         let heads = self.by_engine.get(engine)?;
         let kept = heads.kept.get(&head)?;
         heads
@@ -199,7 +199,7 @@
     }
 
     /// An engine did not keep what it was believed to keep.
-    pub fn was_missing(&mut self, engine: &str, head: u64) {
+    pub fn record_miss(&mut self, engine: &str, head: u64) {
         if let Some(heads) = self.by_engine.get_mut(engine) {
             heads.kept.remove(&head);
         }
@@ -221,9 +221,9 @@
 
 /// The prompt's shared head, if it is worth remembering.
 #[must_use]
-pub fn remembered_head(prompt: &Prompt) -> Option<u64> {
-    let is_long = prompt.shared_tokens() >= LEAST_HEAD_TOKENS;
-    prompt.shared_head().filter(|_head| is_long)
+pub fn tracked_prefix(prompt: &Prompt) -> Option<u64> {
+    let is_long = prompt.shared_tokens() >= MIN_PREFIX_TOKENS;
+    prompt.shared_prefix().filter(|_head| is_long)
 }
 
 /// The engine where prompts with this head meet: the one with the highest hash of both.
--- a/crates/fleet/src/placement/reading.rs
+++ b/crates/fleet/src/placement/reading.rs
@@ -55,7 +55,7 @@
                 + work.move_ms
                 + reading_ms,
             burden_ms: self.fetch_burden_ms(&work)
-                + late_streams * self.request.aims.latency_ms()
+                + late_streams * self.request.latency_targets.latency_ms()
                 + delay_of_others_ms(self.direct_per_ms, own_ms),
         }
     }
@@ -108,7 +108,7 @@
     /// Streams at the engine whose pauses would pass their target where it reads for so long. Between two of its pieces
     /// every stream gets on, so that what counts is the reading that falls into one pause.
     fn late_streams(&self, back_end: &BackEnd, reading_ms: f64) -> f64 {
-        let Some(target) = self.request.aims.gap else {
+        let Some(target) = self.request.latency_targets.gap else {
             return 0.0;
         };
         let target_ms = target.as_secs_f64() * MS_PER_S;
@@ -129,7 +129,7 @@
             move_ms: 0.0,
             fetch_from: None,
         };
-        if self.request.prompt.shared_head().is_none() {
+        if self.request.prompt.shared_prefix().is_none() {
             return read(f64::from(self.request.prompt.input_tokens));
         }
         if self.keepers.iter().any(|keeper| keeper.id == back_end.id) {
@@ -165,7 +165,7 @@
 
     /// Where the prompt's head is at home among `rivals`; none where it is fetched from a keeper anyway.
     pub(super) fn home<'b>(&self, rivals: &'b [Arc<BackEnd>]) -> Option<&'b Arc<BackEnd>> {
-        let head = self.request.prompt.shared_head()?;
+        let head = self.request.prompt.shared_prefix()?;
         if self.is_worth_a_fetch() && !self.keepers.is_empty() {
             return None;
         }
--- a/crates/fleet/src/placement/speed.rs
+++ b/crates/fleet/src/placement/speed.rs
@@ -125,13 +125,13 @@
 
 impl SpeedTable {
     /// A plain back end answered after this long.
-    pub fn plain_answered(&mut self, id: &Arc<str>, elapsed_ms: f64) {
+    pub fn record_plain_answer(&mut self, id: &Arc<str>, elapsed_ms: f64) {
         let entry = self.plain_ms.entry(Arc::clone(id)).or_insert(elapsed_ms);
         *entry += NEWEST_WEIGHT * (elapsed_ms - *entry);
     }
 
     /// An engine was expected to need `expected_ms` and needed `elapsed_ms`.
-    pub fn engine_answered(
+    pub fn record_engine_answer(
         &mut self,
         id: &Arc<str>,
         expected_ms: f64,
@@ -163,7 +163,7 @@
     }
 
     /// A decode engine that read nothing else read a prompt that this daemon sent.
-    pub fn prompt_read_at_decode(&mut self, reading: PromptReading) {
+    pub fn record_decode_reading(&mut self, reading: PromptReading) {
         self.decode_readings.add(reading);
     }
 
--- a/crates/fleet/src/placement/stream_times.rs
+++ b/crates/fleet/src/placement/stream_times.rs
@@ -66,7 +66,7 @@
     }
 
     /// A stream paused this long between two events, while its engine was not known to read prompts.
-    pub fn paused_quietly(&mut self, service: &Arc<str>, gap: Duration) {
+    pub fn record_baseline_gap(&mut self, service: &Arc<str>, gap: Duration) {
         let gap_ms = gap.as_secs_f64() * MS_PER_S;
         self.of(service).quiet_gap_ms.add(gap_ms);
     }
--- a/crates/fleet/src/prompt.rs
+++ b/crates/fleet/src/prompt.rs
@@ -26,8 +26,8 @@
     /// Identity of the prompt's shared head, all its parts but the last: that of the last among them. Engines keep a
     /// part for use only with all parts before it.
     #[must_use]
-    pub fn shared_head(&self) -> Option<u64> {
-        self.shared_parts().last().map(|part| head_of(&part.id))
+    pub fn shared_prefix(&self) -> Option<u64> {
+        self.shared_parts().last().map(|part| prefix_hash(&part.id))
     }
 
     /// Tokens of the shared head.
@@ -49,6 +49,6 @@
 
 /// Identity of the head that ends with this part.
 #[must_use]
-pub fn head_of(part: &str) -> u64 {
+pub fn prefix_hash(part: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(part.as_bytes())
 }
--- a/crates/fleet/src/routes.rs
+++ b/crates/fleet/src/routes.rs
@@ -39,7 +39,7 @@
 
 /// Deals requests of split routes to their services in the shares of their weights, evenly spread.
 #[derive(Debug, Default)]
-pub struct SplitDealer {
+pub struct SplitScheduler {
     by_route: HashMap<Arc<str>, Deal>,
 }
 
@@ -49,7 +49,7 @@
     credit: Vec<i64>,
 }
 
-impl SplitDealer {
+impl SplitScheduler {
     /// The service of the next request of `route`; none if no part has any weight.
     pub fn next(&mut self, route: &Route) -> Option<Arc<str>> {
         if let [only] = route.split.as_slice() {
--- a/crates/fleet/src/stages.rs
+++ b/crates/fleet/src/stages.rs
@@ -182,12 +182,12 @@
             decode: 0,
         };
         for engine in engines {
-            let ordered = self
+            let record_order = self
                 .changed
                 .iter()
                 .rev()
-                .find(|ordered| ordered.is_under_way(engine, now));
-            let stage = ordered.map(|ordered| ordered.stage).or(engine.stage);
+                .find(|record_order| record_order.is_under_way(engine, now));
+            let stage = record_order.map(|record_order| record_order.stage).or(engine.stage);
             if let Some(stage) = stage {
                 counts = counts.with_one_more(stage);
             }
@@ -217,11 +217,11 @@
     }
 
     /// A change was ordered.
-    pub fn ordered(&mut self, change: &StageChange, now: Instant) {
+    pub fn record_order(&mut self, change: &StageChange, now: Instant) {
         self.last_change = Some(now);
-        self.changed.retain(|ordered| {
-            let kept = DWELL.max(Duration::from_secs_f64(ordered.away_s * OVERDUE_FACTOR));
-            now.saturating_duration_since(ordered.at) < kept
+        self.changed.retain(|record_order| {
+            let kept = DWELL.max(Duration::from_secs_f64(record_order.away_s * OVERDUE_FACTOR));
+            now.saturating_duration_since(record_order.at) < kept
         });
         self.changed.push(Ordered {
             engine: Arc::clone(&change.engine.id),
@@ -232,8 +232,8 @@
     }
 
     /// An order was not taken: its engine stays as it was.
-    pub fn not_taken(&mut self, engine: &str) {
-        self.changed.retain(|ordered| &*ordered.engine != engine);
+    pub fn record_rejected_order(&mut self, engine: &str) {
+        self.changed.retain(|record_order| &*record_order.engine != engine);
     }
 
     fn smooth(&mut self, measured: StageWork) {
@@ -285,9 +285,9 @@
     }
 
     fn dwells(&self, engine: &BackEnd, now: Instant) -> bool {
-        self.changed.iter().any(|ordered| {
-            let is_recent = now.saturating_duration_since(ordered.at) < DWELL;
-            ordered.is_under_way(engine, now) || (ordered.engine == engine.id && is_recent)
+        self.changed.iter().any(|record_order| {
+            let is_recent = now.saturating_duration_since(record_order.at) < DWELL;
+            record_order.is_under_way(engine, now) || (record_order.engine == engine.id && is_recent)
         })
     }
 }
--- a/crates/fleet/src/topology.rs
+++ b/crates/fleet/src/topology.rs
@@ -12,12 +12,12 @@
 use crate::distribution::distributors;
 
 /// A fleet of no more daemons is one neighbourhood.
-pub const SMALL_FLEET: usize = 24;
+pub const SMALL_FLEET_MAX_DAEMONS: usize = 24;
 /// Daemons of each neighbourhood that follow the store: one may fail without a gap in the news.
-pub const FOLLOWERS: usize = 2;
+pub const FOLLOWERS_PER_NEIGHBOURHOOD: usize = 2;
 /// Daemons of each neighbourhood that keep copies of what their neighbours counted: with half of all daemons killed at
 /// once, one count in eight has no copy left, and the killed ones' newest are lost in any case.
-pub const USAGE_REPLICAS: usize = 3;
+pub const USAGE_REPLICAS_PER_NEIGHBOURHOOD: usize = 3;
 /// Daemons of each other zone that are told.
 const PEERS_PER_OTHER_ZONE: usize = 2;
 
@@ -40,9 +40,9 @@
     /// Peers that are told everything.
     pub neighbours: Vec<SocketAddr>,
     /// Those of them in the daemon's own zone.
-    pub of_zone: Vec<SocketAddr>,
+    pub zone_peers: Vec<SocketAddr>,
     /// Peers of other zones, which pass on what they hear.
-    pub far: Vec<SocketAddr>,
+    pub remote_zone_peers: Vec<SocketAddr>,
     /// Whether this daemon follows the store for its neighbours.
     pub follows_store: bool,
     /// Daemons of the fleet, this one among them.
@@ -52,7 +52,7 @@
     /// Neighbours that keep copies of what this daemon counts.
     pub usage_replicas: Vec<SocketAddr>,
     /// All daemons that keep such copies, of all neighbourhoods, without this one.
-    pub usage_keepers: Vec<SocketAddr>,
+    pub usage_replica_holders: Vec<SocketAddr>,
     /// Daemons of the neighbourhood, this one perhaps among them, that hand on everything that the store holds; none in a small
     /// one.
     pub distributors: Vec<SocketAddr>,
@@ -62,8 +62,8 @@
     /// The daemon that keeps the retries of this one's zone; none in a small neighbourhood. Not one of those that read the store,
     /// where there is another.
     #[must_use]
-    pub fn retry_pool_keeper(&self) -> Option<SocketAddr> {
-        let other = self.distributors.get(FOLLOWERS);
+    pub fn retry_pool_owner(&self) -> Option<SocketAddr> {
+        let other = self.distributors.get(FOLLOWERS_PER_NEIGHBOURHOOD);
         other.or(self.distributors.first()).copied()
     }
 
@@ -74,21 +74,21 @@
             .iter()
             .filter(|other| other.name != own.name)
             .collect();
-        let is_small = peers.len() < SMALL_FLEET;
+        let is_small = peers.len() < SMALL_FLEET_MAX_DAEMONS;
         let is_near = |other: &Member| is_small || other.zone == own.zone;
         let near: Vec<&Member> = peers.iter().copied().filter(|peer| is_near(peer)).collect();
         let zones = if is_small { 1 } else { zones_of(own, &peers) };
         Self {
             neighbours: addresses(near.iter().copied()),
-            of_zone: addresses(near.iter().copied().filter(|peer| peer.zone == own.zone)),
-            far: far_of(own, &peers, is_near),
+            zone_peers: addresses(near.iter().copied().filter(|peer| peer.zone == own.zone)),
+            remote_zone_peers: far_of(own, &peers, is_near),
             follows_store: is_follower(own, &near),
             daemons: peers.len() + 1,
-            followers: zones * FOLLOWERS,
-            usage_replicas: usage_keepers(own, near.iter().copied().chain([own])),
-            usage_keepers: neighbourhoods(own, &peers, is_small)
+            followers: zones * FOLLOWERS_PER_NEIGHBOURHOOD,
+            usage_replicas: usage_replica_holders(own, near.iter().copied().chain([own])),
+            usage_replica_holders: neighbourhoods(own, &peers, is_small)
                 .iter()
-                .flat_map(|daemons| usage_keepers(own, daemons.iter().copied()))
+                .flat_map(|daemons| usage_replica_holders(own, daemons.iter().copied()))
                 .collect(),
             distributors: distributors(near.iter().copied().chain([own])),
         }
@@ -121,7 +121,7 @@
     others.sort_unstable();
     others
         .chunk_by(|left, right| left.0 == right.0)
-        .flat_map(|of_zone| of_zone.iter().take(PEERS_PER_OTHER_ZONE))
+        .flat_map(|zone_peers| zone_peers.iter().take(PEERS_PER_OTHER_ZONE))
         .map(|(_zone, _rank, address)| *address)
         .collect()
 }
@@ -143,10 +143,10 @@
 }
 
 /// Those of a neighbourhood that keep copies of what its daemons counted, without this daemon.
-fn usage_keepers<'a>(own: &Member, daemons: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
+fn usage_replica_holders<'a>(own: &Member, daemons: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
     let mut ranked: Vec<&Member> = daemons.collect();
     ranked.sort_by_cached_key(|member| rank(member));
-    let keepers = ranked.into_iter().take(USAGE_REPLICAS);
+    let keepers = ranked.into_iter().take(USAGE_REPLICAS_PER_NEIGHBOURHOOD);
     addresses(keepers.filter(|keeper| keeper.name != own.name))
 }
 
@@ -160,5 +160,5 @@
 fn is_follower(own: &Member, neighbours: &[&Member]) -> bool {
     let own_rank = rank(own);
     let before = neighbours.iter().filter(|peer| rank(peer) < own_rank);
-    before.count() < FOLLOWERS
+    before.count() < FOLLOWERS_PER_NEIGHBOURHOOD
 }
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -203,7 +203,7 @@
             .flat_map(|event| event.bytes.to_vec())
             .collect();
         assert_eq!(bytes, text[..text.len() - "id: 6\nda".len()]);
-        assert!(splitter.has_rest());
+        assert!(splitter.has_partial_event());
     }
 }
 
--- a/crates/fleet/tests/distribution.rs
+++ b/crates/fleet/tests/distribution.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use ponddrift_fleet::distribution::{MOST_DISTRIBUTORS, ReadingPlan, distributors};
-use ponddrift_fleet::topology::{FOLLOWERS, Member, SMALL_FLEET};
+use ponddrift_fleet::topology::{FOLLOWERS_PER_NEIGHBOURHOOD, Member, SMALL_FLEET_MAX_DAEMONS};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// One zone in which one daemon of sixteen has a fast link.
@@ -47,7 +47,7 @@
 fn as_many_daemons_read_the_store_in_a_zone_of_a_thousand_as_in_one_of_a_hundred() {
     for daemons in [100, 1_000] {
         let readers = readers(&zone(daemons));
-        assert_eq!(readers[&None], FOLLOWERS, "{daemons} daemons");
+        assert_eq!(readers[&None], FOLLOWERS_PER_NEIGHBOURHOOD, "{daemons} daemons");
     }
 }
 
@@ -98,14 +98,14 @@
         if plan.providers.is_empty() {
             continue;
         }
-        assert!(plan.providers.len() >= FOLLOWERS);
+        assert!(plan.providers.len() >= FOLLOWERS_PER_NEIGHBOURHOOD);
         assert!(!plan.providers.contains(&own));
     }
 }
 
 #[test]
 fn in_a_small_neighbourhood_everybody_reads_the_store() {
-    let zone = zone(u16::try_from(SMALL_FLEET).expect("small"));
+    let zone = zone(u16::try_from(SMALL_FLEET_MAX_DAEMONS).expect("small"));
     assert!(distributors(zone.iter()).is_empty());
     assert_eq!(readers(&zone)[&None], zone.len());
 }
--- a/crates/fleet/tests/fairness.rs
+++ b/crates/fleet/tests/fairness.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::placement::{FairShares, Offer};
+use ponddrift_fleet::placement::{FairShares, OfferedRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -44,7 +44,7 @@
             let before = queue.iter().filter(|waiting| !waiting.yields).count();
             let before = u32::try_from(before).expect("few");
             let fits = before * 100 < TARGET_STEPS * capacity;
-            let offer = Offer {
+            let offer = OfferedRequest {
                 service: &service,
                 tenant: &tenant,
                 work: WORK,
@@ -117,7 +117,7 @@
     for number in 0..2_000 {
         now += STEP;
         let tenant = if number % 20 == 0 { "small" } else { "large" };
-        let offer = Offer {
+        let offer = OfferedRequest {
             service: &service,
             tenant: &Arc::from(tenant),
             work: WORK,
@@ -136,7 +136,7 @@
     let mut offer = |shares: &mut FairShares, fits: bool| {
         now += STEP;
         for (tenant, work) in [("large", 20.0 * WORK), ("small", WORK)] {
-            let offer = Offer {
+            let offer = OfferedRequest {
                 service: &service,
                 tenant: &Arc::from(tenant),
                 work,
--- a/crates/fleet/tests/learned_times.rs
+++ b/crates/fleet/tests/learned_times.rs
@@ -35,7 +35,7 @@
     assert!(streams.quiet_gap_ms("models") < 1e-9, "nothing seen yet");
     for _ in 0..200 {
         streams.ran(&service(), Duration::from_millis(80), now);
-        streams.paused_quietly(&service(), Duration::from_millis(40));
+        streams.record_baseline_gap(&service(), Duration::from_millis(40));
     }
     assert!((streams.usual_ms("models") - 80.0).abs() < 1.0);
     assert!((streams.quiet_gap_ms("models") - 40.0).abs() < 1.0);
@@ -46,12 +46,12 @@
     let mut confidence = Confidence::default();
     assert!((confidence.share("models") - 1.0).abs() < 1e-9);
     for _ in 0..100 {
-        confidence.was_in_time(&service(), 1.0, false);
+        confidence.record_deadline_outcome(&service(), 1.0, false);
     }
     let lowest = confidence.share("models");
     assert!((0.4..0.6).contains(&lowest), "bounded: {lowest}");
     for number in 0..1_300 {
-        confidence.was_in_time(&service(), 2.0, number % 13 != 0);
+        confidence.record_deadline_outcome(&service(), 2.0, number % 13 != 0);
     }
     let settled = confidence.share("models");
     assert!((settled - lowest).abs() < 0.05, "{lowest} to {settled}");
@@ -61,11 +61,11 @@
 fn requests_far_from_the_end_of_the_share_tell_nothing_when_in_time() {
     let mut confidence = Confidence::default();
     for _ in 0..1_000 {
-        confidence.was_in_time(&service(), 0.1, true);
+        confidence.record_deadline_outcome(&service(), 0.1, true);
     }
     assert!((confidence.share("models") - 1.0).abs() < 1e-9);
     for _ in 0..10_000 {
-        confidence.was_in_time(&service(), 5.0, true);
+        confidence.record_deadline_outcome(&service(), 5.0, true);
     }
     let highest = confidence.share("models");
     assert!((highest - 2.0).abs() < 1e-9, "bounded: {highest}");
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -10,7 +10,7 @@
 use ponddrift_fleet::directory::{BackEnd, ColdStart};
 use ponddrift_fleet::health::Outcome;
 use ponddrift_fleet::placement::{
-    Aims, HandOver, HeadState, HeadUse, Outstanding, Placement, PromptPlan, PromptRequest, Urgency,
+    LatencyTargets, HandOver, PrefixState, PrefixUse, Outstanding, Placement, PromptPlan, PromptRequest, Urgency,
     WorkReport, WorkRow,
 };
 use ponddrift_fleet::prompt::{Prompt, PromptPart};
@@ -22,7 +22,7 @@
 use rand_pcg::Pcg64Mcg;
 use support::engines;
 
-const AIMS: Aims = Aims {
+const AIMS: LatencyTargets = LatencyTargets {
     latency: Duration::from_millis(500),
     gap: Some(Duration::from_millis(150)),
 };
@@ -55,7 +55,7 @@
                 &[],
                 &PromptRequest {
                     prompt,
-                    aims: AIMS,
+                    latency_targets: AIMS,
                     traits: &traits(),
                     urgency: self.urgency,
                     body_bytes: 20_000,
@@ -67,16 +67,16 @@
     }
 
     fn keep(&mut self, engine: usize, prompt: &Prompt) {
-        self.note(engine, prompt, HeadState::Kept);
+        self.note(engine, prompt, PrefixState::Cached);
     }
 
-    fn note(&mut self, engine: usize, prompt: &Prompt, state: HeadState) {
-        let usage = HeadUse::of(prompt, &self.engines[engine], state).expect("a head");
+    fn note(&mut self, engine: usize, prompt: &Prompt, state: PrefixState) {
+        let usage = PrefixUse::of(prompt, &self.engines[engine], state).expect("a head");
         self.placement.prefixes.used(usage, self.now);
     }
 
-    fn believes(&self, engine: usize, prompt: &Prompt) -> Option<HeadState> {
-        let head = prompt.shared_head().expect("a head");
+    fn believes(&self, engine: usize, prompt: &Prompt) -> Option<PrefixState> {
+        let head = prompt.shared_prefix().expect("a head");
         let id = &self.engines[engine].id;
         self.placement.prefixes.state(id, head, self.now)
     }
@@ -241,7 +241,7 @@
     let first = prompt("first", 13_000, 100);
     scene.keep(0, &first);
     let id = Arc::clone(&scene.engines[0].id);
-    scene.placement.prefixes.came_in(&id, 500_000);
+    scene.placement.prefixes.record_inserted_tokens(&id, 500_000);
     assert!(scene.believes(0, &first).is_none());
 }
 
@@ -249,7 +249,7 @@
 fn short_heads_are_neither_remembered_nor_told() {
     let scene = Scene::new(1, 1);
     let short = prompt("h", 90, 300);
-    assert!(HeadUse::of(&short, &scene.engines[0], HeadState::Kept).is_none());
+    assert!(PrefixUse::of(&short, &scene.engines[0], PrefixState::Cached).is_none());
 }
 
 #[test]
@@ -258,22 +258,22 @@
     let asked = prompt("h", 13_000, 100);
     let comes = |scene: &Scene| {
         let engines = &scene.engines;
-        scene.placement.is_head_coming(engines, &asked, scene.now)
+        scene.placement.is_prefix_pending(engines, &asked, scene.now)
     };
     assert!(!comes(&scene));
-    scene.note(0, &asked, HeadState::Coming);
+    scene.note(0, &asked, PrefixState::Pending);
     assert!(comes(&scene));
     scene.keep(0, &asked);
     assert!(!comes(&scene));
-    scene.note(0, &asked, HeadState::Coming);
-    assert_eq!(scene.believes(0, &asked), Some(HeadState::Kept));
+    scene.note(0, &asked, PrefixState::Pending);
+    assert_eq!(scene.believes(0, &asked), Some(PrefixState::Cached));
 }
 
 #[test]
 fn a_head_whose_reading_was_lost_is_not_waited_for_any_longer() {
     let mut scene = Scene::new(1, 1);
     let asked = prompt("h", 13_000, 100);
-    scene.note(0, &asked, HeadState::Coming);
+    scene.note(0, &asked, PrefixState::Pending);
     scene.now += Duration::from_secs(10);
     assert!(scene.believes(0, &asked).is_none());
 }
@@ -339,10 +339,10 @@
     let other = Arc::clone(&scene.engines[1].id);
     scene
         .placement
-        .set_away(&engine, Duration::from_secs(2), false, scene.now);
+        .suspend_engine(&engine, Duration::from_secs(2), false, scene.now);
     scene
         .placement
-        .set_away(&engine, Duration::from_millis(200), false, scene.now);
+        .suspend_engine(&engine, Duration::from_millis(200), false, scene.now);
     scene.now += Duration::from_secs(1);
     for _ in 0..10 {
         assert_eq!(scene.plan(&prompt("h", 60, 250)).decode.id, other);
@@ -391,7 +391,7 @@
     let service = Arc::from("models");
     let told = vec![(service, busy)];
     scene.placement.peer_work.receive(7, told, scene.now);
-    scene.placement.work_of_all(scene.now);
+    scene.placement.fleet_work(scene.now);
     assert!(scene.plan(&short).prefill.is_some());
 }
 
@@ -401,7 +401,7 @@
     let service = Arc::from("models");
     let plan = scene.plan(&prompt("h", 10_000, 4_000));
     assert!(plan.prefill.is_none());
-    scene.placement.meter(&service, &plan, AIMS, scene.now);
+    scene.placement.record_prompt_work(&service, &plan, AIMS, scene.now);
     let rates = scene.placement.work.rates(scene.now);
     let work = rates[0].1;
     assert!(work.prefill > 0.1 && work.decode_reading > work.prefill);
@@ -414,7 +414,7 @@
     for engine in scene.engines.clone() {
         scene
             .placement
-            .set_away(&engine, Duration::from_secs(2), true, scene.now);
+            .suspend_engine(&engine, Duration::from_secs(2), true, scene.now);
         scene.now += Duration::from_millis(50);
     }
     let told = scene.placement.away(scene.now);
@@ -438,7 +438,7 @@
 fn what_waits_at_the_own_link_leaves_at_its_pace() {
     let mut scene = Scene::new(1, 1);
     let link = &mut scene.placement.link;
-    link.sends(1_000_000, scene.now);
+    link.record_send(1_000_000, scene.now);
     assert!(
         link.wait_ms(scene.now) < 1e-9,
         "a link of unknown speed is free"
@@ -459,7 +459,7 @@
         scene
             .placement
             .streams
-            .paused_quietly(&service, Duration::from_millis(50));
+            .record_baseline_gap(&service, Duration::from_millis(50));
     }
     let rows = scene.engines[1..].iter().map(|engine| WorkRow {
         id: Arc::clone(&engine.id),
@@ -614,7 +614,7 @@
         reader.zone = Arc::from("far");
         let asked = prompt("h", 30_000, 10_000);
         let hand_over = HandOver::of(&asked, &reader, &traits());
-        let chosen = scene.placement.choose_decode_after(
+        let chosen = scene.placement.choose_decode_after_prefill(
             &scene.engines,
             &[],
             Some(&asked),
--- a/crates/fleet/tests/retry_pool.rs
+++ b/crates/fleet/tests/retry_pool.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ponddrift_fleet::budget::{BudgetSettings, Deposits, RetryBudget, RetryPool, pool_share};
+use ponddrift_fleet::budget::{BudgetSettings, Deposits, RetryBudget, RetryPool, pool_capacity};
 
 const SETTINGS: BudgetSettings = BudgetSettings {
     ratio: 0.2,
@@ -30,7 +30,7 @@
         Self {
             budgets: std::iter::repeat_with(budget).take(of_zone).collect(),
             pool: RetryPool::default(),
-            most: pool_share(SETTINGS, of_zone, daemons),
+            most: pool_capacity(SETTINGS, of_zone, daemons),
             sequence: 0,
         }
     }
--- a/crates/fleet/tests/routes.rs
+++ b/crates/fleet/tests/routes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ponddrift_fleet::configuration::{Configuration, RequestKind, Route, SplitPart};
-use ponddrift_fleet::routes::{RouteTable, SplitDealer};
+use ponddrift_fleet::routes::{RouteTable, SplitScheduler};
 
 fn route(name: &str, host: &str, prefix: &str, split: &[(&str, u32)]) -> Arc<Route> {
     Arc::new(Route {
@@ -55,7 +55,7 @@
 #[test]
 fn shares_follow_weights_evenly_spread() {
     let route = route("r", "h", "/", &[("big", 90), ("small", 10)]);
-    let mut dealer = SplitDealer::default();
+    let mut dealer = SplitScheduler::default();
     for _ in 0..5 {
         let dealt: Vec<Arc<str>> = (0..10).filter_map(|_| dealer.next(&route)).collect();
         let small = dealt
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_part_without_weight_gets_nothing() {
-    let mut dealer = SplitDealer::default();
+    let mut dealer = SplitScheduler::default();
     let half = route("r", "h", "/", &[("on", 3), ("off", 0)]);
     for _ in 0..20 {
         assert_eq!(dealer.next(&half).as_deref(), Some("on"));
@@ -79,7 +79,7 @@
 
 #[test]
 fn changed_weights_are_in_force_with_the_next_request() {
-    let mut dealer = SplitDealer::default();
+    let mut dealer = SplitScheduler::default();
     let before = route("r", "h", "/", &[("a", 1), ("b", 1)]);
     for _ in 0..7 {
         dealer.next(&before);
--- a/crates/fleet/tests/speed.rs
+++ b/crates/fleet/tests/speed.rs
@@ -74,13 +74,13 @@
     let engine: Arc<str> = Arc::from("i-1");
     let mut now = Instant::now();
     for _ in 0..20 {
-        speed.engine_answered(&engine, 100.0, 500.0, now);
+        speed.record_engine_answer(&engine, 100.0, 500.0, now);
         now += Duration::from_millis(50);
     }
     assert!(speed.slowness(&engine, now) > 3.0);
     now += Duration::from_secs(20);
     assert!(speed.slowness(&engine, now) < 1.3);
-    speed.engine_answered(&engine, 100.0, 500.0, now);
+    speed.record_engine_answer(&engine, 100.0, 500.0, now);
     assert!(
         speed.slowness(&engine, now) > 1.3,
         "still slow: it loses its share again"
--- a/crates/fleet/tests/stage_bounds.rs
+++ b/crates/fleet/tests/stage_bounds.rs
@@ -101,12 +101,12 @@
                     assert!(!twice, "{} is under way", change.engine.id);
                     assert_ne!(change.engine.stage, Some(change.stage));
                     ORDERS.fetch_add(1, Ordering::Relaxed);
-                    planner.ordered(&change, now);
+                    planner.record_order(&change, now);
                     if is_taken {
                         under_way.push(change);
                         taken_at.push_back(now);
                     } else {
-                        planner.not_taken(&change.engine.id);
+                        planner.record_rejected_order(&change.engine.id);
                     }
                 }
                 // An order that is not carried out long after its time is taken as failed: here all are, in time.
@@ -141,7 +141,7 @@
                 for change in planner.plan(&engines, |_| Some(0.0), |_| away, now) {
                     assert!(change.net_gain.is_finite() && change.net_gain > 0.0);
                     assert!(change.gain > 0.0, "{}", change.gain);
-                    planner.ordered(&change, now);
+                    planner.record_order(&change, now);
                 }
             }
         });
--- a/crates/fleet/tests/stages.rs
+++ b/crates/fleet/tests/stages.rs
@@ -68,7 +68,7 @@
     }
 
     fn carry_out(&mut self, change: &StageChange) {
-        self.planner.ordered(change, self.now);
+        self.planner.record_order(change, self.now);
         self.changes += 1;
         for engine in &mut self.engines {
             if engine.id == change.engine.id {
@@ -185,20 +185,20 @@
     let mut scene = Scene::new(4, 8);
     scene.away = Duration::from_secs(3);
     let reading = work(3.0, 0.2);
-    let mut ordered = 0;
+    let mut record_order = 0;
     // The directory shows none of the changes: all are under way.
     for _ in 0..16 {
         for change in &scene.look_once(reading) {
             assert_eq!(
                 change.prefill_engines,
-                4 + ordered,
+                4 + record_order,
                 "each counts those before"
             );
-            scene.planner.ordered(change, scene.now);
-            ordered += 1;
+            scene.planner.record_order(change, scene.now);
+            record_order += 1;
         }
     }
-    assert!((1..=4).contains(&ordered), "{ordered}");
+    assert!((1..=4).contains(&record_order), "{record_order}");
 }
 
 #[test]
@@ -220,8 +220,8 @@
     scene.look(Duration::from_secs(2), work(1.0, 1.0));
     let reading = work(3.6, 0.2);
     let change = scene.look_until_changes(reading).remove(0);
-    scene.planner.ordered(&change, scene.now);
-    scene.planner.not_taken(&change.engine.id);
+    scene.planner.record_order(&change, scene.now);
+    scene.planner.record_rejected_order(&change.engine.id);
     let again = scene.look_until_changes(reading);
     assert_eq!(again[0].prefill_engines, 4);
 }
--- a/crates/fleet/tests/topology.rs
+++ b/crates/fleet/tests/topology.rs
@@ -8,7 +8,7 @@
 use ponddrift_fleet::followers::{
     FollowerTable, GOSSIP_INTERVAL, gathering_alone, gathering_for_others,
 };
-use ponddrift_fleet::topology::{FOLLOWERS, Member, SMALL_FLEET, Topology};
+use ponddrift_fleet::topology::{FOLLOWERS_PER_NEIGHBOURHOOD, Member, SMALL_FLEET_MAX_DAEMONS, Topology};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
@@ -38,14 +38,14 @@
 
 #[test]
 fn a_small_fleet_is_one_neighbourhood() {
-    let fleet = fleet(SMALL_FLEET);
+    let fleet = fleet(SMALL_FLEET_MAX_DAEMONS);
     for own in &fleet {
         let topology = Topology::of(own, &fleet);
-        assert_eq!(topology.neighbours.len(), SMALL_FLEET - 1);
-        assert!(topology.far.is_empty());
+        assert_eq!(topology.neighbours.len(), SMALL_FLEET_MAX_DAEMONS - 1);
+        assert!(topology.remote_zone_peers.is_empty());
         assert!(!topology.neighbours.contains(&own.peer_address));
     }
-    assert_eq!(followers_of(&fleet).len(), FOLLOWERS);
+    assert_eq!(followers_of(&fleet).len(), FOLLOWERS_PER_NEIGHBOURHOOD);
 }
 
 #[test]
@@ -54,7 +54,7 @@
     let own = &fleet[0];
     let topology = Topology::of(own, &fleet);
     assert_eq!(topology.neighbours.len(), 29);
-    assert_eq!(topology.far.len(), 4, "two of each other zone");
+    assert_eq!(topology.remote_zone_peers.len(), 4, "two of each other zone");
     let zone_of = |address: &SocketAddr| {
         let of = fleet.iter().find(|member| member.peer_address == *address);
         Arc::clone(&of.expect("known").zone)
@@ -65,17 +65,17 @@
             .iter()
             .all(|peer| &*zone_of(peer) == "a")
     );
-    assert!(topology.far.iter().all(|peer| &*zone_of(peer) != "a"));
+    assert!(topology.remote_zone_peers.iter().all(|peer| &*zone_of(peer) != "a"));
 }
 
 #[test]
 fn every_daemon_finds_the_same_followers_in_each_zone() {
     let fleet = fleet(90);
     let followers = followers_of(&fleet);
-    assert_eq!(followers.len(), ZONES.len() * FOLLOWERS);
+    assert_eq!(followers.len(), ZONES.len() * FOLLOWERS_PER_NEIGHBOURHOOD);
     for zone in ZONES {
-        let of_zone = followers.iter().filter(|member| &*member.zone == zone);
-        assert_eq!(of_zone.count(), FOLLOWERS, "zone {zone}");
+        let zone_peers = followers.iter().filter(|member| &*member.zone == zone);
+        assert_eq!(zone_peers.count(), FOLLOWERS_PER_NEIGHBOURHOOD, "zone {zone}");
     }
 }
 
@@ -111,7 +111,7 @@
     let fleet = fleet(90);
     let mut told = std::collections::HashSet::new();
     for own in fleet.iter().filter(|own| &*own.zone == "a") {
-        told.extend(Topology::of(own, &fleet).far);
+        told.extend(Topology::of(own, &fleet).remote_zone_peers);
     }
     assert!(told.len() > 30, "{} of 60 daemons are told", told.len());
 }
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ponddrift_fleet::topology::{Member, Topology, USAGE_REPLICAS};
+use ponddrift_fleet::topology::{Member, Topology, USAGE_REPLICAS_PER_NEIGHBOURHOOD};
 
 use ponddrift_platform_stand_ins::{
     ClientRequest, ProviderMode, StoreMode, TenantText, UsageNote, with_tenants,
@@ -351,7 +351,7 @@
     let in_zone = (0..fleet.daemons.len()).filter(|number| number % 2 != leading % 2);
     in_zone.partition(|number| {
         let address = members[*number].peer_address;
-        topology.usage_keepers.contains(&address)
+        topology.usage_replica_holders.contains(&address)
     })
 }
 
@@ -380,7 +380,7 @@
     let mut fleet = fleet_of_two_zones();
     ask_for(&mut fleet, &[0], Duration::from_secs(8));
     let (keepers, others) = of_the_other_zone(&fleet, fleet.last_reporter());
-    assert_eq!(keepers.len(), USAGE_REPLICAS);
+    assert_eq!(keepers.len(), USAGE_REPLICAS_PER_NEIGHBOURHOOD);
     fleet.wait(DUE);
     let earlier = sum(&reported(&fleet));
     wait_into_next_window(&mut fleet, Duration::from_millis(500));
--- a/crates/serving/src/capacity.rs
+++ b/crates/serving/src/capacity.rs
@@ -120,7 +120,7 @@
             // The store has lost them; they are back soon after it.
             return;
         }
-        let work = self.parts.pipeline.work_of_all();
+        let work = self.parts.pipeline.fleet_work();
         let work = work.into_iter().find(|(name, _work)| *name == service.name);
         let planner = self.planners.entry(Arc::clone(&service.name)).or_default();
         let work = work.map(|(_name, work)| work);
--- a/crates/serving/src/orders.rs
+++ b/crates/serving/src/orders.rs
@@ -93,7 +93,7 @@
 
     /// Takes the work of every service. Returns the services.
     fn observe(&mut self) -> Vec<Arc<str>> {
-        let work = self.pipeline.work_of_all();
+        let work = self.pipeline.fleet_work();
         for (service, measured) in &work {
             let engines = self.engines(service);
             let slots = self.pipeline.placement().load.slots_held(&engines);
@@ -134,7 +134,7 @@
         };
         let changes = planner.plan(engines, busyness, away, now());
         for change in &changes {
-            planner.ordered(change, now());
+            planner.record_order(change, now());
         }
         changes
     }
@@ -187,7 +187,7 @@
             OrderEnd::Refused(_) | OrderEnd::NotSent => {
                 self.pipeline.engine_back(&engine.id);
                 if let Some(planner) = self.planners.get_mut(&engine.service) {
-                    planner.not_taken(&engine.id);
+                    planner.record_rejected_order(&engine.id);
                 }
                 REFUSED_PAUSE
             }
--- a/crates/serving/src/peers/deposits.rs
+++ b/crates/serving/src/peers/deposits.rs
@@ -18,7 +18,7 @@
         let mut sequence = 0;
         loop {
             tokio::time::sleep(DEPOSIT_INTERVAL).await;
-            let Some(keeper) = self.state.topology().retry_pool_keeper() else {
+            let Some(keeper) = self.state.topology().retry_pool_owner() else {
                 continue;
             };
             let earned = self.pipeline.take_deposits();
--- a/crates/serving/src/peers/rate_limits.rs
+++ b/crates/serving/src/peers/rate_limits.rs
@@ -131,7 +131,7 @@
             .filter_map(|id| self.rate_row(id))
             .collect();
         let mut targets = self.neighbours();
-        targets.extend(&self.state.topology().far);
+        targets.extend(&self.state.topology().remote_zone_peers);
         for bytes in message::encode_rates(rows, true) {
             self.send(Some(bytes), &targets).await;
         }
--- a/crates/serving/src/peers/receive.rs
+++ b/crates/serving/src/peers/receive.rs
@@ -71,7 +71,7 @@
             recorder.observe_time(own.origin, Duration::from_millis(digest.time_of_day_ms));
         }
         self.take_work(&digest, &known);
-        if self.state.topology().of_zone.contains(&from) {
+        if self.state.topology().zone_peers.contains(&from) {
             for row in &digest.results {
                 if let Some(back_end) = known.find(row.back_end) {
                     self.pipeline
@@ -108,7 +108,7 @@
         for row in &digest.away {
             if let Some(engine) = known.find(row.engine) {
                 let time = Duration::from_millis(u64::from(row.time_ms));
-                placement.set_away(engine, time, false, now());
+                placement.suspend_engine(engine, time, false, now());
             }
         }
         if let Some(own) = digest.reports.first() {
--- a/crates/serving/src/peers/suspects.rs
+++ b/crates/serving/src/peers/suspects.rs
@@ -11,7 +11,7 @@
 
 use ponddrift_fleet::fingerprint::RequestFingerprint;
 use ponddrift_fleet::quarantine::{Standing, Suspicion};
-use ponddrift_fleet::topology::SMALL_FLEET;
+use ponddrift_fleet::topology::SMALL_FLEET_MAX_DAEMONS;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Peers;
@@ -100,7 +100,7 @@
     /// Who is told of a request: everybody, or its recorders.
     fn told_of(&self, fingerprint: RequestFingerprint, concerns_all: bool) -> Vec<SocketAddr> {
         let mut daemons = self.state.daemon_addresses();
-        if daemons.len() <= SMALL_FLEET {
+        if daemons.len() <= SMALL_FLEET_MAX_DAEMONS {
             return self.neighbours();
         }
         daemons.remove(&daemon_identity(&self.state.own().name));
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -7,7 +7,7 @@
 use ponddrift_fleet::directory::Incarnation;
 use ponddrift_fleet::health::Results;
 use ponddrift_fleet::placement::{
-    HeadState, HeadUse, Outstanding, PromptReading, WorkReport, WorkRow,
+    PrefixState, PrefixUse, Outstanding, PromptReading, WorkReport, WorkRow,
 };
 use ponddrift_fleet::quarantine::{LostRun, Suspicion};
 use ponddrift_fleet::rate_limits::{NamedRate, RateRecord, RequestRate};
@@ -45,26 +45,26 @@
     }
 }
 
-pub(super) fn head_to_wire(usage: &HeadUse) -> HeadRow {
+pub(super) fn head_to_wire(usage: &PrefixUse) -> HeadRow {
     HeadRow {
         engine: hash(&usage.engine),
         head: usage.head,
         tokens: usage.tokens,
         own_tokens: usage.own_tokens,
-        is_kept: usage.state == HeadState::Kept,
+        is_kept: usage.state == PrefixState::Cached,
     }
 }
 
-pub(super) fn head_from_wire(row: &HeadRow, known: &BackEndIndex) -> Option<HeadUse> {
-    Some(HeadUse {
+pub(super) fn head_from_wire(row: &HeadRow, known: &BackEndIndex) -> Option<PrefixUse> {
+    Some(PrefixUse {
         engine: Arc::clone(&known.find(row.engine)?.id),
         head: row.head,
         tokens: row.tokens,
         own_tokens: row.own_tokens,
         state: if row.is_kept {
-            HeadState::Kept
+            PrefixState::Cached
         } else {
-            HeadState::Coming
+            PrefixState::Pending
         },
     })
 }
--- a/crates/serving/src/pipeline.rs
+++ b/crates/serving/src/pipeline.rs
@@ -38,7 +38,7 @@
 use ponddrift_fleet::fingerprint::RequestFingerprint;
 use ponddrift_fleet::placement::Placement;
 use ponddrift_fleet::rate_limits::{Members, MembersTrust};
-use ponddrift_fleet::routes::SplitDealer;
+use ponddrift_fleet::routes::SplitScheduler;
 use ponddrift_fleet::stages::StageWork;
 use ponddrift_http::Body;
 use ponddrift_runtime::Runtime;
@@ -99,7 +99,7 @@
     retry_pool: Mutex<RetryPool>,
     /// When the zone's pool last had no retry.
     pool_was_empty: Mutex<Option<Instant>>,
-    split: Mutex<SplitDealer>,
+    split: Mutex<SplitScheduler>,
     random: Mutex<Pcg64Mcg>,
     stopping: AtomicBool,
     refusing: AtomicBool,
@@ -240,19 +240,19 @@
 
     /// An engine is about to change: it gets nothing new for so long, here and at peers.
     pub fn engine_away(&self, engine: &BackEnd, time: Duration) {
-        self.placement().set_away(engine, time, true, now());
+        self.placement().suspend_engine(engine, time, true, now());
         self.heavy_work_changed.notify_one();
     }
 
     /// An engine that was about to change takes requests again.
     pub fn engine_back(&self, id: &str) {
-        self.placement().set_back(id);
+        self.placement().resume_engine(id);
     }
 
     /// Work of every service, of all daemons.
     #[must_use]
-    pub fn work_of_all(&self) -> Vec<(Arc<str>, StageWork)> {
-        self.placement().work_of_all(now()).to_vec()
+    pub fn fleet_work(&self) -> Vec<(Arc<str>, StageWork)> {
+        self.placement().fleet_work(now()).to_vec()
     }
 
     /// Forgets back ends that are gone, and closes idle connections.
@@ -346,7 +346,7 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn split(&self) -> MutexGuard<'_, SplitDealer> {
+    fn split(&self) -> MutexGuard<'_, SplitScheduler> {
         self.split
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
--- a/crates/serving/src/pipeline/announcements.rs
+++ b/crates/serving/src/pipeline/announcements.rs
@@ -121,14 +121,14 @@
         }
         let now = now();
         let generating = self.generating(job);
-        let first_opening = self.placement().first_opening(&generating, now);
-        let Some(first_opening) = first_opening else {
+        let earliest_available = self.placement().earliest_available(&generating, now);
+        let Some(earliest_available) = earliest_available else {
             return failure;
         };
         // Those that wait are served before it.
         let turn = self.rate_turn(job).unwrap_or_default();
         Failure::BackingOff {
-            left: turn.max(first_opening.saturating_duration_since(now)),
+            left: turn.max(earliest_available.saturating_duration_since(now)),
         }
     }
 }
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -113,7 +113,7 @@
         };
         let most = self.connection_share(job.service.maximum_connections);
         let begun = now();
-        self.placement().link.sends(job.body.len(), begun);
+        self.placement().link.record_send(job.body.len(), begun);
         let reuse = if job.met_silence {
             Reuse::Never
         } else {
@@ -278,7 +278,7 @@
         } else {
             REFUSED_PAUSE
         };
-        self.placement().set_away(back_end, time, false, now());
+        self.placement().suspend_engine(back_end, time, false, now());
     }
 
     fn build(&self, job: &Job, facts: &SendFacts<'_>) -> Option<Request<body::Body>> {
--- a/crates/serving/src/pipeline/cache_probe.rs
+++ b/crates/serving/src/pipeline/cache_probe.rs
@@ -9,8 +9,8 @@
 use futures::{StreamExt, stream};
 use http::StatusCode;
 use ponddrift_fleet::directory::BackEnd;
-use ponddrift_fleet::placement::{HeadState, HeadUse, LEAST_HEAD_TOKENS};
-use ponddrift_fleet::prompt::head_of;
+use ponddrift_fleet::placement::{PrefixState, PrefixUse, MIN_PREFIX_TOKENS};
+use ponddrift_fleet::prompt::prefix_hash;
 use rand::seq::SliceRandom;
 
 use super::Pipeline;
@@ -87,18 +87,18 @@
         }
         let mut heads = 0;
         for event in events {
-            let head = head_of(&event.part);
-            if event.tokens < LEAST_HEAD_TOKENS {
-                placement.prefixes.was_missing(&engine.id, head);
+            let head = prefix_hash(&event.part);
+            if event.tokens < MIN_PREFIX_TOKENS {
+                placement.prefixes.record_miss(&engine.id, head);
                 continue;
             }
             heads += 1;
-            let usage = HeadUse {
+            let usage = PrefixUse {
                 engine: Arc::clone(&engine.id),
                 head,
                 tokens: event.tokens,
                 own_tokens: 0,
-                state: HeadState::Kept,
+                state: PrefixState::Cached,
             };
             placement.prefixes.note(&usage, now());
         }
--- a/crates/serving/src/pipeline/candidates.rs
+++ b/crates/serving/src/pipeline/candidates.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use ponddrift_fleet::directory::{BackEnd, CandidateQuery, Candidates};
-use ponddrift_fleet::placement::remembered_head;
+use ponddrift_fleet::placement::tracked_prefix;
 
 use super::Pipeline;
 use super::job::Job;
@@ -18,7 +18,7 @@
     /// The same with those of `zone` ahead.
     pub(super) fn candidates_near(&self, job: &Job, zone: Option<&str>) -> Candidates {
         let now = now();
-        let prefix = job.facts.prompt.as_ref().and_then(remembered_head);
+        let prefix = job.facts.prompt.as_ref().and_then(tracked_prefix);
         let mut placement = self.placement();
         let holders = prefix.map(|prefix| placement.prefixes.holders(prefix, now));
         let usability = |back_end: &BackEnd| placement.usability(back_end, &job.tried, now);
@@ -36,7 +36,7 @@
 
     /// The back ends that hold the prefix of the request's prompt, or are about to.
     pub(super) fn prefix_holders(&self, job: &Job) -> Vec<Arc<BackEnd>> {
-        let prefix = job.facts.prompt.as_ref().and_then(remembered_head);
+        let prefix = job.facts.prompt.as_ref().and_then(tracked_prefix);
         let holders = prefix.map(|prefix| self.placement().prefixes.holders(prefix, now()));
         self.state
             .ready_among(&job.service.name, &holders.unwrap_or_default())
--- a/crates/serving/src/pipeline/first_event.rs
+++ b/crates/serving/src/pipeline/first_event.rs
@@ -9,7 +9,7 @@
 use ponddrift_fleet::directory::BackEnd;
 use ponddrift_fleet::events::{Event, EventSplitter};
 use ponddrift_fleet::health::Outcome;
-use ponddrift_fleet::placement::{HeadState, PromptPlan, PromptReading, Urgency};
+use ponddrift_fleet::placement::{PrefixState, PromptPlan, PromptReading, Urgency};
 
 use super::Pipeline;
 use super::generate::{FirstEvent, OpenStream, Sent};
@@ -125,7 +125,7 @@
             let service = &job.service.name;
             let target_ms = milliseconds(job.route.target_latency);
             let share = job.expected_ms.unwrap_or_default() / target_ms.max(1.0);
-            placement.confidence.was_in_time(service, share, in_time);
+            placement.confidence.record_deadline_outcome(service, share, in_time);
         }
     }
 
@@ -137,15 +137,15 @@
         decode: &Arc<BackEnd>,
         took: Option<Duration>,
     ) {
-        self.note_head(job, decode, HeadState::Kept);
+        self.note_head(job, decode, PrefixState::Cached);
         if job.facts.prompt.is_none() || plan.prefill.is_some() {
             return;
         }
         if let Some(took) = took {
             let took_ms = milliseconds(took);
             let speed = &mut self.placement().speed;
-            speed.engine_answered(&decode.id, plan.expected_ms, took_ms, now());
-            speed.prompt_read_at_decode(PromptReading {
+            speed.record_engine_answer(&decode.id, plan.expected_ms, took_ms, now());
+            speed.record_decode_reading(PromptReading {
                 tokens: plan.tokens_to_read,
                 took_ms: (took_ms - plan.fetch_ms).max(0.0),
             });
@@ -182,7 +182,7 @@
     broke_off: &'static str,
 ) -> Result<Flow, &'static str> {
     match frame {
-        None if splitter.has_rest() => Err("broke_off_in_an_event"),
+        None if splitter.has_partial_event() => Err("broke_off_in_an_event"),
         None => Ok(Flow::Ended),
         Some(Err(_error)) => Err(broke_off),
         Some(Ok(frame)) => {
--- a/crates/serving/src/pipeline/generate.rs
+++ b/crates/serving/src/pipeline/generate.rs
@@ -8,7 +8,7 @@
 use ponddrift_fleet::directory::BackEnd;
 use ponddrift_fleet::events::{Event, EventSplitter};
 use ponddrift_fleet::health::Outcome;
-use ponddrift_fleet::placement::{HandOver, Offer, Placement, PromptPlan, PromptRequest, Urgency};
+use ponddrift_fleet::placement::{HandOver, OfferedRequest, Placement, PromptPlan, PromptRequest, Urgency};
 use ponddrift_http::body::{self, Body};
 use rand::RngExt;
 
@@ -234,7 +234,7 @@
         let mut placement = self.placement();
         let plan = self.plan_in(&mut placement, job, &candidates.back_ends, now)?;
         job.expected_ms.get_or_insert(plan.expected_ms);
-        placement.meter(&job.service.name, &plan, job.aims(), now);
+        placement.record_prompt_work(&job.service.name, &plan, job.latency_targets(), now);
         if let Some(prompt) = &job.facts.prompt {
             let total = f64::from(prompt.input_tokens);
             self.metrics
@@ -270,10 +270,10 @@
                 .map(PromptPlan::unknown);
         };
         placement.prefixes.set_capacity(traits.cache_tokens);
-        placement.work_of_all(now);
+        placement.fleet_work(now);
         let mut request = PromptRequest {
             prompt,
-            aims: job.aims(),
+            latency_targets: job.latency_targets(),
             traits,
             urgency: Urgency::InTime,
             body_bytes: job.body.len(),
@@ -308,7 +308,7 @@
         if !is_first_plan {
             return job.yields;
         }
-        let offer = Offer {
+        let offer = OfferedRequest {
             service: &job.service.name,
             tenant: &tenant.name,
             work: plan.tokens_to_read,
@@ -391,7 +391,7 @@
             .map(|((reader, prompt), traits)| HandOver::of(prompt, reader, traits));
         let placement = self.placement();
         let chosen = placement
-            .choose_decode_after(
+            .choose_decode_after_prefill(
                 &candidates.back_ends,
                 &job.tried,
                 job.facts.prompt.as_ref(),
--- a/crates/serving/src/pipeline/job.rs
+++ b/crates/serving/src/pipeline/job.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Method, Uri, header};
 use ponddrift_fleet::configuration::{Route, Service};
 use ponddrift_fleet::fingerprint::{RequestContent, RequestFingerprint};
-use ponddrift_fleet::placement::{Aims, Urgency};
+use ponddrift_fleet::placement::{LatencyTargets, Urgency};
 use ponddrift_fleet::tenants::Tenant;
 
 use super::Pipeline;
@@ -101,8 +101,8 @@
     }
 
     /// What the request asks of its answer.
-    pub(super) fn aims(&self) -> Aims {
-        Aims {
+    pub(super) fn latency_targets(&self) -> LatencyTargets {
+        LatencyTargets {
             latency: self.route.target_latency,
             gap: self.route.target_gap,
         }
--- a/crates/serving/src/pipeline/plain.rs
+++ b/crates/serving/src/pipeline/plain.rs
@@ -164,7 +164,7 @@
         if outcome == Outcome::Success {
             self.placement()
                 .speed
-                .plain_answered(&back_end.id, milliseconds(took));
+                .record_plain_answer(&back_end.id, milliseconds(took));
         }
         self.attempt_ended(
             job,
--- a/crates/serving/src/pipeline/prefill.rs
+++ b/crates/serving/src/pipeline/prefill.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use ponddrift_fleet::directory::BackEnd;
 use ponddrift_fleet::health::Outcome;
-use ponddrift_fleet::placement::{HeadState, HeadUse, PromptPlan, PromptReading};
+use ponddrift_fleet::placement::{PrefixState, PrefixUse, PromptPlan, PromptReading};
 use ponddrift_fleet::prompt::Prompt;
 
 use super::Pipeline;
@@ -37,7 +37,7 @@
         let tokens_to_read = plan.tokens_to_read;
         let expected_ms = self.expected_prefill_ms(engine, tokens_to_read);
         let was_alone = self.placement().load.requests(&engine.id) < 0.5;
-        self.note_head(job, engine, HeadState::Coming);
+        self.note_head(job, engine, PrefixState::Pending);
         let _load = LoadGuard::new(self, engine, tokens_to_read, job.urgency);
         let expected = Duration::from_secs_f64(expected_ms / 1000.0);
         let suspicious_after = expected.mul_f64(SUSPICION_FACTOR) + SUSPICION_MORE;
@@ -85,11 +85,11 @@
             tokens: tokens_to_read,
             took_ms: (took_ms - plan.fetch_ms).max(0.0),
         });
-        self.note_head(job, engine, HeadState::Kept);
+        self.note_head(job, engine, PrefixState::Cached);
         if let Some(reading) = read {
             let speed = &mut self.placement().speed;
             speed.prompt_read(reading);
-            speed.engine_answered(&engine.id, expected_ms + plan.fetch_ms, took_ms, now());
+            speed.record_engine_answer(&engine.id, expected_ms + plan.fetch_ms, took_ms, now());
         }
         let most = self.connection_share(job.service.maximum_connections);
         Some(HeldHandle::new(self, engine.address, result.handle, most))
@@ -120,7 +120,7 @@
         loop {
             let changed = self.heads_changed.notified();
             let holders = self.prefix_holders(job);
-            if now() >= until || !self.placement().is_head_coming(&holders, prompt, now()) {
+            if now() >= until || !self.placement().is_prefix_pending(&holders, prompt, now()) {
                 return;
             }
             // Either way it is looked at anew.
@@ -129,29 +129,29 @@
     }
 
     /// The engine reads, or has read, the prompt: its head is kept there.
-    pub(super) fn note_head(&self, job: &Job, engine: &BackEnd, state: HeadState) {
+    pub(super) fn note_head(&self, job: &Job, engine: &BackEnd, state: PrefixState) {
         let Some(prompt) = &job.facts.prompt else {
             return;
         };
-        if let Some(usage) = HeadUse::of(prompt, engine, state) {
+        if let Some(usage) = PrefixUse::of(prompt, engine, state) {
             self.placement().prefixes.used(usage, now());
             self.heads_have_changed();
             // Peers should know of it at once: what they do not know of they have read again.
             self.heavy_work_changed.notify_one();
-        } else if state == HeadState::Kept {
+        } else if state == PrefixState::Cached {
             // Peers do not tell of these: they send as many, each.
             let mut placement = self.placement();
             let daemons = u64::try_from(placement.daemons).unwrap_or(1);
             let tokens = u64::from(prompt.input_tokens) * daemons;
-            placement.prefixes.came_in(&engine.id, tokens);
+            placement.prefixes.record_inserted_tokens(&engine.id, tokens);
         }
     }
 
     /// The reading failed: nobody knows what the engine keeps of it.
     fn head_lost(&self, job: &Job, engine: &BackEnd) {
-        let head = job.facts.prompt.as_ref().and_then(Prompt::shared_head);
+        let head = job.facts.prompt.as_ref().and_then(Prompt::shared_prefix);
         if let Some(head) = head {
-            self.placement().prefixes.was_missing(&engine.id, head);
+            self.placement().prefixes.record_miss(&engine.id, head);
             self.heads_have_changed();
         }
     }
--- a/crates/serving/src/pipeline/rate_wait.rs
+++ b/crates/serving/src/pipeline/rate_wait.rs
@@ -7,7 +7,7 @@
 
 use ponddrift_fleet::configuration::Stage;
 use ponddrift_fleet::directory::BackEnd;
-use ponddrift_fleet::placement::RateOpening;
+use ponddrift_fleet::placement::NextRateToken;
 use tokio::sync::Semaphore;
 
 use super::Pipeline;
@@ -79,7 +79,7 @@
     /// Waits for the request's turn, where all back ends that could run it limit the rate of requests and its turn comes early enough to be
     /// in time. Returns false at once where it does not, and for any other reason that none can be chosen.
     pub(super) async fn await_rate(&self, job: &mut Job) -> bool {
-        let Some(opening) = self.rate_opening(job) else {
+        let Some(opening) = self.next_rate_token(job) else {
             return false;
         };
         if job.turns >= MOST_TURNS {
@@ -108,7 +108,7 @@
     async fn await_opening(&self, job: &Job, last: Instant) {
         loop {
             let changed = self.rates_changed.notified();
-            let Some(opening) = self.rate_opening(job) else {
+            let Some(opening) = self.next_rate_token(job) else {
                 return;
             };
             if opening.at <= now() || now() >= last {
@@ -120,9 +120,9 @@
     }
 
     /// When the next token comes of those back ends that could run the request, where nothing but their rate limits is in the way.
-    fn rate_opening(&self, job: &Job) -> Option<RateOpening> {
+    fn next_rate_token(&self, job: &Job) -> Option<NextRateToken> {
         let back_ends = self.generating(job);
-        self.placement().rate_opening(&back_ends, &job.tried, now())
+        self.placement().next_rate_token(&back_ends, &job.tried, now())
     }
 
     /// The back ends that could generate the answer, or give it.
@@ -136,7 +136,7 @@
 
     /// How long until a caller's request that finds no token now would have its turn, with those ahead of it.
     pub(super) fn rate_turn(&self, job: &Job) -> Option<Duration> {
-        let opening = self.rate_opening(job)?;
+        let opening = self.next_rate_token(job)?;
         let queue = self.rate_queues.of(&job.service.name);
         let ahead = queue.waiting.load(Ordering::Relaxed);
         Some(opening.turn_after(ahead).saturating_duration_since(now()))
--- a/crates/serving/src/pipeline/relay.rs
+++ b/crates/serving/src/pipeline/relay.rs
@@ -128,7 +128,7 @@
             // Where the engine was not known to read, the pause is what its streams alone bring about.
             if placement.load.outstanding(engine).prompt_tokens < 1.0 {
                 let service = &self.job.service.name;
-                placement.streams.paused_quietly(service, gap);
+                placement.streams.record_baseline_gap(service, gap);
             }
             self.job.longest_gap = self.job.longest_gap.max(gap);
         }
@@ -198,7 +198,7 @@
         let service = &self.job.service.name;
         self.pipeline
             .placement()
-            .meter_stream(service, slots, time, now());
+            .record_stream_work(service, slots, time, now());
         stream.connection.give_back(&stream.head.headers);
         self.close(200, "served");
     }
--- a/crates/serving/src/pipeline/retry_pool.rs
+++ b/crates/serving/src/pipeline/retry_pool.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, MutexGuard};
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::budget::{Deposits, RetryPool, pool_share};
+use ponddrift_fleet::budget::{Deposits, RetryPool, pool_capacity};
 
 use super::Pipeline;
 use crate::back_end_index::hash;
@@ -31,7 +31,7 @@
     pub(crate) fn receive_deposits(&self, deposits: &Deposits) {
         let topology = self.state.topology();
         let of_zone = topology.neighbours.len() + 1;
-        let most = pool_share(self.budget_settings, of_zone, topology.daemons);
+        let most = pool_capacity(self.budget_settings, of_zone, topology.daemons);
         self.retry_pool().deposit(deposits, most);
     }
 
@@ -42,7 +42,7 @@
 
     /// Asks the zone's pool for a retry.
     pub(super) async fn withdraw_retry(&self, service: &str) -> bool {
-        let Some(keeper) = self.state.topology().retry_pool_keeper() else {
+        let Some(keeper) = self.state.topology().retry_pool_owner() else {
             return false;
         };
         if !self.pool_may_have_one() {
--- a/crates/serving/src/usage/report.rs
+++ b/crates/serving/src/usage/report.rs
@@ -231,7 +231,7 @@
     /// started anew.
     async fn gather(&self, window: WindowNumber, daemons: &BTreeMap<u64, SocketAddr>) {
         let topology = self.reporting.state.topology();
-        self.fetch(window, &topology.usage_keepers).await;
+        self.fetch(window, &topology.usage_replica_holders).await;
         let missing = self.missing(window, daemons);
         self.fetch(window, &missing).await;
     }
