--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -239,7 +239,7 @@
     }
 
     /// Tells how many engines of a service are ready, of which the candidates of a choice are a part.
-    pub fn set_ready(&mut self, service: &Arc<str>, ready: ReadyCounts) {
+    pub fn set_ready_counts(&mut self, service: &Arc<str>, ready: ReadyCounts) {
         self.ready.insert(Arc::clone(service), ready);
     }
 
@@ -276,7 +276,7 @@
 
     /// Engines that this daemon is about to change, with the time that is left, for telling peers; the latest first.
     #[must_use]
-    pub fn away(&self, now: Instant) -> Vec<(Arc<str>, Duration)> {
+    pub fn suspended_engines(&self, now: Instant) -> Vec<(Arc<str>, Duration)> {
         let mut away: Vec<(Arc<str>, Duration)> = self
             .away
             .iter()
--- a/crates/fleet/src/placement/prefixes.rs
+++ b/crates/fleet/src/placement/prefixes.rs
@@ -42,7 +42,7 @@
     /// Engine.
     pub engine: Arc<str>,
     /// Head.
-    pub head: u64,
+    pub prefix: u64,
     /// Its tokens.
     pub tokens: u32,
     /// Tokens of the prompt that follow it; they take memory too.
@@ -57,7 +57,7 @@
     pub fn of(prompt: &Prompt, engine: &BackEnd, state: PrefixState) -> Option<Self> {
         Some(Self {
             engine: Arc::clone(&engine.id),
-            head: tracked_prefix(prompt)?,
+            prefix: tracked_prefix(prompt)?,
             tokens: prompt.shared_tokens(),
             own_tokens: prompt.own_tokens(),
             state,
@@ -132,7 +132,7 @@
     pub fn note(&mut self, usage: &PrefixUse, now: Instant) {
         let capacity = self.capacity_tokens;
         let heads = self.by_engine.entry(Arc::clone(&usage.engine)).or_default();
-        let before = heads.kept.get(&usage.head).copied();
+        let before = heads.kept.get(&usage.prefix).copied();
         let before = before.filter(|kept| heads.holds(kept, capacity, now));
         let record_inserted_tokens = match (before.map(|kept| kept.state), usage.state) {
             (Some(PrefixState::Cached), PrefixState::Cached) => usage.own_tokens,
@@ -150,7 +150,7 @@
             last_used: now,
             record_inserted_tokens: heads.record_inserted_tokens,
         };
-        heads.kept.insert(usage.head, kept);
+        heads.kept.insert(usage.prefix, kept);
         if heads.kept.len() > TIDIED_ABOVE {
             let record_inserted_tokens = heads.record_inserted_tokens;
             heads
@@ -161,22 +161,22 @@
     }
 
     fn note_holder(&mut self, usage: &PrefixUse, now: Instant) {
-        let mut holders = self.by_head.remove(&usage.head).unwrap_or_default();
+        let mut holders = self.by_head.remove(&usage.prefix).unwrap_or_default();
         if holders.len() > HOLDERS_TIDIED_ABOVE {
-            holders.retain(|engine| self.state(engine, usage.head, now).is_some());
+            holders.retain(|engine| self.state(engine, usage.prefix, now).is_some());
         }
         if !holders.contains(&usage.engine) {
             holders.push(Arc::clone(&usage.engine));
         }
-        self.by_head.insert(usage.head, holders);
+        self.by_head.insert(usage.prefix, holders);
     }
 
     /// Engines that keep this head, or are about to.
     #[must_use]
-    pub fn holders(&self, head: u64, now: Instant) -> Vec<Arc<str>> {
-        let noted = self.by_head.get(&head).into_iter().flatten();
+    pub fn holders(&self, prefix: u64, now: Instant) -> Vec<Arc<str>> {
+        let noted = self.by_head.get(&prefix).into_iter().flatten();
         noted
-            .filter(|engine| self.state(engine, head, now).is_some())
+            .filter(|engine| self.state(engine, prefix, now).is_some())
             .cloned()
             .collect()
     }
@@ -190,18 +190,18 @@
 
     /// How far the engine is believed to be with this head; none where it does not keep it.
     #[must_use]
-    pub fn state(&self, engine: &str, head: u64, now: Instant) -> Option<PrefixState> {
+    pub fn state(&self, engine: &str, prefix: u64, now: Instant) -> Option<PrefixState> {
         let heads = self.by_engine.get(engine)?;
-        let kept = heads.kept.get(&head)?;
+        let kept = heads.kept.get(&prefix)?;
         heads
             .holds(kept, self.capacity_tokens, now)
             .then_some(kept.state)
     }
 
     /// An engine did not keep what it was believed to keep.
-    pub fn record_miss(&mut self, engine: &str, head: u64) {
+    pub fn record_miss(&mut self, engine: &str, prefix: u64) {
         if let Some(heads) = self.by_engine.get_mut(engine) {
-            heads.kept.remove(&head);
+            heads.kept.remove(&prefix);
         }
     }
 
@@ -209,10 +209,10 @@
     pub fn keep_only(&mut self, keep: impl Fn(&str) -> bool) {
         self.by_engine.retain(|id, _heads| keep(id));
         let known = &self.by_engine;
-        self.by_head.retain(|head, engines| {
+        self.by_head.retain(|prefix, engines| {
             engines.retain(|id| {
                 let heads = known.get(id);
-                heads.is_some_and(|heads| heads.kept.contains_key(head))
+                heads.is_some_and(|heads| heads.kept.contains_key(prefix))
             });
             !engines.is_empty()
         });
@@ -229,7 +229,7 @@
 /// The engine where prompts with this head meet: the one with the highest hash of both.
 pub(super) fn home<'a>(
     engines: impl Iterator<Item = &'a Arc<BackEnd>>,
-    head: u64,
+    prefix: u64,
 ) -> Option<&'a Arc<BackEnd>> {
-    engines.max_by_key(|engine| owner_score(engine.id.as_bytes(), head))
+    engines.max_by_key(|engine| owner_score(engine.id.as_bytes(), prefix))
 }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -417,7 +417,7 @@
             .suspend_engine(&engine, Duration::from_secs(2), true, scene.now);
         scene.now += Duration::from_millis(50);
     }
-    let told = scene.placement.away(scene.now);
+    let told = scene.placement.suspended_engines(scene.now);
     assert_eq!(told.len(), 20);
     assert_eq!(told[0].0, scene.engines[19].id);
 }
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -155,7 +155,7 @@
         let readings = placement.speed.take_unpublished();
         let results = placement.health.take_unpublished();
         let unwell = placement.health.ejected();
-        let away = placement.away(now());
+        let away = placement.suspended_engines(now());
         let work = placement.work.rates(now());
         drop(placement);
         let store_silence = self.following.store_silence();
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -48,7 +48,7 @@
 pub(super) fn head_to_wire(usage: &PrefixUse) -> HeadRow {
     HeadRow {
         engine: hash(&usage.engine),
-        head: usage.head,
+        head: usage.prefix,
         tokens: usage.tokens,
         own_tokens: usage.own_tokens,
         is_kept: usage.state == PrefixState::Cached,
@@ -58,7 +58,7 @@
 pub(super) fn head_from_wire(row: &HeadRow, known: &BackEndIndex) -> Option<PrefixUse> {
     Some(PrefixUse {
         engine: Arc::clone(&known.find(row.engine)?.id),
-        head: row.head,
+        prefix: row.head,
         tokens: row.tokens,
         own_tokens: row.own_tokens,
         state: if row.is_kept {
--- a/crates/serving/src/pipeline/cache_probe.rs
+++ b/crates/serving/src/pipeline/cache_probe.rs
@@ -87,15 +87,15 @@
         }
         let mut heads = 0;
         for event in events {
-            let head = prefix_hash(&event.part);
+            let prefix = prefix_hash(&event.part);
             if event.tokens < MIN_PREFIX_TOKENS {
-                placement.prefixes.record_miss(&engine.id, head);
+                placement.prefixes.record_miss(&engine.id, prefix);
                 continue;
             }
             heads += 1;
             let usage = PrefixUse {
                 engine: Arc::clone(&engine.id),
-                head,
+                prefix,
                 tokens: event.tokens,
                 own_tokens: 0,
                 state: PrefixState::Cached,
--- a/crates/serving/src/pipeline/candidates.rs
+++ b/crates/serving/src/pipeline/candidates.rs
@@ -30,7 +30,7 @@
             usability: &usability,
         };
         let candidates = self.state.candidates(&query, now);
-        placement.set_ready(&job.service.name, candidates.ready);
+        placement.set_ready_counts(&job.service.name, candidates.ready);
         candidates
     }
 
