--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -1,29 +1,29 @@
-//! Bounds the sends beyond the first of each request, over all daemons together.
+//! Limits retries across all daemons.
 //!
-//! Every daemon earns a share of each own request and may save up its part of the slack. A new life begins
-//! with nothing saved, so that daemons that come and go do not spend the slack again and again.
+//! Each daemon earns a fraction of a retry per request and may save up to its share of the slack. A
+//! restarted daemon begins with nothing, so that restarts cannot spend the slack repeatedly.
 //!
-//! In a fleet with more daemons than retries in the slack a daemon's part is less than one retry, and what it earns takes it long to
-//! add up to one: with one request in three seconds, half a minute. There the daemons of a zone put what they earn into a
-//! [`RetryPool`] that one of them keeps, and ask it for each retry. What is put in is put in at most once, so that retries stay
-//! within what was earned, whatever gets lost on the way or with a keeper.
+//! If there are more daemons than retries in the slack, a daemon's share is less than one retry and
+//! it would take long to earn one. The daemons of a zone then deposit what they earn into a
+//! [`RetryPool`] owned by one of them and request each retry from it. Every amount is deposited at
+//! most once, so retries stay within what was earned even if messages or the pool owner are lost.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Part of what is allowed that is used; the rest covers requests that overlap two windows.
-const SHARE_USED: f64 = 0.8;
+/// Share of the allowed retries that is used; the rest covers requests that span two windows.
+const USED_SHARE: f64 = 0.8;
 
-/// Settings of the budget.
+/// Settings of the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetSettings {
-    /// Repeats earned by one request.
+    /// Retries earned per request.
     pub ratio: f64,
-    /// Repeats allowed beyond that in one window, over all daemons.
+    /// Additional retries allowed per window, over all daemons.
     pub slack: f64,
 }
 
-/// Repeats that this daemon may make, by service.
+/// Retries available to this daemon, by service.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: BudgetSettings,
@@ -32,7 +32,7 @@
 }
 
 impl RetryBudget {
-    /// A budget with nothing saved.
+    /// Creates an empty budget.
     #[must_use]
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
@@ -42,19 +42,19 @@
         }
     }
 
-    /// Tells how many daemons share the slack.
+    /// Sets the number of daemons that share the slack.
     pub fn set_daemons(&mut self, daemons: usize) {
         self.daemons = daemons.max(1);
     }
 
-    /// A request of a caller for `service` earns its share.
+    /// Earns the fraction of a retry for one caller request to `service`.
     pub fn earn(&mut self, service: &Arc<str>) {
-        let most = self.most();
+        let max_saved = self.max_saved();
         let saved = self.saved.entry(Arc::clone(service)).or_default();
-        *saved = (*saved + self.settings.ratio * SHARE_USED).min(most);
+        *saved = (*saved + self.settings.ratio * USED_SHARE).min(max_saved);
     }
 
-    /// Takes one repeat, if there is one.
+    /// Takes one retry. Returns `false` if less than one is saved.
     pub fn take(&mut self, service: &Arc<str>) -> bool {
         let saved = self.saved.entry(Arc::clone(service)).or_default();
         if *saved < 1.0 {
@@ -64,20 +64,21 @@
         true
     }
 
-    /// Gives back a repeat that was taken and not made.
+    /// Returns a retry that was taken but not used.
     pub fn give_back(&mut self, service: &Arc<str>) {
-        let most = self.most();
+        let max_saved = self.max_saved();
         let saved = self.saved.entry(Arc::clone(service)).or_default();
-        *saved = (*saved + 1.0).min(most);
+        *saved = (*saved + 1.0).min(max_saved);
     }
 
-    /// Whether this daemon's part of the slack is less than one repeat, so that it saves nothing up itself.
+    /// Whether this daemon's share of the slack is less than one retry, so that retries come from
+    /// the zone's pool.
     #[must_use]
     pub fn is_pooled(&self) -> bool {
         self.share() < 1.0
     }
 
-    /// Takes out all that is saved, for the pool.
+    /// Removes and returns everything saved, to be deposited into the pool.
     pub fn take_deposits(&mut self) -> Vec<(Arc<str>, f64)> {
         self.saved
             .iter_mut()
@@ -86,36 +87,36 @@
             .collect()
     }
 
-    /// Repeats left for `service`.
+    /// Retries left for `service`.
     #[must_use]
     pub fn left(&self, service: &str) -> f64 {
         self.saved.get(service).copied().unwrap_or_default()
     }
 
-    fn most(&self) -> f64 {
+    fn max_saved(&self) -> f64 {
         self.share()
     }
 
-    /// This daemon's part of the slack, in repeats.
+    /// This daemon's share of the slack, in retries.
     fn share(&self) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "some thousand daemons")]
         let daemons = self.daemons as f64;
-        self.settings.slack * SHARE_USED / daemons
+        self.settings.slack * USED_SHARE / daemons
     }
 }
 
 /// Deposits of one daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deposits {
-    /// Which daemon: a hash of its name and of this life of it.
+    /// Hash of the daemon's name and start, which identifies this run of it.
     pub origin: u64,
-    /// Counts its deposits; one that comes twice changes nothing.
+    /// Sequence number; a repeated or outdated deposit is ignored.
     pub sequence: u32,
-    /// Repeats by hash of the service.
+    /// Retries by hash of the service name.
     pub repeats: Vec<(u32, f64)>,
 }
 
-/// Repeats that the daemons of a zone save up together. Another keeper begins with nothing.
+/// Retries shared by the daemons of a zone. A new owner starts with an empty pool.
 #[derive(Debug, Default)]
 pub struct RetryPool {
     saved: HashMap<u32, f64>,
@@ -123,24 +124,25 @@
 }
 
 impl RetryPool {
-    /// A daemon puts in what it earned. `most` is the zone's part of the slack.
-    pub fn deposit(&mut self, deposits: &Deposits, most: f64) {
+    /// Adds the deposits of a daemon. `max_saved` is the zone's share of the slack, which limits what is
+    /// saved.
+    pub fn deposit(&mut self, deposits: &Deposits, max_saved: f64) {
         let newest = self.newest.entry(deposits.origin).or_default();
         if deposits.sequence <= *newest {
             return;
         }
         *newest = deposits.sequence;
         for (service, repeats) in &deposits.repeats {
-            // What is no number of repeats would spoil the sum for good.
+            // A non-finite value would corrupt the sum permanently.
             if !repeats.is_finite() || *repeats <= 0.0 {
                 continue;
             }
             let saved = self.saved.entry(*service).or_default();
-            *saved = (*saved + repeats).min(most);
+            *saved = (*saved + repeats).min(max_saved);
         }
     }
 
-    /// Takes one repeat, if there is one.
+    /// Takes one retry. Returns `false` if less than one is saved.
     pub fn withdraw(&mut self, service: u32) -> bool {
         let saved = self.saved.entry(service).or_default();
         if *saved < 1.0 {
@@ -151,10 +153,10 @@
     }
 }
 
-/// The part of the slack that a zone's pool saves up, in repeats: its daemons' parts together.
+/// Capacity of a zone's pool, in retries: the combined shares of its daemons.
 #[must_use]
-pub fn pool_capacity(settings: BudgetSettings, of_zone: usize, daemons: usize) -> f64 {
+pub fn pool_capacity(settings: BudgetSettings, zone_daemons: usize, daemons: usize) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "some thousand daemons")]
-    let part = of_zone as f64 / daemons.max(1) as f64;
-    settings.slack * SHARE_USED * part
+    let part = zone_daemons as f64 / daemons.max(1) as f64;
+    settings.slack * USED_SHARE * part
 }
--- a/crates/fleet/src/capacity.rs
+++ b/crates/fleet/src/capacity.rs
@@ -1,11 +1,12 @@
-//! How many engines a service has in each zone, and under which contract.
+//! Plans how many on-demand and spot engines a service has in each zone.
 //!
-//! An on-demand engine stays until it is given back. A spot engine costs a fraction of that, and all of one zone may be
-//! taken away together. So capacity is planned such that what is left without the spot engines of any one zone still carries
-//! the load; where that many spot engines cost less than on-demand ones, they are taken.
+//! On-demand engines run until they are released. Spot engines are cheaper, but all of a zone may
+//! be withdrawn at once. Capacity is therefore planned such that the remaining engines still carry
+//! the load without the spot engines of any single zone; spot engines are used if the number needed
+//! for this costs less than on-demand ones.
 //!
-//! The plan is a desired state: it follows the highest load of some time, is raised at once and lowered only when the load has
-//! been lower for long.
+//! The plan is a desired state. It follows the highest load within a time window: it is raised
+//! immediately and lowered only after the load has been lower for long.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -15,37 +16,38 @@
 use crate::directory::{BackEnd, Lifecycle};
 use crate::stages::StageWork;
 
-/// A fleet whose load is not known yet, and that holds no spot engine, is as its operators set it up; so many times as many
-/// engines have room for peaks that they could not plan for.
-const PEAK_ROOM: f64 = 1.5;
-/// Share of the slots that streams may hold: beyond it they wait for each other.
-const SLOTS_HELD: f64 = 0.6;
-/// A lower load counts only after so many times the boot time: an engine that is given back and wanted again is missed for
-/// that time, and what it had cached is gone.
-const LOWER_AFTER_BOOTS: u32 = 15;
-/// Desired state is lowered only to less than this share of what it is: smaller steps bring nothing.
-const LEAST_LOWERING: f64 = 0.85;
+/// Headroom for peaks relative to the current size. Applies to fleets with unknown load and without
+/// spot engines, whose operators could not plan for peaks.
+const PEAK_HEADROOM_FACTOR: f64 = 1.5;
+/// Maximum share of held slots; above it streams wait for each other.
+const MAX_SLOT_SHARE: f64 = 0.6;
+/// Delay before scaling down, as a multiple of the boot time: an engine that is released and needed
+/// again is missing for one boot time and has lost its cache.
+const SCALE_DOWN_DELAY_BOOTS: u32 = 15;
+/// The desired state is lowered only to less than this share of its value; smaller steps are not
+/// worthwhile.
+const SCALE_DOWN_THRESHOLD: f64 = 0.85;
 
-/// Settings of the planner.
+/// Settings of the capacity planner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapacitySettings {
-    /// Share of their time that engines are to be busy at the peak, once the spot engines of a zone are gone.
+    /// Target utilization of the engines at peak load after the loss of one zone's spot engines.
     pub busy_share: f64,
-    /// Share of the needed engines that are on-demand in any case.
+    /// Minimum share of on-demand engines among the needed engines.
     pub on_demand_share: f64,
 }
 
-/// How long an engine stays.
+/// Contract under which an engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Contract {
-    /// Until it is given back.
+    /// Runs until it is released.
     OnDemand,
-    /// Until its provider takes it away, together with all others of its zone.
+    /// Runs until its provider withdraws it, together with all others of its zone.
     Spot,
 }
 
 impl Contract {
-    /// Name for logs.
+    /// Name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -62,10 +64,10 @@
     }
 }
 
-/// Engines by zone and contract.
+/// Number of engines by zone and contract.
 pub type EngineCounts = BTreeMap<(Arc<str>, Contract), u32>;
 
-/// Engines that take requests, by zone and contract.
+/// Counts the engines that accept requests, by zone and contract.
 #[must_use]
 pub fn count_ready<'a>(engines: impl Iterator<Item = &'a Arc<BackEnd>>) -> EngineCounts {
     let mut counts = EngineCounts::new();
@@ -76,36 +78,37 @@
     counts
 }
 
-/// What is wanted, and why.
+/// Desired state and the reasons for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CapacityPlan {
-    /// Desired engines of every zone and contract.
+    /// Desired number of engines for each zone and contract.
     pub desired: EngineCounts,
-    /// Engines that the load needs.
+    /// Number of engines needed for the load.
     pub needed: f64,
-    /// Engines left without the spot engines of a zone.
+    /// Number of engines left after the loss of one zone's spot engines.
     pub left_after_loss: f64,
 }
 
 impl CapacityPlan {
-    /// Engines that are left at any time while others are replaced: without room for peaks or the loss of a zone, since
-    /// that takes seconds.
-    fn carrying(&self) -> f64 {
-        self.needed / PEAK_ROOM
+    /// Engines that must be running while others are replaced. Contains no headroom for peaks or
+    /// the loss of a zone, since a replacement takes only seconds.
+    fn min_running_engines(&self) -> f64 {
+        self.needed / PEAK_HEADROOM_FACTOR
     }
 }
 
-/// Plans the engines of one service.
+/// Capacity planner of one service.
 #[derive(Debug, Default)]
 pub struct CapacityPlanner {
-    /// Needed engines as they were found, newest last.
+    /// Estimates of the needed engines, newest last.
     recent: VecDeque<(Instant, f64)>,
-    /// What was needed when the desired state was last changed.
-    settled: Option<f64>,
+    /// Needed engines when the desired state was last changed.
+    planned_needed: Option<f64>,
 }
 
 impl CapacityPlanner {
-    /// Takes the load measured last, and the engines as they are. Daemons that do not lead observe too.
+    /// Records the measured load and the present engines. Daemons that are not the leader also
+    /// observe, so that they can take over.
     pub fn observe(
         &mut self,
         work: Option<StageWork>,
@@ -117,15 +120,16 @@
         let measured = work.filter(|work| work.total() > 0.0);
         let is_first = self.recent.is_empty();
         let needed = match measured {
-            // A daemon that has just started knows a part of the load, and would give back what carries the rest.
+            // A daemon that has just started knows only part of the load and must not release the
+            // engines that carry the rest.
             Some(work) if is_first => {
-                needed_by(work, settings).max(left_without_a_zone(present, autoscaling))
+                engines_for_load(work, settings).max(engines_after_zone_loss(present, autoscaling))
             }
-            Some(work) => needed_by(work, settings),
-            None => needed_unknown(present, autoscaling, is_first),
+            Some(work) => engines_for_load(work, settings),
+            None => engines_for_unknown_load(present, autoscaling, is_first),
         };
         self.recent.push_back((now, needed));
-        let kept = autoscaling.boot * LOWER_AFTER_BOOTS;
+        let kept = autoscaling.boot * SCALE_DOWN_DELAY_BOOTS;
         while let Some((at, _needed)) = self.recent.front()
             && now.saturating_duration_since(*at) > kept
         {
@@ -133,7 +137,7 @@
         }
     }
 
-    /// The desired state; none before anything was observed.
+    /// Computes the desired state; `None` before the first observation.
     pub fn plan(
         &mut self,
         present: &EngineCounts,
@@ -145,38 +149,39 @@
             .iter()
             .map(|(_at, needed)| *needed)
             .reduce(f64::max)?;
-        let needed = match self.settled {
-            Some(settled) if highest <= settled && highest >= settled * LEAST_LOWERING => settled,
+        let needed = match self.planned_needed {
+            Some(planned_needed) if highest <= planned_needed && highest >= planned_needed * SCALE_DOWN_THRESHOLD => planned_needed,
             _ => highest,
         };
-        self.settled = Some(needed);
+        self.planned_needed = Some(needed);
         let zones = zones(present, autoscaling);
-        Some(spread(needed, &zones, autoscaling, settings))
+        Some(spread_over_zones(needed, &zones, autoscaling, settings))
     }
 }
 
-/// Engines that this load needs.
-fn needed_by(work: StageWork, settings: CapacitySettings) -> f64 {
+/// Number of engines needed for this load.
+fn engines_for_load(work: StageWork, settings: CapacitySettings) -> f64 {
     let by_time = work.total() / settings.busy_share;
-    let by_slots = work.slots / SLOTS_HELD;
+    let by_slots = work.slots / MAX_SLOT_SHARE;
     by_time.max(by_slots)
 }
 
-/// Engines that a fleet of unknown load is taken to need. Once it holds spot engines it was planned before: what it keeps
-/// after the loss of a zone is what was needed then. A planner that has estimated it before may have ordered them itself.
-fn needed_unknown(present: &EngineCounts, autoscaling: &Autoscaling, is_first: bool) -> f64 {
+/// Number of engines needed by a fleet of unknown load. A fleet with spot engines was planned
+/// before: what remains after the loss of a zone is what was needed then. Only the first estimate
+/// uses it, because later ones may see engines that this planner ordered itself.
+fn engines_for_unknown_load(present: &EngineCounts, autoscaling: &Autoscaling, is_first: bool) -> f64 {
     if total(present, Contract::Spot) < 1.0 {
-        return total(present, Contract::OnDemand) * PEAK_ROOM;
+        return total(present, Contract::OnDemand) * PEAK_HEADROOM_FACTOR;
     }
     if is_first {
-        left_without_a_zone(present, autoscaling)
+        engines_after_zone_loss(present, autoscaling)
     } else {
         0.0
     }
 }
 
-/// Engines that are left without the spot engines of one zone.
-fn left_without_a_zone(present: &EngineCounts, autoscaling: &Autoscaling) -> f64 {
+/// Number of engines left without the spot engines of one zone.
+fn engines_after_zone_loss(present: &EngineCounts, autoscaling: &Autoscaling) -> f64 {
     let zones = count(zones(present, autoscaling).len().max(1));
     let spot = total(present, Contract::Spot);
     total(present, Contract::OnDemand) + spot * (zones - 1.0) / zones
@@ -202,39 +207,40 @@
     zones
 }
 
-fn spread(
+fn spread_over_zones(
     needed: f64,
     zones: &[Arc<str>],
     autoscaling: &Autoscaling,
     settings: CapacitySettings,
 ) -> CapacityPlan {
-    let number = count(zones.len().max(1));
+    let zone_count = count(zones.len().max(1));
     let maximum = f64::from(autoscaling.maximum);
     let minimum = f64::from(autoscaling.minimum);
     let in_bounds = |engines: f64| engines.ceil().clamp(minimum.min(maximum), maximum);
-    let (on_demand, spot) = if is_spot_cheaper(autoscaling, number) {
-        let on_demand = in_bounds(needed * settings.on_demand_share / number);
-        let rest = (needed - on_demand * number).max(0.0);
-        let spot = (rest / (number - 1.0)).ceil().min(maximum - on_demand);
+    let (on_demand, spot) = if is_spot_cheaper(autoscaling, zone_count) {
+        let on_demand = in_bounds(needed * settings.on_demand_share / zone_count);
+        let rest = (needed - on_demand * zone_count).max(0.0);
+        let spot = (rest / (zone_count - 1.0)).ceil().min(maximum - on_demand);
         (on_demand, spot)
     } else {
-        (in_bounds(needed / number), 0.0)
+        (in_bounds(needed / zone_count), 0.0)
     };
     let mut desired = EngineCounts::new();
     for zone in zones {
-        desired.insert((Arc::clone(zone), Contract::OnDemand), whole(on_demand));
+        desired.insert((Arc::clone(zone), Contract::OnDemand), to_engine_count(on_demand));
         if autoscaling.spot_price.is_some() {
-            desired.insert((Arc::clone(zone), Contract::Spot), whole(spot));
+            desired.insert((Arc::clone(zone), Contract::Spot), to_engine_count(spot));
         }
     }
     CapacityPlan {
         desired,
         needed,
-        left_after_loss: on_demand * number + spot * (number - 1.0),
+        left_after_loss: on_demand * zone_count + spot * (zone_count - 1.0),
     }
 }
 
-/// Whether spot engines with one zone's worth to spare cost less than on-demand ones.
+/// Whether spot engines, with the spare capacity for the loss of one zone, cost less than on-demand
+/// engines.
 fn is_spot_cheaper(autoscaling: &Autoscaling, zones: f64) -> bool {
     zones > 1.0
         && autoscaling
@@ -242,29 +248,29 @@
             .is_some_and(|price| price * zones / (zones - 1.0) < 1.0)
 }
 
-/// The desired state that can be ordered now, on the way to the plan: no zone holds more than it may, of both contracts
-/// together, and engines are given back only as far as those that are left carry the load.
+/// Next step from the present engines towards the plan. No zone exceeds its maximum over both
+/// contracts, and engines are released only if the remaining ones carry the load.
 #[must_use]
 pub fn next_step(
     plan: &CapacityPlan,
     present: &EngineCounts,
     autoscaling: &Autoscaling,
 ) -> EngineCounts {
-    let there = |key: &(Arc<str>, Contract)| present.get(key).copied().unwrap_or_default();
+    let present_count = |key: &(Arc<str>, Contract)| present.get(key).copied().unwrap_or_default();
     let ready: u32 = present.values().sum();
-    let mut spare = whole((f64::from(ready) - plan.carrying()).max(0.0));
+    let mut spare = to_engine_count((f64::from(ready) - plan.min_running_engines()).max(0.0));
     let mut step = EngineCounts::new();
     for (key, desired) in &plan.desired {
-        let given_back = there(key).saturating_sub(*desired).min(spare);
-        spare -= given_back;
-        step.insert(key.clone(), there(key).max(*desired) - given_back);
+        let removed = present_count(key).saturating_sub(*desired).min(spare);
+        spare -= removed;
+        step.insert(key.clone(), present_count(key).max(*desired) - removed);
     }
     for (key, desired) in &plan.desired {
         let (zone, contract) = key;
         let other = (Arc::clone(zone), contract.other());
-        let room = autoscaling.maximum.saturating_sub(there(&other));
-        if there(key) < *desired {
-            step.insert(key.clone(), (*desired).min(room).max(there(key)));
+        let room = autoscaling.maximum.saturating_sub(present_count(&other));
+        if present_count(key) < *desired {
+            step.insert(key.clone(), (*desired).min(room).max(present_count(key)));
         }
     }
     step
@@ -280,6 +286,6 @@
     clippy::cast_sign_loss,
     reason = "bounded by the configuration's maximum; a cast saturates"
 )]
-const fn whole(engines: f64) -> u32 {
+const fn to_engine_count(engines: f64) -> u32 {
     engines as u32
 }
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -1,45 +1,45 @@
-//! Cuts a stream of bytes into whole events (`text/event-stream`).
+//! Splits a byte stream into complete server-sent events (`text/event-stream`).
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event in bytes; a longer one is a fault of the back end.
+/// Maximum size of an event in bytes; a back end that sends a longer one is faulty.
 pub const MAXIMUM_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event, with its end.
+/// One complete event, including the empty line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// The bytes as they came.
+    /// Unmodified bytes of the event.
     pub bytes: Bytes,
-    /// The number in its `id` line.
+    /// Value of the `id` field if it is a number.
     pub id: Option<u64>,
 }
 
-/// An event that cannot be passed on.
+/// An event cannot be passed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    /// It is too long.
+    /// The event exceeds [`MAXIMUM_EVENT_BYTES`].
     #[error("an event is longer than {MAXIMUM_EVENT_BYTES} bytes: the back end is faulty")]
     TooLong,
 }
 
-/// Collects bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, if there is one.
+    /// Returns the next complete event, if any.
     ///
     /// # Errors
-    /// [`EventError`].
+    /// [`EventError::TooLong`] if the buffered part of an event exceeds [`MAXIMUM_EVENT_BYTES`].
     pub fn next_event(&mut self) -> Result<Option<Event>, EventError> {
-        let Some(end) = end_of_event(&self.buffer) else {
+        let Some(end) = event_end(&self.buffer) else {
             if self.buffer.len() > MAXIMUM_EVENT_BYTES {
                 return Err(EventError::TooLong);
             }
@@ -50,15 +50,15 @@
         Ok(Some(Event { bytes, id }))
     }
 
-    /// Whether a part of an event waits for its end.
+    /// Whether the buffer holds an incomplete event.
     #[must_use]
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
-/// An event ends with an empty line, whatever ends its lines.
-fn end_of_event(bytes: &[u8]) -> Option<usize> {
+/// Position after the empty line that ends the first event; accepts LF and CRLF line ends.
+fn event_end(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (position, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -1,4 +1,4 @@
-//! Chooses back ends by the time they are expected to take.
+//! Selects back ends for requests by their expected latency.
 
 mod arrivals;
 mod confidence;
@@ -35,32 +35,33 @@
 pub use link::LocalLink;
 pub use load::{LoadTable, Outstanding, Urgency, WorkReport, WorkRow};
 pub use prefixes::{PrefixState, PrefixUse, MIN_PREFIX_TOKENS, PrefixMemory, tracked_prefix};
-use reading::Reading;
+use reading::PrefillEstimator;
 pub use speed::{PromptReading, SpeedTable};
 pub use stream_times::StreamTimes;
 pub use work::{PeerWork, WorkMeter};
 
-/// Share of an unknown head that its home is taken to read: a little less than others, since another daemon may have
-/// sent it there just now.
-const HOME_READ_SHARE: f64 = 0.85;
-/// What it is worth that a decode engine keeps the prompt's head already, as a part of the time that the head's reading
-/// takes: what is handed over then pushes no other head out of its memory, and a head that is kept nowhere is read again.
-const KEPT_AT_DECODE: f64 = 0.45;
-/// The same for the engine where all daemons would begin to keep it.
-const HOME_AT_DECODE: f64 = 0.27;
-/// Part of an engine's reading that a stream which goes on there meets before its first event.
-const MET_BACKLOG: f64 = 0.25;
-/// Milliseconds in a second.
+/// Share of an uncached prefix that its preferred engine is expected to process. Below 1 because
+/// another daemon may have sent the prefix there a moment ago.
+const PREFERRED_ENGINE_READ_SHARE: f64 = 0.85;
+/// Cost of decoding at an engine that does not cache the prompt's prefix, as a share of the
+/// prefix's prefill time: the transferred KV cache may evict another prefix there.
+const DECODE_MISS_BURDEN_SHARE: f64 = 0.45;
+/// Reduction of [`DECODE_MISS_BURDEN_SHARE`] at the prefix's preferred engine, so that all daemons
+/// begin to cache a new prefix at the same engine.
+const PREFERRED_DECODER_DISCOUNT_SHARE: f64 = 0.27;
+/// Share of a decode engine's prefill backlog that delays the first event of a stream handed over
+/// to it.
+const ENCOUNTERED_BACKLOG_SHARE: f64 = 0.25;
 const MS_PER_S: f64 = 1000.0;
-/// Expected time of a plain request that nothing is known of, in milliseconds.
-const PLAIN_DEFAULT_MS: f64 = 20.0;
+/// Expected latency of a plain back end that has not answered yet, in milliseconds.
+const DEFAULT_PLAIN_MS: f64 = 20.0;
 
-/// What a request asks of its answer.
+/// Latency targets of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct LatencyTargets {
-    /// Time to the first event in which the answer is worth all.
+    /// Target time to the first event.
     pub latency: Duration,
-    /// Longest pause between two events that is in time.
+    /// Longest acceptable gap between two events, if the route sets one.
     pub gap: Option<Duration>,
 }
 
@@ -70,77 +71,78 @@
     }
 }
 
-/// A prompt that engines are chosen for.
+/// Input of [`Placement::plan_prompt`].
 #[derive(Debug, Clone, Copy)]
 pub struct PromptRequest<'a> {
-    /// The prompt.
+    /// Prompt to place.
     pub prompt: &'a Prompt,
-    /// What is asked of its answer.
+    /// Latency targets of the answer.
     pub latency_targets: LatencyTargets,
-    /// What the engines of its service can do.
+    /// Properties of the service's engines.
     pub traits: &'a EngineTraits,
-    /// Behind what it waits.
+    /// Whether the request can still meet its target; decides which queued work it waits for.
     pub urgency: Urgency,
-    /// Bytes of its body, which leave once for each engine that it is sent to.
+    /// Size of the request body, which is sent once to each chosen engine.
     pub body_bytes: usize,
 }
 
-/// A prompt that was read at one engine and is to be continued at another.
+/// A prompt that one engine has processed and another is to continue.
 #[derive(Debug, Clone, Copy)]
 pub struct HandOver<'a> {
-    /// The engine that read it.
+    /// Engine that processed the prompt and holds its KV cache.
     pub reader: &'a BackEnd,
-    /// Time that its KV cache takes to another engine of the reader's zone, in milliseconds.
-    pub move_ms: f64,
+    /// Transfer time of the prompt's KV cache to another engine in the reader's zone, in
+    /// milliseconds.
+    pub transfer_ms: f64,
 }
 
 impl<'a> HandOver<'a> {
-    /// A prompt of so many tokens that `reader` has read.
+    /// Describes the handover of `prompt` after `reader` has processed it.
     #[must_use]
     pub fn of(prompt: &Prompt, reader: &'a BackEnd, traits: &EngineTraits) -> Self {
         Self {
             reader,
-            move_ms: reading::move_ms(traits, prompt.input_tokens),
+            transfer_ms: reading::transfer_ms(traits, prompt.input_tokens),
         }
     }
 
-    /// The engines of the reader's zone.
-    fn engines_near(self, engines: &[Arc<BackEnd>]) -> Vec<Arc<BackEnd>> {
-        let near = engines
+    fn engines_in_reader_zone(self, engines: &[Arc<BackEnd>]) -> Vec<Arc<BackEnd>> {
+        let in_zone = engines
             .iter()
             .filter(|engine| engine.zone == self.reader.zone);
-        near.cloned().collect()
+        in_zone.cloned().collect()
     }
 
-    /// What the move takes longer to this engine than to one of the reader's zone, in milliseconds.
-    fn detour_ms(self, engine: &BackEnd) -> f64 {
+    /// Additional transfer time to `engine` compared with an engine in the reader's zone, in
+    /// milliseconds.
+    fn extra_transfer_ms(self, engine: &BackEnd) -> f64 {
         if engine.zone == self.reader.zone {
             0.0
         } else {
-            self.move_ms * (reading::OTHER_ZONE_MOVE_FACTOR - 1.0)
+            self.transfer_ms * (reading::OTHER_ZONE_TRANSFER_FACTOR - 1.0)
         }
     }
 }
 
-/// Which engines serve a prompt.
+/// Engines chosen for a prompt.
 #[derive(Debug, Clone)]
 pub struct PromptPlan {
-    /// Reads the prompt; none where the decode engine does.
+    /// Prefill engine; `None` if the decode engine processes the prompt itself.
     pub prefill: Option<Arc<BackEnd>>,
-    /// Generates.
+    /// Decode engine.
     pub decode: Arc<BackEnd>,
-    /// Keeps the prompt's head, which the reader fetches instead of reading it.
+    /// Engine from which the reader fetches the cached prefix instead of processing it.
     pub fetch_from: Option<Arc<BackEnd>>,
     /// Expected time to the first event, in milliseconds.
     pub expected_ms: f64,
-    /// Expected time that the head takes to be fetched, in milliseconds.
+    /// Expected time to fetch the prefix, in milliseconds.
     pub fetch_ms: f64,
-    /// Tokens that are expected to be read.
+    /// Expected number of prompt tokens to process.
     pub tokens_to_read: f64,
 }
 
 impl PromptPlan {
-    /// A request that tells nothing of its prompt goes to this engine.
+    /// Plan for a request that does not describe its prompt.
     #[must_use]
     pub const fn unknown(decode: Arc<BackEnd>) -> Self {
         Self {
@@ -160,59 +162,60 @@
     }
 }
 
-/// An engine that is about to change.
+/// Period during which an engine that is about to change its stage gets no new requests.
 #[derive(Debug, Clone, Copy)]
-struct Away {
+struct Suspension {
     until: Instant,
     own: bool,
-    /// Its stage then; with another it has changed, and is back.
+    /// Stage at the time of the suspension. Once the engine reports another stage, it has changed
+    /// and the suspension no longer applies.
     stage: Option<Stage>,
 }
 
-/// What choices are based on.
+/// State on which placement decisions are based.
 #[derive(Debug)]
 pub struct Placement {
     /// Zone of this daemon.
     pub zone: Arc<str>,
-    /// Work in progress.
+    /// Outstanding work per back end.
     pub load: LoadTable,
-    /// Failures.
+    /// Failures and ejections of back ends.
     pub health: Health,
-    /// What back ends announced in their answers.
+    /// Draining and backoff announcements in answers of back ends.
     pub announcements: Announcements,
-    /// Rates that back ends set for all daemons together.
+    /// Rate limits that back ends set for all daemons together.
     pub rate_limits: RateLimits,
-    /// Rates learned from answers.
+    /// Processing speeds learned from answers.
     pub speed: SpeedTable,
-    /// How long streams run.
+    /// Durations and event gaps of streams.
     pub streams: StreamTimes,
-    /// How far expected times can be relied on.
+    /// Reliability of latency estimates.
     pub confidence: Confidence,
-    /// What tenants ask for.
+    /// Fair sharing between tenants.
     pub fairness: FairShares,
-    /// How often prompts come.
+    /// Arrival rates of prompts.
     pub arrivals: Arrivals,
-    /// What this daemon's link takes.
+    /// Send queue of this daemon's network link.
     pub link: LocalLink,
-    /// Prompt heads that engines are believed to keep.
+    /// Prompt prefixes that engines are assumed to cache.
     pub prefixes: PrefixMemory,
-    /// Daemons that serve, this one among them.
+    /// Number of serving daemons, including this one.
     pub daemons: usize,
-    /// Work of all daemons by service, as it was added up last.
+    /// Work of all daemons per service, as of `fleet_work_updated_at`.
     fleet_work: Vec<(Arc<str>, StageWork)>,
-    work_added_up: Option<Instant>,
-    /// Work that own requests bring.
+    fleet_work_updated_at: Option<Instant>,
+    /// Work caused by this daemon's requests.
     pub work: WorkMeter,
-    /// Work that peers' requests bring.
+    /// Work caused by the requests of peers.
     pub peer_work: PeerWork,
-    /// Engines that are about to change, and until when they get nothing new.
-    away: HashMap<Arc<str>, Away>,
-    /// Ready engines by service, where choices are made among a part of them.
+    /// Suspended engines by identifier.
+    suspensions: HashMap<Arc<str>, Suspension>,
+    /// Ready engines per service; candidate lists may hold only some of them.
     ready: HashMap<Arc<str>, ReadyCounts>,
 }
 
 impl Placement {
-    /// Nothing known yet.
+    /// Creates an empty state for a daemon in `zone`.
     #[must_use]
     pub fn new(zone: Arc<str>) -> Self {
         Self {
@@ -230,20 +233,22 @@
             prefixes: PrefixMemory::default(),
             daemons: 1,
             fleet_work: Vec::new(),
-            work_added_up: None,
+            fleet_work_updated_at: None,
             work: WorkMeter::default(),
             peer_work: PeerWork::default(),
-            away: HashMap::new(),
+            suspensions: HashMap::new(),
             ready: HashMap::new(),
         }
     }
 
-    /// Tells how many engines of a service are ready, of which the candidates of a choice are a part.
+    /// Sets how many engines of a service are ready in total. The candidates passed to a decision
+    /// may be a subset of these.
     pub fn set_ready_counts(&mut self, service: &Arc<str>, ready: ReadyCounts) {
         self.ready.insert(Arc::clone(service), ready);
     }
 
-    /// Engines of the stage among which all daemons spread the requests that go to one of these.
+    /// Number of engines of `stage` among which the fleet spreads the requests that may go to
+    /// `candidates`.
     fn ready_engines(&self, candidates: &[Arc<BackEnd>], stage: Stage) -> usize {
         let service = candidates.first().map(|engine| &engine.service);
         let ready = service.and_then(|service| self.ready.get(service));
@@ -254,46 +259,49 @@
         of_stage.max(candidates.len())
     }
 
-    /// An engine is about to change: it gets nothing new for so long. `own`: this daemon changes it, and tells peers.
+    /// Suspends new requests to an engine that is about to change its stage. `own` marks a change
+    /// made by this daemon, which must tell its peers. A shorter suspension does not replace a
+    /// longer one.
     pub fn suspend_engine(&mut self, engine: &BackEnd, time: Duration, own: bool, now: Instant) {
-        self.away.retain(|_id, away| away.until > now);
+        self.suspensions.retain(|_id, suspension| suspension.until > now);
         let until = now + time;
         let is_known = self
-            .away
+            .suspensions
             .get(&engine.id)
-            .is_some_and(|away| away.until >= until && away.stage == engine.stage);
+            .is_some_and(|suspension| suspension.until >= until && suspension.stage == engine.stage);
         if !is_known {
             let stage = engine.stage;
-            let away = Away { until, own, stage };
-            self.away.insert(Arc::clone(&engine.id), away);
+            let suspension = Suspension { until, own, stage };
+            self.suspensions.insert(Arc::clone(&engine.id), suspension);
         }
     }
 
-    /// An engine that was about to change takes requests again.
+    /// Ends the suspension of an engine.
     pub fn resume_engine(&mut self, id: &str) {
-        self.away.remove(id);
+        self.suspensions.remove(id);
     }
 
-    /// Engines that this daemon is about to change, with the time that is left, for telling peers; the latest first.
+    /// Engines that this daemon has suspended, with the remaining time, to be published to peers.
+    /// Sorted by remaining time, longest first.
     #[must_use]
     pub fn suspended_engines(&self, now: Instant) -> Vec<(Arc<str>, Duration)> {
-        let mut away: Vec<(Arc<str>, Duration)> = self
-            .away
+        let mut suspended: Vec<(Arc<str>, Duration)> = self
+            .suspensions
             .iter()
-            .filter(|(_id, away)| away.own && away.until > now)
-            .map(|(id, away)| (Arc::clone(id), away.until - now))
+            .filter(|(_id, suspension)| suspension.own && suspension.until > now)
+            .map(|(id, suspension)| (Arc::clone(id), suspension.until - now))
             .collect();
-        away.sort_unstable_by_key(|(_id, left)| std::cmp::Reverse(*left));
-        away
+        suspended.sort_unstable_by_key(|(_id, remaining)| std::cmp::Reverse(*remaining));
+        suspended
     }
 
-    fn is_away(&self, engine: &BackEnd, now: Instant) -> bool {
-        self.away
+    fn is_suspended(&self, engine: &BackEnd, now: Instant) -> bool {
+        self.suspensions
             .get(&engine.id)
-            .is_some_and(|away| away.until > now && away.stage == engine.stage)
+            .is_some_and(|suspension| suspension.until > now && suspension.stage == engine.stage)
     }
 
-    /// Chooses a plain back end, or an engine for a request that tells nothing of its prompt.
+    /// Chooses a plain back end, or an engine for a request that does not describe its prompt.
     pub fn choose_plain(
         &self,
         ready: &[Arc<BackEnd>],
@@ -309,7 +317,7 @@
             let expected = self
                 .speed
                 .plain_ms(&back_end.id)
-                .unwrap_or(PLAIN_DEFAULT_MS);
+                .unwrap_or(DEFAULT_PLAIN_MS);
             Estimate {
                 time_ms: expected * (1.0 + ahead / f64::from(back_end.slots.max(1))),
                 burden_ms: 0.0,
@@ -318,7 +326,8 @@
         .map(|choice| choice.back_end)
     }
 
-    /// Chooses the engines for a prompt.
+    /// Chooses the engines for a prompt: either one decode engine for everything, or a prefill
+    /// engine followed by a decode engine, whichever is expected to cost less.
     pub fn plan_prompt(
         &self,
         ready: &[Arc<BackEnd>],
@@ -328,91 +337,93 @@
         random: &mut impl Rng,
     ) -> Option<PromptPlan> {
         let prompt = request.prompt;
-        let keepers = self.keepers(ready, prompt, now);
+        let holders = self.holders(ready, prompt, now);
         let decoders = self.usable(ready, tried, now, |back_end| {
             back_end.stage != Some(Stage::Prefill)
         });
         let prefills = self.usable(ready, tried, now, |back_end| {
             back_end.stage == Some(Stage::Prefill)
         });
-        let reading = Reading {
+        let reading = PrefillEstimator {
             placement: self,
             request,
-            keepers: &keepers,
+            holders: &holders,
             excess_reading: self.excess_reading(&decoders, request.latency_targets),
             link_wait_ms: self.link.wait_ms(now),
-            direct_per_ms: self.reads_per_ms(&decoders, Stage::Decode),
-            apart_per_ms: self.reads_per_ms(&prefills, Stage::Prefill),
+            decode_arrivals_per_ms: self.arrivals_per_engine_per_ms(&decoders, Stage::Decode),
+            prefill_arrivals_per_ms: self.arrivals_per_engine_per_ms(&prefills, Stage::Prefill),
         };
-        let decoders_home = reading.home(&decoders);
+        let preferred_decoder = reading.preferred_engine(&decoders);
         let direct = self.cheapest(&decoders, now, random, |back_end| {
-            reading.direct(back_end, decoders_home)
+            reading.estimate_at_decode(back_end, preferred_decoder)
         })?;
-        let prefills_home = reading.home(&prefills);
+        let preferred_prefill = reading.preferred_engine(&prefills);
         let reader = self.cheapest(&prefills, now, random, |back_end| {
-            reading.apart(back_end, prefills_home)
+            reading.estimate_at_prefill(back_end, preferred_prefill)
         });
         let Some(reader) = reader else {
-            return Some(reading.plan(None, direct.back_end, decoders_home, direct.time_ms));
+            return Some(reading.plan(None, direct.back_end, preferred_decoder, direct.time_ms));
         };
         let decoder = self.cheapest_decoder(&decoders, Some(prompt), None, now, random)?;
         if reader.cost_ms + decoder.cost_ms >= direct.cost_ms {
-            return Some(reading.plan(None, direct.back_end, decoders_home, direct.time_ms));
+            return Some(reading.plan(None, direct.back_end, preferred_decoder, direct.time_ms));
         }
         let time_ms = reader.time_ms + decoder.time_ms;
         let prefill = Some(reader.back_end);
-        Some(reading.plan(prefill, decoder.back_end, prefills_home, time_ms))
+        Some(reading.plan(prefill, decoder.back_end, preferred_prefill, time_ms))
     }
 
-    /// The engine where prompts with this head meet. One that limits the rate of requests is none where another is left: it takes now one and
-    /// now none, and each change of the home has the head read once more.
-    fn home<'a>(&self, engines: &'a [Arc<BackEnd>], head: u64) -> Option<&'a Arc<BackEnd>> {
+    /// Engine on which all daemons place a prefix that is not cached yet. Skips rate-limited
+    /// engines if possible: their availability changes from request to request, and each switch to
+    /// another engine processes the prefix again.
+    fn preferred_engine<'a>(&self, engines: &'a [Arc<BackEnd>], prefix: u64) -> Option<&'a Arc<BackEnd>> {
         let unlimited = engines
             .iter()
             .filter(|engine| self.rate_limits.limit(engine).is_none());
-        prefixes::home(unlimited, head).or_else(|| prefixes::home(engines.iter(), head))
+        prefixes::preferred_engine(unlimited, prefix).or_else(|| prefixes::preferred_engine(engines.iter(), prefix))
     }
 
-    /// Engines that are believed to keep the prompt's head.
-    fn keepers(&self, ready: &[Arc<BackEnd>], prompt: &Prompt, now: Instant) -> Vec<Arc<BackEnd>> {
-        let Some(head) = prefixes::tracked_prefix(prompt) else {
+    /// Engines that are assumed to cache the prompt's prefix and from which it may be fetched.
+    fn holders(&self, ready: &[Arc<BackEnd>], prompt: &Prompt, now: Instant) -> Vec<Arc<BackEnd>> {
+        let Some(prefix) = prefixes::tracked_prefix(prompt) else {
             return Vec::new();
         };
         ready
             .iter()
-            .filter(|engine| self.prefixes.state(&engine.id, head, now) == Some(PrefixState::Cached))
-            .filter(|engine| self.may_hand_on(engine, now))
+            .filter(|engine| self.prefixes.state(&engine.id, prefix, now) == Some(PrefixState::Cached))
+            .filter(|engine| self.may_serve_prefix(engine, now))
             .cloned()
             .collect()
     }
 
-    /// Whether another engine may fetch what this one keeps.
-    fn may_hand_on(&self, engine: &BackEnd, now: Instant) -> bool {
+    /// Whether other engines may fetch cached prefixes from this one.
+    fn may_serve_prefix(&self, engine: &BackEnd, now: Instant) -> bool {
         !self.health.is_ejected(&engine.id) && !self.is_closed(engine, now)
     }
 
-    /// Whether the prompt's head is being read for another request, and kept nowhere yet: an engine that reads two
-    /// prompts with one head at a time reads it twice.
+    /// Whether the prompt's prefix is being processed for another request and not cached anywhere
+    /// yet. Callers wait in that case, because an engine that processes two prompts with the same
+    /// prefix at a time computes it twice.
     #[must_use]
     pub fn is_prefix_pending(&self, ready: &[Arc<BackEnd>], prompt: &Prompt, now: Instant) -> bool {
-        let Some(head) = prefixes::tracked_prefix(prompt) else {
+        let Some(prefix) = prefixes::tracked_prefix(prompt) else {
             return false;
         };
         let states = ready
             .iter()
-            .filter(|engine| self.may_hand_on(engine, now))
-            .filter_map(|engine| self.prefixes.state(&engine.id, head, now));
-        let mut is_coming = false;
+            .filter(|engine| self.may_serve_prefix(engine, now))
+            .filter_map(|engine| self.prefixes.state(&engine.id, prefix, now));
+        let mut is_pending = false;
         for state in states {
             match state {
                 PrefixState::Cached => return false,
-                PrefixState::Pending => is_coming = true,
+                PrefixState::Pending => is_pending = true,
             }
         }
-        is_coming
+        is_pending
     }
 
-    /// Chooses the engine that goes on from a handle.
+    /// Chooses the decode engine for a prompt that has been processed elsewhere.
     pub fn choose_decode(
         &self,
         ready: &[Arc<BackEnd>],
@@ -424,7 +435,7 @@
         self.choose_decode_after_prefill(ready, tried, prompt, None, now, random)
     }
 
-    /// The same where it is known which engine holds what is moved.
+    /// Like [`Self::choose_decode`], for a known engine that holds the KV cache.
     pub fn choose_decode_after_prefill(
         &self,
         ready: &[Arc<BackEnd>],
@@ -450,44 +461,45 @@
         random: &mut impl Rng,
     ) -> Option<Choice> {
         let rate = self.speed.decode_tokens_per_ms();
-        let head = prompt.and_then(prefixes::tracked_prefix);
-        // All daemons know alike where a prefix is read, and so where it is handed over to.
-        let near_reader = hand_over.map(|hand_over| hand_over.engines_near(decoders));
-        let rivals = near_reader.filter(|near| !near.is_empty());
-        let home = head.and_then(|head| self.home(rivals.as_deref().unwrap_or(decoders), head));
-        let head_ms = prompt.map_or(0.0, |prompt| self.head_reading_ms(prompt));
+        let prefix = prompt.and_then(prefixes::tracked_prefix);
+        // All daemons compute the same preferred engine, so they also hand over to the same one.
+        let in_reader_zone = hand_over.map(|hand_over| hand_over.engines_in_reader_zone(decoders));
+        let eligible = in_reader_zone.filter(|in_zone| !in_zone.is_empty());
+        let preferred_engine = prefix.and_then(|prefix| self.preferred_engine(eligible.as_deref().unwrap_or(decoders), prefix));
+        let prefix_ms = prompt.map_or(0.0, |prompt| self.prefix_reading_ms(prompt));
         self.cheapest(decoders, now, random, |back_end| {
             let time_ms = self.slot_wait_ms(back_end, Urgency::InTime)
-                + self.speed.message_ms()
-                + hand_over.map_or(0.0, |hand_over| hand_over.detour_ms(back_end))
-                + self.backlog_ms(back_end, rate, Urgency::InTime) * MET_BACKLOG;
-            let missing = match head {
+                + self.speed.message_overhead_ms()
+                + hand_over.map_or(0.0, |hand_over| hand_over.extra_transfer_ms(back_end))
+                + self.backlog_ms(back_end, rate, Urgency::InTime) * ENCOUNTERED_BACKLOG_SHARE;
+            let miss_share = match prefix {
                 None => 0.0,
-                Some(head) if self.prefixes.state(&back_end.id, head, now).is_some() => 0.0,
-                Some(_) if home.is_some_and(|home| home.id == back_end.id) => {
-                    KEPT_AT_DECODE - HOME_AT_DECODE
+                Some(prefix) if self.prefixes.state(&back_end.id, prefix, now).is_some() => 0.0,
+                Some(_) if preferred_engine.is_some_and(|preferred_engine| preferred_engine.id == back_end.id) => {
+                    DECODE_MISS_BURDEN_SHARE - PREFERRED_DECODER_DISCOUNT_SHARE
                 }
-                Some(_) => KEPT_AT_DECODE,
+                Some(_) => DECODE_MISS_BURDEN_SHARE,
             };
             Estimate {
                 time_ms,
-                burden_ms: missing * head_ms,
+                burden_ms: miss_share * prefix_ms,
             }
         })
     }
 
-    /// Prompts that come to each of these engines to be read, in a millisecond. Peers send about as many each.
-    #[expect(clippy::cast_precision_loss, reason = "some ten thousand")]
-    fn reads_per_ms(&self, engines: &[Arc<BackEnd>], stage: Stage) -> f64 {
+    /// Prompts per millisecond that arrive at each of these engines for prefill. Assumes that every
+    /// daemon sends about as many as this one.
+    #[expect(clippy::cast_precision_loss, reason = "at most tens of thousands of daemons and engines")]
+    fn arrivals_per_engine_per_ms(&self, engines: &[Arc<BackEnd>], stage: Stage) -> f64 {
         let Some(first) = engines.first() else {
             return 0.0;
         };
-        let of_all = self.arrivals.per_ms(&first.service, stage) * self.daemons as f64;
-        of_all / self.ready_engines(engines, stage) as f64
+        let fleet_per_ms = self.arrivals.per_ms(&first.service, stage) * self.daemons as f64;
+        fleet_per_ms / self.ready_engines(engines, stage) as f64
     }
 
-    /// Time that a prefill engine takes to read the prompt's shared head.
-    fn head_reading_ms(&self, prompt: &Prompt) -> f64 {
+    /// Time a prefill engine takes to process the prompt's shared prefix, in milliseconds.
+    fn prefix_reading_ms(&self, prompt: &Prompt) -> f64 {
         f64::from(prompt.shared_tokens()) / self.speed.prefill_tokens_per_ms()
     }
 }
--- a/crates/fleet/src/placement/arrivals.rs
+++ b/crates/fleet/src/placement/arrivals.rs
@@ -1,39 +1,39 @@
-//! How often prompts come to the engines of a stage.
+//! Arrival rates of prompts by service and stage.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
 
 use super::MS_PER_S;
-use super::work::{AVERAGED_S, kept_since};
+use super::work::{AVERAGING_TIME_S, average_decay};
 use crate::configuration::Stage;
 
 #[derive(Debug)]
 struct Rates {
-    /// Prompts a second that prefill engines read.
+    /// Prompts per second processed by prefill engines.
     prefill: f64,
-    /// Prompts a second that decode engines read.
+    /// Prompts per second processed by decode engines.
     decode: f64,
     at: Instant,
 }
 
 impl Rates {
     fn decay(&mut self, now: Instant) {
-        let kept = kept_since(self.at, now);
+        let kept = average_decay(self.at, now);
         self.prefill *= kept;
         self.decode *= kept;
         self.at = now;
     }
 }
 
-/// Prompts that this daemon sends, by service, averaged with exponential weights.
+/// Exponentially weighted arrival rates of the prompts that this daemon sends, by service.
 #[derive(Debug, Default)]
 pub struct Arrivals {
     by_service: HashMap<Arc<str>, Rates>,
 }
 
 impl Arrivals {
-    /// A prompt goes to an engine of this stage.
+    /// Records a prompt that is processed at stage `reader`.
     pub fn add(&mut self, service: &Arc<str>, reader: Stage, now: Instant) {
         let rates = self
             .by_service
@@ -45,12 +45,13 @@
             });
         rates.decay(now);
         match reader {
-            Stage::Prefill => rates.prefill += 1.0 / AVERAGED_S,
-            Stage::Decode => rates.decode += 1.0 / AVERAGED_S,
+            Stage::Prefill => rates.prefill += 1.0 / AVERAGING_TIME_S,
+            Stage::Decode => rates.decode += 1.0 / AVERAGING_TIME_S,
         }
     }
 
-    /// Prompts of this daemon that the engines of a stage read, in a millisecond; as of the last arrival.
+    /// Rate of this daemon's prompts processed at stage `reader`, per millisecond, as of the last
+    /// arrival.
     #[must_use]
     pub fn per_ms(&self, service: &str, reader: Stage) -> f64 {
         let rates = self.by_service.get(service);
--- a/crates/fleet/src/placement/confidence.rs
+++ b/crates/fleet/src/placement/confidence.rs
@@ -1,31 +1,33 @@
-//! How far expected times can be relied on.
+//! Adapts how much of a latency target an estimate may use.
 //!
-//! Whoever was taken to be in time and is late has displaced another that would have been. The share of the target that an
-//! expected time may fill shrinks with each of those, and grows a little with each that was in time, so that about one in
-//! [`IN_TIME_PER_LATE`] is late. Only those that were expected near the end of that share tell something of it.
+//! A request that was admitted as on time but finishes late has taken capacity from one that would
+//! have met its target. Each late request reduces the usable share of the target and each request
+//! on time increases it slightly, so that about one request per [`IN_TIME_PER_LATE`] is late.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Requests in time for each late one, where the share stays as it is.
+/// Requests on time per late request at which the share stays constant.
 const IN_TIME_PER_LATE: f64 = 12.0;
-/// Change of the share for one late request.
+/// Reduction of the share per late request.
 const STEP: f64 = 0.02;
-/// The share to begin with.
+/// Initial share.
 const FIRST: f64 = 1.0;
-/// Part of the share from which on a request in time tells that the share may grow.
+/// A request on time increases the share only if its estimate used at least this part of the share;
+/// shorter ones say nothing about the limit.
 const NEAR_THE_END: f64 = 0.7;
-/// Bounds of the share.
+/// Lower and upper bound of the share.
 const BOUNDS: (f64, f64) = (0.5, 2.0);
 
-/// Shares by service.
+/// Usable share of the latency target by service.
 #[derive(Debug, Default)]
 pub struct Confidence {
     by_service: HashMap<Arc<str>, f64>,
 }
 
 impl Confidence {
-    /// A request that was expected to need this share of its target was in time, or was not.
+    /// Records whether a request met its latency target; `expected_share` is the share of the
+    /// target that its estimate used.
     pub fn record_deadline_outcome(&mut self, service: &Arc<str>, expected_share: f64, in_time: bool) {
         let (least, most) = BOUNDS;
         let share = self.by_service.entry(Arc::clone(service)).or_insert(FIRST);
@@ -40,7 +42,7 @@
         *share = (*share + change).clamp(least, most);
     }
 
-    /// Share of the target that an expected time may fill.
+    /// Share of the latency target that an estimate may use.
     #[must_use]
     pub fn share(&self, service: &str) -> f64 {
         self.by_service.get(service).copied().unwrap_or(FIRST)
--- a/crates/fleet/src/placement/fairness.rs
+++ b/crates/fleet/src/placement/fairness.rs
@@ -1,49 +1,51 @@
-//! Max-min fair shares of a service's tenants while its engines cannot serve all in time.
+//! Max-min fair sharing among a service's tenants during overload.
 //!
-//! The work that can be in time is dealt out as if poured over the tenants' demands: small ones are met whole, and what is
-//! left is shared evenly by the rest. A tenant that asks for more stands behind with what is beyond its share; engines that
-//! have nothing else to do serve it all the same. In work, not in requests: one long prompt counts as many short ones.
+//! The work that can be completed on time is distributed over the tenants' demands: small demands
+//! are met in full, and the rest is split evenly among the others. Requests of a tenant beyond its
+//! share yield to those of other tenants, and are still served by engines that have nothing else to
+//! do. Shares are measured in work rather than requests, so one long prompt counts as many short
+//! ones.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::work::halved_since;
+use super::work::half_life_decay;
 
-/// Demands are averaged with this half-life: long against one request, short against a burst of a minute.
-const HALF_LIFE: Duration = Duration::from_secs(5);
-/// The same for how much of the work that does not yield can be in time: it has to follow the load.
-const FIT_HALF_LIFE: Duration = Duration::from_secs(3);
-/// Tenants yield once less than this part of the work can be in time: the few requests that one daemon sees swing down to
-/// 0.9 in calm times, too,
+/// Half-life of demand averages: long compared with a request, short compared with a burst.
+const DEMAND_HALF_LIFE: Duration = Duration::from_secs(5);
+/// Half-life of the on-time share of prioritized work; shorter because it must follow the load.
+const IN_TIME_HALF_LIFE: Duration = Duration::from_secs(3);
+/// Overload begins when less than this share of prioritized work can be on time. Well below 1
+/// because the few requests that one daemon sees fluctuate.
 const OVERLOADED_BELOW: f64 = 0.8;
-/// and yield less as long as more than this part of what does not yield can be.
-const ROOM_ABOVE: f64 = 0.92;
-/// Change of the work that is dealt out, from one working out to the next: it doubles or halves within four seconds.
+/// Capacity is raised while more than this share of prioritized work can be on time.
+const SPARE_CAPACITY_ABOVE: f64 = 0.92;
+/// Relative change of the capacity per update.
 const CAPACITY_STEP: f64 = 0.05;
-/// Part of the offered work that is dealt out at the least, so that the end of an overload shows.
-const LEAST_DEALT_OUT: f64 = 0.1;
-/// However much a tenant asks for, requests of it that do not yield are this part of what all tenants get on average: small
-/// demands alone may fill the engines, and it would get next to nothing.
-const LEAST_OF_AVERAGE: f64 = 0.5;
-/// A tenant yields only if it asks for more than so many times its share: one daemon sees few requests of a tenant, whose
-/// number varies by as much.
-const LEAST_EXCESS: f64 = 2.0;
-/// The level of the shares is worked out anew after this long.
-const LEVEL_LIFE: Duration = Duration::from_millis(250);
-/// Tenants with less work than this are forgotten.
-const NEGLIGIBLE: f64 = 1e-3;
-
-/// An amount that halves with time.
+/// Minimum capacity as a share of the offered work, so that the end of an overload is detected.
+const MIN_CAPACITY_SHARE: f64 = 0.1;
+/// Minimum prioritized share of a tenant's requests, relative to the average over all tenants.
+/// Without it, small demands could fill the engines and leave a large tenant almost nothing.
+const MIN_SHARE_OF_AVERAGE: f64 = 0.5;
+/// A tenant yields only if its demand exceeds its share by this factor, because the demand seen by
+/// one daemon fluctuates.
+const MIN_EXCESS_FACTOR: f64 = 2.0;
+/// Interval between updates of the fair-share level.
+const LEVEL_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
+/// Tenants with less work than this are removed.
+const NEGLIGIBLE_WORK: f64 = 1e-3;
+
+/// An exponentially decaying amount.
 #[derive(Debug, Clone, Copy)]
-struct Decayed {
+struct DecayingAmount {
     amount: f64,
     half_life: Duration,
     at: Instant,
 }
 
-impl Decayed {
-    const fn nothing(half_life: Duration, now: Instant) -> Self {
+impl DecayingAmount {
+    const fn zero(half_life: Duration, now: Instant) -> Self {
         Self {
             amount: 0.0,
             half_life,
@@ -52,7 +54,7 @@
     }
 
     fn at(&self, now: Instant) -> f64 {
-        self.amount * halved_since(self.at, now, self.half_life)
+        self.amount * half_life_decay(self.at, now, self.half_life)
     }
 
     fn add(&mut self, amount: f64, now: Instant) {
@@ -63,65 +65,67 @@
 
 #[derive(Debug)]
 struct Demands {
-    by_tenant: HashMap<Arc<str>, Decayed>,
-    /// Work that could be in time and did not yield.
-    in_time: Decayed,
-    /// Work that did not yield, lately, and that of it which could be in time.
-    unyielding: Decayed,
-    fitting: Decayed,
-    /// Work that is dealt out; none while there is no overload.
+    by_tenant: HashMap<Arc<str>, DecayingAmount>,
+    /// Prioritized work that could be on time, over [`DEMAND_HALF_LIFE`].
+    in_time: DecayingAmount,
+    /// All prioritized work, over [`IN_TIME_HALF_LIFE`].
+    prioritized: DecayingAmount,
+    /// Prioritized work that could be on time, over [`IN_TIME_HALF_LIFE`].
+    prioritized_in_time: DecayingAmount,
+    /// Work distributed among the tenants; `None` while there is no overload.
     capacity: Option<f64>,
-    /// Work up to which each tenant's demand is met, and when it was worked out.
+    /// Work up to which each tenant's demand is met.
     level: f64,
-    /// The largest part of any tenant's requests that yields.
-    most_yielding: f64,
-    level_at: Instant,
+    /// Upper bound of the share of a tenant's requests that yields.
+    max_yielding_share: f64,
+    level_updated_at: Instant,
 }
 
-/// Demands of tenants, by service.
+/// Tenant demands by service.
 #[derive(Debug, Default)]
 pub struct FairShares {
     by_service: HashMap<Arc<str>, Demands>,
 }
 
-/// A request that engines are chosen for.
+/// A request for which engines are being chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct OfferedRequest<'a> {
-    /// Its service.
+    /// Service of the request.
     pub service: &'a Arc<str>,
-    /// Whose it is.
+    /// Tenant of the request.
     pub tenant: &'a Arc<str>,
-    /// Work that it brings.
+    /// Work caused by the request.
     pub work: f64,
-    /// Whether engines can do it in time.
+    /// Whether the engines can complete it on time.
     pub can_be_in_time: bool,
 }
 
 impl FairShares {
-    /// Decides whether a request stands behind those of other tenants. `draw` is a random number from 0 to 1: of a tenant
-    /// beyond its share, a part of the requests yields.
+    /// Decides whether a request yields to those of other tenants. `draw` is a random number in
+    /// `0.0..1.0`: only a share of the requests of a tenant above its fair share yields.
     pub fn yields(&mut self, offer: OfferedRequest<'_>, draw: f64, now: Instant) -> bool {
         let demands = self
             .by_service
             .entry(Arc::clone(offer.service))
             .or_insert_with(|| Demands::none(now));
         demands.add(offer, now);
-        let yields = draw < demands.excess(offer.tenant, now);
+        let yields = draw < demands.yielding_share(offer.tenant, now);
         if !yields {
-            demands.unyielding.add(offer.work, now);
+            demands.prioritized.add(offer.work, now);
             if offer.can_be_in_time {
-                demands.fitting.add(offer.work, now);
+                demands.prioritized_in_time.add(offer.work, now);
                 demands.in_time.add(offer.work, now);
             }
         }
         yields
     }
 
-    /// Share of a tenant's requests that yield; 0 where it keeps within its share, or all can be served.
+    /// Share of a tenant's requests that yield; 0 if the tenant is within its fair share or there
+    /// is no overload.
     #[must_use]
-    pub fn excess(&self, service: &str, tenant: &str, now: Instant) -> f64 {
+    pub fn yielding_share(&self, service: &str, tenant: &str, now: Instant) -> f64 {
         let demands = self.by_service.get(service);
-        demands.map_or(0.0, |demands| demands.excess(tenant, now))
+        demands.map_or(0.0, |demands| demands.yielding_share(tenant, now))
     }
 }
 
@@ -129,39 +133,39 @@
     fn none(now: Instant) -> Self {
         Self {
             by_tenant: HashMap::new(),
-            in_time: Decayed::nothing(HALF_LIFE, now),
-            unyielding: Decayed::nothing(FIT_HALF_LIFE, now),
-            fitting: Decayed::nothing(FIT_HALF_LIFE, now),
+            in_time: DecayingAmount::zero(DEMAND_HALF_LIFE, now),
+            prioritized: DecayingAmount::zero(IN_TIME_HALF_LIFE, now),
+            prioritized_in_time: DecayingAmount::zero(IN_TIME_HALF_LIFE, now),
             capacity: None,
             level: f64::INFINITY,
-            most_yielding: 0.0,
-            level_at: now,
+            max_yielding_share: 0.0,
+            level_updated_at: now,
         }
     }
 
     fn add(&mut self, offer: OfferedRequest<'_>, now: Instant) {
         self.by_tenant
             .entry(Arc::clone(offer.tenant))
-            .or_insert_with(|| Decayed::nothing(HALF_LIFE, now))
+            .or_insert_with(|| DecayingAmount::zero(DEMAND_HALF_LIFE, now))
             .add(offer.work, now);
-        if now.saturating_duration_since(self.level_at) >= LEVEL_LIFE {
-            self.work_out_level(now);
+        if now.saturating_duration_since(self.level_updated_at) >= LEVEL_REFRESH_INTERVAL {
+            self.update_level(now);
         }
     }
 
-    fn excess(&self, tenant: &str, now: Instant) -> f64 {
+    fn yielding_share(&self, tenant: &str, now: Instant) -> f64 {
         let demand = self.by_tenant.get(tenant).map(|demand| demand.at(now));
         match demand {
-            Some(demand) if demand > self.level * LEAST_EXCESS => {
-                (1.0 - self.level / demand).min(self.most_yielding)
+            Some(demand) if demand > self.level * MIN_EXCESS_FACTOR => {
+                (1.0 - self.level / demand).min(self.max_yielding_share)
             }
             _ => 0.0,
         }
     }
 
-    fn work_out_level(&mut self, now: Instant) {
+    fn update_level(&mut self, now: Instant) {
         self.by_tenant
-            .retain(|_tenant, demand| demand.at(now) > NEGLIGIBLE);
+            .retain(|_tenant, demand| demand.at(now) > NEGLIGIBLE_WORK);
         let demands: Vec<f64> = self
             .by_tenant
             .values()
@@ -170,42 +174,43 @@
         let offered = demands.iter().sum();
         self.capacity = self.next_capacity(offered, now);
         let capacity = self.capacity.unwrap_or(f64::INFINITY);
-        self.most_yielding = 1.0 - LEAST_OF_AVERAGE * (capacity / offered).min(1.0);
+        self.max_yielding_share = 1.0 - MIN_SHARE_OF_AVERAGE * (capacity / offered).min(1.0);
         self.level = level(demands, capacity);
-        self.level_at = now;
+        self.level_updated_at = now;
     }
 
-    /// Follows what can be in time: more is dealt out while all that does not yield fits, less while much does not.
+    /// Adjusts the capacity: raises it while nearly all prioritized work is on time and lowers it
+    /// while too much is late.
     fn next_capacity(&self, offered: f64, now: Instant) -> Option<f64> {
-        let unyielding = self.unyielding.at(now);
-        if unyielding < NEGLIGIBLE {
+        let prioritized = self.prioritized.at(now);
+        if prioritized < NEGLIGIBLE_WORK {
             return self.capacity;
         }
-        let fits = self.fitting.at(now) / unyielding;
+        let in_time_share = self.prioritized_in_time.at(now) / prioritized;
         let next = match self.capacity {
-            None if fits < OVERLOADED_BELOW => self.in_time.at(now),
+            None if in_time_share < OVERLOADED_BELOW => self.in_time.at(now),
             None => return None,
-            Some(capacity) if fits < OVERLOADED_BELOW => capacity * (1.0 - CAPACITY_STEP),
-            Some(capacity) if fits > ROOM_ABOVE => capacity * (1.0 + CAPACITY_STEP),
+            Some(capacity) if in_time_share < OVERLOADED_BELOW => capacity * (1.0 - CAPACITY_STEP),
+            Some(capacity) if in_time_share > SPARE_CAPACITY_ABOVE => capacity * (1.0 + CAPACITY_STEP),
             Some(capacity) => capacity,
         };
-        (next < offered).then_some(next.max(offered * LEAST_DEALT_OUT))
+        (next < offered).then_some(next.max(offered * MIN_CAPACITY_SHARE))
     }
 }
 
-/// The level at which demands that are met up to it add up to `capacity`.
+/// Level at which the demands, each capped at the level, add up to `capacity`.
 fn level(mut demands: Vec<f64>, capacity: f64) -> f64 {
     demands.sort_unstable_by(f64::total_cmp);
     let mut left = capacity;
-    let mut sharers = demands.len();
+    let mut tenants_left = demands.len();
     for demand in demands {
         #[expect(clippy::cast_precision_loss, reason = "a few thousand tenants")]
-        let share = left / sharers as f64;
+        let share = left / tenants_left as f64;
         if demand > share {
             return share;
         }
         left -= demand;
-        sharers -= 1;
+        tenants_left -= 1;
     }
     f64::INFINITY
 }
--- a/crates/fleet/src/placement/link.rs
+++ b/crates/fleet/src/placement/link.rs
@@ -1,16 +1,15 @@
-//! What this daemon's own link takes: on a small machine it fills before the engines do.
+//! Models this daemon's network link, which may saturate before the engines do.
 
 use std::time::Instant;
 
 use super::MS_PER_S;
 
-/// Kilobits in a megabit, and bits in a byte.
-const KILOBITS_IN_MEGABIT: f64 = 1000.0;
-const BITS: f64 = 8.0;
-/// Bytes of a request's head and of the frames around it.
-const HEAD_BYTES: f64 = 700.0;
+const KILOBITS_PER_MEGABIT: f64 = 1000.0;
+const BITS_PER_BYTE: f64 = 8.0;
+/// Estimated size of the request headers and framing.
+const REQUEST_OVERHEAD_BYTES: f64 = 700.0;
 
-/// Bytes that wait to leave, as far as they can be counted here.
+/// Estimated send queue of the link.
 #[derive(Debug, Default)]
 pub struct LocalLink {
     bytes_per_ms: Option<f64>,
@@ -19,37 +18,37 @@
 }
 
 impl LocalLink {
-    /// Tells the link's speed; 0 where it is not known, and then it is taken to be free.
+    /// Sets the link speed; 0 means unknown, in which case the link is assumed to cause no delay.
     pub fn set_megabits(&mut self, megabits: u32) {
-        let bytes_per_ms = f64::from(megabits) * KILOBITS_IN_MEGABIT / BITS;
+        let bytes_per_ms = f64::from(megabits) * KILOBITS_PER_MEGABIT / BITS_PER_BYTE;
         self.bytes_per_ms = (megabits > 0).then_some(bytes_per_ms);
     }
 
-    /// A request with a body of so many bytes leaves.
+    /// Records a request that is being sent.
     pub fn record_send(&mut self, body_bytes: usize, now: Instant) {
-        self.drain(now);
-        self.queued_bytes += whole_bytes(body_bytes);
+        self.update_queue(now);
+        self.queued_bytes += bytes_on_wire(body_bytes);
     }
 
-    /// Time until what is sent now begins to leave, in milliseconds.
+    /// Time until a request sent now starts to leave, in milliseconds.
     #[must_use]
     pub fn wait_ms(&self, now: Instant) -> f64 {
-        self.bytes_per_ms.map_or(0.0, |rate| self.left(now) / rate)
+        self.bytes_per_ms.map_or(0.0, |rate| self.remaining_bytes(now) / rate)
     }
 
-    /// Time that a request with such a body takes to leave, in milliseconds.
+    /// Transmission time of a request with a body of this size, in milliseconds.
     #[must_use]
-    pub fn own_ms(&self, body_bytes: usize) -> f64 {
+    pub fn transmit_ms(&self, body_bytes: usize) -> f64 {
         self.bytes_per_ms
-            .map_or(0.0, |rate| whole_bytes(body_bytes) / rate)
+            .map_or(0.0, |rate| bytes_on_wire(body_bytes) / rate)
     }
 
-    fn drain(&mut self, now: Instant) {
-        self.queued_bytes = self.left(now);
+    fn update_queue(&mut self, now: Instant) {
+        self.queued_bytes = self.remaining_bytes(now);
         self.at = Some(now);
     }
 
-    fn left(&self, now: Instant) -> f64 {
+    fn remaining_bytes(&self, now: Instant) -> f64 {
         let (Some(rate), Some(at)) = (self.bytes_per_ms, self.at) else {
             return self.queued_bytes;
         };
@@ -59,6 +58,6 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "bodies of some megabytes")]
-fn whole_bytes(body_bytes: usize) -> f64 {
-    body_bytes as f64 + HEAD_BYTES
+fn bytes_on_wire(body_bytes: usize) -> f64 {
+    body_bytes as f64 + REQUEST_OVERHEAD_BYTES
 }
--- a/crates/fleet/src/placement/load.rs
+++ b/crates/fleet/src/placement/load.rs
@@ -1,4 +1,4 @@
-//! Work in progress at back ends: our own at once, the peers' as they last told it.
+//! Outstanding work per back end: this daemon's own, and that of its peers as last reported.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,39 +6,40 @@
 
 use crate::directory::BackEnd;
 
-/// What a peer told is forgotten after this long.
-const PEER_ROW_LIFE: Duration = Duration::from_secs(3);
-/// Part of a prompt that is left on average when another comes.
-const LEFT_OF_BEGUN: f64 = 0.5;
-/// Time between two looks for what is to be forgotten.
+/// Reports of peers expire after this time.
+const PEER_REPORT_TTL: Duration = Duration::from_secs(3);
+/// Average unprocessed share of a prompt that an engine has already started.
+const REMAINING_SHARE_OF_STARTED: f64 = 0.5;
+/// Minimum interval between removals of expired reports.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Work that waits or runs at one back end.
+/// Work queued or running at one back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Outstanding {
-    /// Requests.
+    /// Number of requests.
     pub requests: f64,
-    /// Requests among them that generate: their first event has come.
+    /// Requests whose first event has arrived.
     pub generating: f64,
-    /// Requests among them that will be late and have not begun: more urgent ones get their places first.
+    /// Late requests whose first event has not arrived; requests on time get slots before them.
     pub late_waiting: f64,
-    /// Prompt tokens still to read, of requests that can be in time.
+    /// Unprocessed prompt tokens of requests that can be on time.
     pub prompt_tokens: f64,
-    /// Prompt tokens still to read, of requests that will be late: engines read them when nothing else waits.
+    /// Unprocessed prompt tokens of late requests; engines process them only when nothing else
+    /// waits.
     pub late_tokens: f64,
 }
 
-/// Whether a request can be answered in its time in target.
+/// Whether a request can still meet its latency target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// It can: it goes first.
+    /// It can; it has priority.
     InTime,
-    /// It cannot: it takes what time the others leave.
+    /// It cannot; it uses capacity left by other requests.
     Late,
 }
 
 impl Urgency {
-    /// Name for logs.
+    /// Name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -49,20 +50,20 @@
 }
 
 impl Outstanding {
-    /// Prompt tokens that are read before those of a newcomer. An engine takes the more urgent prompt next, but reads the
-    /// one that it has begun to its end.
+    /// Prompt tokens processed before those of a new request. An engine prefers the more urgent
+    /// prompt but completes one that it has started.
     #[must_use]
     pub fn tokens_ahead(&self, urgency: Urgency) -> f64 {
         match urgency {
             Urgency::InTime => {
-                let one_late = self.late_tokens / self.late_waiting.max(1.0);
-                self.prompt_tokens + one_late * LEFT_OF_BEGUN
+                let average_late_tokens = self.late_tokens / self.late_waiting.max(1.0);
+                self.prompt_tokens + average_late_tokens * REMAINING_SHARE_OF_STARTED
             }
             Urgency::Late => self.prompt_tokens + self.late_tokens,
         }
     }
 
-    /// Requests that a newcomer finds in its way to a slot.
+    /// Requests that get a slot before a new one.
     #[must_use]
     pub fn requests_ahead(&self, urgency: Urgency) -> f64 {
         match urgency {
@@ -71,7 +72,7 @@
         }
     }
 
-    fn late_no_longer_waits(&mut self, urgency: Urgency) {
+    fn end_late_wait(&mut self, urgency: Urgency) {
         if urgency == Urgency::Late {
             self.late_waiting = (self.late_waiting - 1.0).max(0.0);
         }
@@ -101,44 +102,44 @@
     }
 }
 
-/// One daemon's work at one back end.
+/// Outstanding work of one daemon at one back end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkRow {
-    /// Back end.
+    /// Identifier of the back end.
     pub id: Arc<str>,
-    /// Work.
+    /// Outstanding work.
     pub outstanding: Outstanding,
 }
 
-/// All work of one daemon, as it told it.
+/// Complete work report of one daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkReport {
-    /// Which daemon: a hash of its name and of this life of it.
+    /// Hash of the daemon's name and start, which identifies this run of it.
     pub origin: u64,
-    /// Counts its reports; one that comes late, by another way, changes nothing.
+    /// Sequence number; a report that arrives out of order is ignored.
     pub sequence: u32,
-    /// Its work.
+    /// Work per back end.
     pub rows: Vec<WorkRow>,
 }
 
-/// Work at every back end.
+/// Outstanding work at all back ends.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     own: HashMap<Arc<str>, Outstanding>,
     peers: HashMap<u64, PeerLoad>,
-    sum: HashMap<Arc<str>, Outstanding>,
-    expired: Option<Instant>,
+    peer_sum: HashMap<Arc<str>, Outstanding>,
+    last_expiry: Option<Instant>,
 }
 
 #[derive(Debug)]
 struct PeerLoad {
-    heard: Instant,
+    received_at: Instant,
     sequence: u32,
     rows: Vec<WorkRow>,
 }
 
 impl LoadTable {
-    /// A request begins at a back end.
+    /// Records the start of a request at a back end.
     pub fn begin(&mut self, id: &Arc<str>, prompt_tokens: f64, urgency: Urgency) {
         let own = self.own.entry(Arc::clone(id)).or_default();
         own.requests += 1.0;
@@ -148,7 +149,7 @@
         *own.tokens_of(urgency) += prompt_tokens;
     }
 
-    /// A request's prompt has been read.
+    /// Records that the request's prompt has been processed.
     pub fn prompt_read(&mut self, id: &str, prompt_tokens: f64, urgency: Urgency) {
         if let Some(own) = self.own.get_mut(id) {
             let tokens = own.tokens_of(urgency);
@@ -156,15 +157,15 @@
         }
     }
 
-    /// A request's first event has come.
+    /// Records the first event of a request.
     pub fn generates(&mut self, id: &str, urgency: Urgency) {
         if let Some(own) = self.own.get_mut(id) {
             own.generating += 1.0;
-            own.late_no_longer_waits(urgency);
+            own.end_late_wait(urgency);
         }
     }
 
-    /// A request ends; `generated`: its first event had come.
+    /// Records the end of a request; `generated` tells whether its first event had arrived.
     pub fn end(&mut self, id: &str, urgency: Urgency, generated: bool) {
         let Some(own) = self.own.get_mut(id) else {
             return;
@@ -173,14 +174,14 @@
         if generated {
             own.generating = (own.generating - 1.0).max(0.0);
         } else {
-            own.late_no_longer_waits(urgency);
+            own.end_late_wait(urgency);
         }
         if own.requests <= 0.0 {
             self.own.remove(id);
         }
     }
 
-    /// Takes what a daemon tells of its work. Returns whether it was news.
+    /// Stores a report of a peer. Returns `false` if it is not newer than the last one.
     pub fn receive(&mut self, report: WorkReport, now: Instant) -> bool {
         self.expire(now);
         if let Some(known) = self.peers.get_mut(&report.origin) {
@@ -188,42 +189,42 @@
                 return false;
             }
             let before = std::mem::take(&mut known.rows);
-            take_away(&mut self.sum, &before);
+            subtract_rows(&mut self.peer_sum, &before);
         }
         for row in &report.rows {
-            let sum = self.sum.entry(Arc::clone(&row.id)).or_default();
-            sum.add(row.outstanding);
+            let peer_sum = self.peer_sum.entry(Arc::clone(&row.id)).or_default();
+            peer_sum.add(row.outstanding);
         }
-        let heard = PeerLoad {
-            heard: now,
+        let peer_load = PeerLoad {
+            received_at: now,
             sequence: report.sequence,
             rows: report.rows,
         };
-        self.peers.insert(report.origin, heard);
+        self.peers.insert(report.origin, peer_load);
         true
     }
 
-    /// Forgets what was told too long ago.
+    /// Removes expired reports of peers.
     pub fn expire(&mut self, now: Instant) {
         let is_due = self
-            .expired
+            .last_expiry
             .is_none_or(|last| now.saturating_duration_since(last) >= EXPIRY_INTERVAL);
         if !is_due {
             return;
         }
-        self.expired = Some(now);
-        let sum = &mut self.sum;
+        self.last_expiry = Some(now);
+        let peer_sum = &mut self.peer_sum;
         self.peers.retain(|_origin, load| {
-            let is_fresh = now.saturating_duration_since(load.heard) < PEER_ROW_LIFE;
+            let is_fresh = now.saturating_duration_since(load.received_at) < PEER_REPORT_TTL;
             if !is_fresh {
-                take_away(sum, &load.rows);
+                subtract_rows(peer_sum, &load.rows);
             }
             is_fresh
         });
-        sum.retain(|_id, work| work.requests > 0.0 || work.tokens_ahead(Urgency::Late) > 0.0);
+        peer_sum.retain(|_id, work| work.requests > 0.0 || work.tokens_ahead(Urgency::Late) > 0.0);
     }
 
-    /// Own work, for telling peers.
+    /// This daemon's work, to be published to peers.
     #[must_use]
     pub fn own_rows(&self) -> Vec<WorkRow> {
         self.own
@@ -235,7 +236,7 @@
             .collect()
     }
 
-    /// Own requests at one back end.
+    /// This daemon's requests at one back end.
     #[must_use]
     pub fn own_requests(&self, id: &str) -> f64 {
         self.own.get(id).map_or(0.0, |own| own.requests)
@@ -247,28 +248,28 @@
         self.outstanding(id).requests
     }
 
-    /// Slots of these engines that streams of all daemons hold, in engines.
+    /// Slots held by streams of all daemons at these engines, as a number of engines.
     #[must_use]
     pub fn slots_held(&self, engines: &[Arc<BackEnd>]) -> f64 {
         let held = engines.iter().map(|engine| {
             let generating = self.outstanding(&engine.id).generating;
             generating / f64::from(engine.slots.max(1))
         });
-        held.sum()
+        held.peer_sum()
     }
 
-    /// Work of all daemons at one back end.
+    /// Outstanding work of all daemons at one back end.
     #[must_use]
     pub fn outstanding(&self, id: &str) -> Outstanding {
         let mut work = self.own.get(id).copied().unwrap_or_default();
-        work.add(self.sum.get(id).copied().unwrap_or_default());
+        work.add(self.peer_sum.get(id).copied().unwrap_or_default());
         work
     }
 }
 
-fn take_away(sum: &mut HashMap<Arc<str>, Outstanding>, rows: &[WorkRow]) {
+fn subtract_rows(peer_sum: &mut HashMap<Arc<str>, Outstanding>, rows: &[WorkRow]) {
     for row in rows {
-        if let Some(work) = sum.get_mut(&row.id) {
+        if let Some(work) = peer_sum.get_mut(&row.id) {
             work.take(row.outstanding);
         }
     }
--- a/crates/fleet/src/placement/prefixes.rs
+++ b/crates/fleet/src/placement/prefixes.rs
@@ -1,9 +1,10 @@
-//! Which prompt heads engines are believed to keep.
+//! Tracks which prompt prefixes engines are assumed to cache.
 //!
-//! Every daemon notes its own sends and hears of its peers'. What an engine reads or fetches pushes out what it used the
-//! longest ago, so a head is believed to be kept until as much has come in since its last use as the engine's memory
-//! holds. A head that nobody has seen goes to its home, which every daemon computes alike (rendezvous hashing), so that
-//! even heads that come to two daemons at once meet.
+//! Daemons track the prompts they send and share them with their peers. Engines evict the least
+//! recently used prefix, so a prefix is assumed to be cached until as many tokens have been
+//! inserted since its last use as the engine's cache holds. A new prefix goes to its preferred
+//! engine, which all daemons compute by rendezvous hashing, so that requests with the same prefix
+//! meet even if they arrive at different daemons at once.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,47 +13,49 @@
 use crate::directory::{BackEnd, owner_score};
 use crate::prompt::Prompt;
 
-/// A head that was used within this time is taken as kept.
-const BELIEVED_FOR: Duration = Duration::from_secs(60);
-/// A prompt that was sent is read within this time, or lost.
-const COMING_FOR: Duration = Duration::from_secs(4);
-/// Share of an engine's memory that is believed to keep what was read; what runs takes the rest.
+/// A prefix is assumed to be cached for at most this time after its last use.
+const CACHED_TTL: Duration = Duration::from_secs(60);
+/// A prompt that has been sent is processed within this time or lost.
+const PENDING_TTL: Duration = Duration::from_secs(4);
+/// Share of an engine's cache that is assumed to hold reusable prefixes; running requests use the
+/// rest.
 const MEMORY_SHARE: f64 = 0.8;
-/// Uses that peers have not been told of, at most.
-const MAXIMUM_UNTOLD: usize = 256;
-/// A head of fewer tokens is read anew in a few milliseconds: it is neither remembered nor told.
+/// Maximum number of uses that wait to be published.
+const MAX_UNPUBLISHED: usize = 256;
+/// Shorter prefixes are neither tracked nor published, because processing them again takes only a
+/// few milliseconds.
 pub const MIN_PREFIX_TOKENS: u32 = 500;
-/// Engines that are noted for one head before those that no longer keep it are dropped.
-const HOLDERS_TIDIED_ABOVE: usize = 64;
-/// Heads that are remembered of one engine before the forgotten ones are dropped.
-const TIDIED_ABOVE: usize = 256;
+/// Number of holders of one prefix above which outdated ones are removed.
+const HOLDER_PRUNE_THRESHOLD: usize = 64;
+/// Number of prefixes of one engine above which evicted ones are removed.
+const PREFIX_PRUNE_THRESHOLD: usize = 256;
 
-/// How far an engine is with a head.
+/// State of a prefix at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PrefixState {
-    /// A prompt with it is on its way there: whatever comes behind it finds it kept.
+    /// A prompt with the prefix has been sent; requests queued behind it will find it cached.
     Pending,
-    /// It is kept, and others can fetch it.
+    /// The prefix is cached and can be fetched by other engines.
     Cached,
 }
 
-/// One use of a head at an engine.
+/// One use of a prefix at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrefixUse {
-    /// Engine.
+    /// Identifier of the engine.
     pub engine: Arc<str>,
-    /// Head.
+    /// Hash of the prefix.
     pub prefix: u64,
-    /// Its tokens.
+    /// Tokens of the prefix.
     pub tokens: u32,
-    /// Tokens of the prompt that follow it; they take memory too.
+    /// Prompt tokens after the prefix; they occupy cache memory as well.
     pub own_tokens: u32,
-    /// How far the engine is with it.
+    /// State of the prefix at the engine.
     pub state: PrefixState,
 }
 
 impl PrefixUse {
-    /// The use that a prompt makes of an engine's cache; none where it shares no head worth remembering.
+    /// Use of an engine's cache by a prompt; `None` if the prompt has no prefix worth tracking.
     #[must_use]
     pub fn of(prompt: &Prompt, engine: &BackEnd, state: PrefixState) -> Option<Self> {
         Some(Self {
@@ -66,44 +69,44 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Cached {
+struct PrefixEntry {
     state: PrefixState,
     last_used: Instant,
-    /// What had come in until then, in tokens.
-    record_inserted_tokens: u64,
+    /// Value of the engine's `inserted_tokens` at the last use.
+    inserted_tokens: u64,
 }
 
 #[derive(Debug, Default)]
-struct Heads {
-    kept: HashMap<u64, Cached>,
-    /// All that has come into the engine's memory, in tokens.
-    record_inserted_tokens: u64,
+struct EnginePrefixes {
+    entries: HashMap<u64, PrefixEntry>,
+    /// Total tokens ever inserted into the engine's cache.
+    inserted_tokens: u64,
 }
 
-impl Heads {
-    fn holds(&self, kept: &Cached, capacity_tokens: u64, now: Instant) -> bool {
-        let since = self.record_inserted_tokens - kept.record_inserted_tokens;
-        let age = now.saturating_duration_since(kept.last_used);
-        let life = match kept.state {
-            PrefixState::Pending => COMING_FOR,
-            PrefixState::Cached => BELIEVED_FOR,
+impl EnginePrefixes {
+    fn holds(&self, entry: &PrefixEntry, capacity_tokens: u64, now: Instant) -> bool {
+        let since = self.inserted_tokens - entry.inserted_tokens;
+        let age = now.saturating_duration_since(entry.last_used);
+        let life = match entry.state {
+            PrefixState::Pending => PENDING_TTL,
+            PrefixState::Cached => CACHED_TTL,
         };
         since <= capacity_tokens && age < life
     }
 }
 
-/// Heads by engine.
+/// Assumed cache contents of all engines.
 #[derive(Debug, Default)]
 pub struct PrefixMemory {
-    by_engine: HashMap<Arc<str>, Heads>,
-    /// Engines that have kept a head, some of which may have dropped it since.
-    by_head: HashMap<u64, Vec<Arc<str>>>,
+    by_engine: HashMap<Arc<str>, EnginePrefixes>,
+    /// Engines that have cached a prefix; some may have evicted it since.
+    by_prefix: HashMap<u64, Vec<Arc<str>>>,
     capacity_tokens: u64,
     unpublished: Vec<PrefixUse>,
 }
 
 impl PrefixMemory {
-    /// Tells how many tokens an engine's memory holds.
+    /// Sets the cache size of an engine, in tokens.
     pub fn set_capacity(&mut self, tokens: u64) {
         #[expect(
             clippy::cast_precision_loss,
@@ -115,119 +118,120 @@
         self.capacity_tokens = share;
     }
 
-    /// An engine has read, or fetched, a prompt with this head, sent by this daemon.
+    /// Records that an engine has processed or fetched a prompt of this daemon.
     pub fn used(&mut self, usage: PrefixUse, now: Instant) {
         self.note(&usage, now);
-        if self.unpublished.len() < MAXIMUM_UNTOLD {
+        if self.unpublished.len() < MAX_UNPUBLISHED {
             self.unpublished.push(usage);
         }
     }
 
-    /// Own uses since the last call, for telling peers.
+    /// Uses recorded by [`Self::used`] since the last call, to be published to peers.
     pub fn take_unpublished(&mut self) -> Vec<PrefixUse> {
         std::mem::take(&mut self.unpublished)
     }
 
-    /// An engine has read a prompt with this head, sent by another daemon or seen in the engine's own words.
+    /// Records a use reported by another daemon or by the engine itself.
     pub fn note(&mut self, usage: &PrefixUse, now: Instant) {
         let capacity = self.capacity_tokens;
-        let heads = self.by_engine.entry(Arc::clone(&usage.engine)).or_default();
-        let before = heads.kept.get(&usage.prefix).copied();
-        let before = before.filter(|kept| heads.holds(kept, capacity, now));
-        let record_inserted_tokens = match (before.map(|kept| kept.state), usage.state) {
+        let engine_prefixes = self.by_engine.entry(Arc::clone(&usage.engine)).or_default();
+        let before = engine_prefixes.entries.get(&usage.prefix).copied();
+        let before = before.filter(|entry| engine_prefixes.holds(entry, capacity, now));
+        let inserted_tokens = match (before.map(|entry| entry.state), usage.state) {
             (Some(PrefixState::Cached), PrefixState::Cached) => usage.own_tokens,
             (_, PrefixState::Cached) => usage.tokens + usage.own_tokens,
             (_, PrefixState::Pending) => 0,
         };
-        let was_read = before.is_some_and(|kept| kept.state == PrefixState::Cached);
-        heads.record_inserted_tokens += u64::from(record_inserted_tokens);
-        let kept = Cached {
-            state: if was_read {
+        let was_cached = before.is_some_and(|entry| entry.state == PrefixState::Cached);
+        engine_prefixes.inserted_tokens += u64::from(inserted_tokens);
+        let entry = PrefixEntry {
+            state: if was_cached {
                 PrefixState::Cached
             } else {
                 usage.state
             },
             last_used: now,
-            record_inserted_tokens: heads.record_inserted_tokens,
+            inserted_tokens: engine_prefixes.inserted_tokens,
         };
-        heads.kept.insert(usage.prefix, kept);
-        if heads.kept.len() > TIDIED_ABOVE {
-            let record_inserted_tokens = heads.record_inserted_tokens;
-            heads
-                .kept
-                .retain(|_head, kept| record_inserted_tokens - kept.record_inserted_tokens <= capacity);
+        engine_prefixes.entries.insert(usage.prefix, entry);
+        if engine_prefixes.entries.len() > PREFIX_PRUNE_THRESHOLD {
+            let inserted_tokens = engine_prefixes.inserted_tokens;
+            engine_prefixes
+                .entries
+                .retain(|_prefix, entry| inserted_tokens - entry.inserted_tokens <= capacity);
         }
         self.note_holder(usage, now);
     }
 
     fn note_holder(&mut self, usage: &PrefixUse, now: Instant) {
-        let mut holders = self.by_head.remove(&usage.prefix).unwrap_or_default();
-        if holders.len() > HOLDERS_TIDIED_ABOVE {
+        let mut holders = self.by_prefix.remove(&usage.prefix).unwrap_or_default();
+        if holders.len() > HOLDER_PRUNE_THRESHOLD {
             holders.retain(|engine| self.state(engine, usage.prefix, now).is_some());
         }
         if !holders.contains(&usage.engine) {
             holders.push(Arc::clone(&usage.engine));
         }
-        self.by_head.insert(usage.prefix, holders);
+        self.by_prefix.insert(usage.prefix, holders);
     }
 
-    /// Engines that keep this head, or are about to.
+    /// Engines at which the prefix is cached or pending.
     #[must_use]
     pub fn holders(&self, prefix: u64, now: Instant) -> Vec<Arc<str>> {
-        let noted = self.by_head.get(&prefix).into_iter().flatten();
+        let noted = self.by_prefix.get(&prefix).into_iter().flatten();
         noted
             .filter(|engine| self.state(engine, prefix, now).is_some())
             .cloned()
             .collect()
     }
 
-    /// Prompts without a head worth remembering came into an engine's memory: so many tokens, of all daemons together.
+    /// Records that prompts without a tracked prefix inserted `tokens` into an engine's cache,
+    /// summed over all daemons.
     pub fn record_inserted_tokens(&mut self, engine: &str, tokens: u64) {
-        if let Some(heads) = self.by_engine.get_mut(engine) {
-            heads.record_inserted_tokens += tokens;
+        if let Some(engine_prefixes) = self.by_engine.get_mut(engine) {
+            engine_prefixes.inserted_tokens += tokens;
         }
     }
 
-    /// How far the engine is believed to be with this head; none where it does not keep it.
+    /// Assumed state of the prefix at the engine; `None` if it is not cached.
     #[must_use]
     pub fn state(&self, engine: &str, prefix: u64, now: Instant) -> Option<PrefixState> {
-        let heads = self.by_engine.get(engine)?;
-        let kept = heads.kept.get(&prefix)?;
-        heads
-            .holds(kept, self.capacity_tokens, now)
-            .then_some(kept.state)
+        let engine_prefixes = self.by_engine.get(engine)?;
+        let entry = engine_prefixes.entries.get(&prefix)?;
+        engine_prefixes
+            .holds(entry, self.capacity_tokens, now)
+            .then_some(entry.state)
     }
 
-    /// An engine did not keep what it was believed to keep.
+    /// Records that an engine did not have a prefix that was assumed to be cached there.
     pub fn record_miss(&mut self, engine: &str, prefix: u64) {
-        if let Some(heads) = self.by_engine.get_mut(engine) {
-            heads.kept.remove(&prefix);
+        if let Some(engine_prefixes) = self.by_engine.get_mut(engine) {
+            engine_prefixes.entries.remove(&prefix);
         }
     }
 
-    /// Forgets engines for which `keep` is false.
+    /// Removes engines for which `keep` returns false.
     pub fn keep_only(&mut self, keep: impl Fn(&str) -> bool) {
-        self.by_engine.retain(|id, _heads| keep(id));
+        self.by_engine.retain(|id, _prefixes| keep(id));
         let known = &self.by_engine;
-        self.by_head.retain(|prefix, engines| {
+        self.by_prefix.retain(|prefix, engines| {
             engines.retain(|id| {
-                let heads = known.get(id);
-                heads.is_some_and(|heads| heads.kept.contains_key(prefix))
+                let engine_prefixes = known.get(id);
+                engine_prefixes.is_some_and(|engine_prefixes| engine_prefixes.entries.contains_key(prefix))
             });
             !engines.is_empty()
         });
     }
 }
 
-/// The prompt's shared head, if it is worth remembering.
+/// Hash of the prompt's shared prefix if it is long enough to be tracked.
 #[must_use]
 pub fn tracked_prefix(prompt: &Prompt) -> Option<u64> {
     let is_long = prompt.shared_tokens() >= MIN_PREFIX_TOKENS;
-    prompt.shared_prefix().filter(|_head| is_long)
+    prompt.shared_prefix().filter(|_prefix| is_long)
 }
 
-/// The engine where prompts with this head meet: the one with the highest hash of both.
-pub(super) fn home<'a>(
+/// Preferred engine of a prefix: the one with the highest combined hash.
+pub(super) fn preferred_engine<'a>(
     engines: impl Iterator<Item = &'a Arc<BackEnd>>,
     prefix: u64,
 ) -> Option<&'a Arc<BackEnd>> {
--- a/crates/fleet/src/placement/reading.rs
+++ b/crates/fleet/src/placement/reading.rs
@@ -1,200 +1,204 @@
-//! How one prompt could be read at an engine: what it keeps, what it fetches, how long that takes.
+//! Estimates the cost of processing a prompt at an engine, including cached and fetched prefixes.
 
 use std::sync::Arc;
 
 use super::costs::Estimate;
-use super::{HOME_READ_SHARE, MS_PER_S, Placement, PromptPlan, PromptRequest, Urgency};
+use super::{PREFERRED_ENGINE_READ_SHARE, MS_PER_S, Placement, PromptPlan, PromptRequest, Urgency};
 use crate::configuration::EngineTraits;
 use crate::directory::BackEnd;
 
-/// What a fetched head costs others, as a part of the time that its reading takes: it pushes another head out of the
-/// engine's memory, which may have to be read again.
-const FETCH_BURDEN: f64 = 0.18;
-/// A head of fewer tokens is not worth a fetch.
-const LEAST_FETCHED_TOKENS: u32 = 1000;
-/// Moves between zones take this many times as long.
-pub(super) const OTHER_ZONE_MOVE_FACTOR: f64 = 2.0;
-/// Part of the target gap up to which reading may stretch the pauses of the streams at an engine.
-const GAP_IN_USE: f64 = 0.9;
-
-/// How one prompt could be read.
-pub(super) struct Reading<'a> {
+/// Cost of a fetched prefix to other requests, as a share of its prefill time: it may evict another
+/// prefix that must then be processed again.
+const FETCH_BURDEN_SHARE: f64 = 0.18;
+/// Shorter prefixes are processed rather than fetched.
+const MIN_FETCH_TOKENS: u32 = 1000;
+/// Factor by which a KV cache transfer to another zone takes longer than one within a zone.
+pub(super) const OTHER_ZONE_TRANSFER_FACTOR: f64 = 2.0;
+/// Share of the target gap from which the gaps of streams are penalized.
+const GAP_PENALTY_THRESHOLD: f64 = 0.9;
+
+/// Context for estimating the prefill of one prompt.
+pub(super) struct PrefillEstimator<'a> {
     pub(super) placement: &'a Placement,
     pub(super) request: &'a PromptRequest<'a>,
-    pub(super) keepers: &'a [Arc<BackEnd>],
-    /// Share of their time that the service's decode engines read, beyond what their streams bear.
+    pub(super) holders: &'a [Arc<BackEnd>],
+    /// Share of time that the service's decode engines spend on prefill beyond what their streams
+    /// tolerate.
     pub(super) excess_reading: f64,
-    /// Time until this daemon's link is free.
+    /// Time until this daemon's link is free, in milliseconds.
     pub(super) link_wait_ms: f64,
-    /// Prompts that come to each decode engine to be read there, in a millisecond.
-    pub(super) direct_per_ms: f64,
-    /// The same for each prefill engine.
-    pub(super) apart_per_ms: f64,
+    /// Prompts per millisecond that arrive at each decode engine for prefill.
+    pub(super) decode_arrivals_per_ms: f64,
+    /// Prompts per millisecond that arrive at each prefill engine.
+    pub(super) prefill_arrivals_per_ms: f64,
 }
 
-/// What an engine would have to do before a prompt is read.
-struct Work {
+/// Work that an engine has to do before decoding can start.
+struct ReadWork {
     tokens: f64,
-    move_ms: f64,
+    transfer_ms: f64,
     fetch_from: Option<Arc<BackEnd>>,
 }
 
-impl Reading<'_> {
-    /// Where a decode engine reads the prompt itself.
-    pub(super) fn direct(&self, back_end: &BackEnd, home: Option<&Arc<BackEnd>>) -> Estimate {
+impl PrefillEstimator<'_> {
+    /// Estimate for a decode engine that processes the prompt itself.
+    pub(super) fn estimate_at_decode(&self, back_end: &BackEnd, preferred_engine: Option<&Arc<BackEnd>>) -> Estimate {
         let placement = self.placement;
         let rate = placement.speed.decode_tokens_per_ms();
-        let work = self.work(back_end, home);
-        let own_ms = work.tokens / rate;
-        let reading_ms = placement.backlog_ms(back_end, rate, self.request.urgency) + own_ms;
+        let work = self.read_work(back_end, preferred_engine);
+        let prompt_ms = work.tokens / rate;
+        let reading_ms = placement.backlog_ms(back_end, rate, self.request.urgency) + prompt_ms;
         let late_streams = self.late_streams(back_end, reading_ms) + self.excess_reading;
         Estimate {
             time_ms: placement.slot_wait_ms(back_end, self.request.urgency)
-                + placement.speed.message_ms()
-                + self.leaving_ms(1.0)
-                + work.move_ms
+                + placement.speed.message_overhead_ms()
+                + self.send_ms(1.0)
+                + work.transfer_ms
                 + reading_ms,
             burden_ms: self.fetch_burden_ms(&work)
                 + late_streams * self.request.latency_targets.latency_ms()
-                + delay_of_others_ms(self.direct_per_ms, own_ms),
+                + delay_of_others_ms(self.decode_arrivals_per_ms, prompt_ms),
         }
     }
 
-    /// Until a prefill engine has read the prompt, and it has been moved.
-    pub(super) fn apart(&self, back_end: &BackEnd, home: Option<&Arc<BackEnd>>) -> Estimate {
+    /// Estimate for a prefill engine, up to the end of the KV cache transfer to the decode engine.
+    pub(super) fn estimate_at_prefill(&self, back_end: &BackEnd, preferred_engine: Option<&Arc<BackEnd>>) -> Estimate {
         let placement = self.placement;
         let rate = placement.speed.prefill_tokens_per_ms();
-        let work = self.work(back_end, home);
-        let own_ms = work.tokens / rate;
+        let work = self.read_work(back_end, preferred_engine);
+        let prompt_ms = work.tokens / rate;
         Estimate {
             time_ms: placement.slot_wait_ms(back_end, self.request.urgency)
-                + placement.speed.message_ms()
-                + self.leaving_ms(2.0)
-                + work.move_ms
+                + placement.speed.message_overhead_ms()
+                + self.send_ms(2.0)
+                + work.transfer_ms
                 + placement.backlog_ms(back_end, rate, self.request.urgency)
-                + own_ms
-                + move_ms(self.request.traits, self.request.prompt.input_tokens),
-            burden_ms: self.fetch_burden_ms(&work) + self.blocking_ms(back_end, own_ms),
+                + prompt_ms
+                + transfer_ms(self.request.traits, self.request.prompt.input_tokens),
+            burden_ms: self.fetch_burden_ms(&work) + self.delay_burden_ms(back_end, prompt_ms),
         }
     }
 
-    /// What reading the prompt at a prefill engine delays others. An engine reads a prompt that it has begun to its end,
-    /// whatever comes meanwhile. Prompts that can be in time avoid an engine that has late ones to read, so one more late
-    /// prompt there delays nobody: late prompts gather at few engines.
-    fn blocking_ms(&self, back_end: &BackEnd, reading_ms: f64) -> f64 {
+    /// Delay that processing the prompt at a prefill engine causes for others, in milliseconds. An
+    /// engine completes a prompt that it has started, whatever arrives meanwhile. Requests on time
+    /// avoid engines that process late prompts, so another late prompt there delays nobody; late
+    /// prompts therefore gather at few engines.
+    fn delay_burden_ms(&self, back_end: &BackEnd, reading_ms: f64) -> f64 {
         let outstanding = self.placement.load.outstanding(&back_end.id);
-        let joins_late_ones =
+        let joins_late_prompts =
             self.request.urgency == Urgency::Late && outstanding.late_waiting >= 1.0;
-        if joins_late_ones {
+        if joins_late_prompts {
             0.0
         } else {
-            delay_of_others_ms(self.apart_per_ms, reading_ms)
+            delay_of_others_ms(self.prefill_arrivals_per_ms, reading_ms)
         }
     }
 
-    /// Time until the request has left this daemon, for so many engines.
-    fn leaving_ms(&self, sends: f64) -> f64 {
-        self.link_wait_ms + sends * self.placement.link.own_ms(self.request.body_bytes)
+    /// Time until the request has been sent `sends` times, in milliseconds.
+    fn send_ms(&self, sends: f64) -> f64 {
+        self.link_wait_ms + sends * self.placement.link.transmit_ms(self.request.body_bytes)
     }
 
-    fn fetch_burden_ms(&self, work: &Work) -> f64 {
-        if work.move_ms > 0.0 {
-            FETCH_BURDEN * self.placement.head_reading_ms(self.request.prompt)
+    fn fetch_burden_ms(&self, work: &ReadWork) -> f64 {
+        if work.transfer_ms > 0.0 {
+            FETCH_BURDEN_SHARE * self.placement.prefix_reading_ms(self.request.prompt)
         } else {
             0.0
         }
     }
 
-    /// Streams at the engine whose pauses would pass their target where it reads for so long. Between two of its pieces
-    /// every stream gets on, so that what counts is the reading that falls into one pause.
+    /// Number of streams at the engine whose gap would exceed the target if it processed prompts
+    /// for `reading_ms`. Streams advance between prefill chunks, so only the prefill time within
+    /// one gap counts.
     fn late_streams(&self, back_end: &BackEnd, reading_ms: f64) -> f64 {
         let Some(target) = self.request.latency_targets.gap else {
             return 0.0;
         };
         let target_ms = target.as_secs_f64() * MS_PER_S;
-        let quiet_ms = self.placement.streams.quiet_gap_ms(&back_end.service);
-        let gap_ms = quiet_ms + reading_ms.min(target_ms);
-        let beyond = gap_ms / target_ms - GAP_IN_USE;
-        let passed = (beyond / (1.0 - GAP_IN_USE)).clamp(0.0, 1.0);
+        let baseline_ms = self.placement.streams.baseline_gap_ms(&back_end.service);
+        let gap_ms = baseline_ms + reading_ms.min(target_ms);
+        let beyond = gap_ms / target_ms - GAP_PENALTY_THRESHOLD;
+        let late_share = (beyond / (1.0 - GAP_PENALTY_THRESHOLD)).clamp(0.0, 1.0);
         let generating = self.placement.load.outstanding(&back_end.id).generating;
-        passed * generating
+        late_share * generating
     }
 
-    /// What the engine would do, by what is known of caches.
-    fn work(&self, back_end: &BackEnd, home: Option<&Arc<BackEnd>>) -> Work {
+    /// Work at this engine, given the assumed cache contents.
+    fn read_work(&self, back_end: &BackEnd, preferred_engine: Option<&Arc<BackEnd>>) -> ReadWork {
         let own = f64::from(self.request.prompt.own_tokens());
         let shared = f64::from(self.request.prompt.shared_tokens());
-        let read = |tokens| Work {
+        let read = |tokens| ReadWork {
             tokens,
-            move_ms: 0.0,
+            transfer_ms: 0.0,
             fetch_from: None,
         };
         if self.request.prompt.shared_prefix().is_none() {
             return read(f64::from(self.request.prompt.input_tokens));
         }
-        if self.keepers.iter().any(|keeper| keeper.id == back_end.id) {
+        if self.holders.iter().any(|holder| holder.id == back_end.id) {
             return read(own);
         }
         if self.is_worth_a_fetch()
-            && let Some(keeper) = self.nearest_keeper(back_end)
+            && let Some(holder) = self.nearest_holder(back_end)
         {
-            let far = if keeper.zone == back_end.zone {
+            let zone_factor = if holder.zone == back_end.zone {
                 1.0
             } else {
-                OTHER_ZONE_MOVE_FACTOR
+                OTHER_ZONE_TRANSFER_FACTOR
             };
-            let moving = move_ms(self.request.traits, self.request.prompt.shared_tokens()) * far;
-            return Work {
+            let prefix_transfer_ms = transfer_ms(self.request.traits, self.request.prompt.shared_tokens()) * zone_factor;
+            return ReadWork {
                 tokens: own,
-                move_ms: moving,
-                fetch_from: Some(Arc::clone(keeper)),
+                transfer_ms: prefix_transfer_ms,
+                fetch_from: Some(Arc::clone(holder)),
             };
         }
-        let Some(home) = home else {
+        let Some(preferred_engine) = preferred_engine else {
             return read(own + shared);
         };
-        if home.id == back_end.id {
-            return read(own + shared * HOME_READ_SHARE);
+        if preferred_engine.id == back_end.id {
+            return read(own + shared * PREFERRED_ENGINE_READ_SHARE);
         }
-        Work {
+        ReadWork {
             tokens: own + shared,
-            move_ms: 0.0,
-            fetch_from: Some(Arc::clone(home)),
+            transfer_ms: 0.0,
+            fetch_from: Some(Arc::clone(preferred_engine)),
         }
     }
 
-    /// Where the prompt's head is at home among `rivals`; none where it is fetched from a keeper anyway.
-    pub(super) fn home<'b>(&self, rivals: &'b [Arc<BackEnd>]) -> Option<&'b Arc<BackEnd>> {
-        let head = self.request.prompt.shared_prefix()?;
-        if self.is_worth_a_fetch() && !self.keepers.is_empty() {
+    /// Preferred engine for the prompt's prefix among `eligible`; `None` if the prefix is fetched
+    /// from a holder instead.
+    pub(super) fn preferred_engine<'b>(&self, eligible: &'b [Arc<BackEnd>]) -> Option<&'b Arc<BackEnd>> {
+        let prefix = self.request.prompt.shared_prefix()?;
+        if self.is_worth_a_fetch() && !self.holders.is_empty() {
             return None;
         }
-        self.placement.home(rivals, head)
+        self.placement.preferred_engine(eligible, prefix)
     }
 
     fn is_worth_a_fetch(&self) -> bool {
-        self.request.prompt.shared_tokens() >= LEAST_FETCHED_TOKENS
+        self.request.prompt.shared_tokens() >= MIN_FETCH_TOKENS
     }
 
-    fn nearest_keeper(&self, back_end: &BackEnd) -> Option<&Arc<BackEnd>> {
-        self.keepers
+    fn nearest_holder(&self, back_end: &BackEnd) -> Option<&Arc<BackEnd>> {
+        self.holders
             .iter()
-            .min_by_key(|keeper| keeper.zone != back_end.zone)
+            .min_by_key(|holder| holder.zone != back_end.zone)
     }
 
-    /// The plan with this reader.
+    /// Builds the plan for the chosen engines.
     pub(super) fn plan(
         &self,
         prefill: Option<Arc<BackEnd>>,
         decode: Arc<BackEnd>,
-        home: Option<&Arc<BackEnd>>,
+        preferred_engine: Option<&Arc<BackEnd>>,
         expected_ms: f64,
     ) -> PromptPlan {
         let reader = prefill.as_ref().unwrap_or(&decode);
-        let work = self.work(reader, home);
+        let work = self.read_work(reader, preferred_engine);
         PromptPlan {
             fetch_from: work.fetch_from,
-            fetch_ms: work.move_ms,
+            fetch_ms: work.transfer_ms,
             tokens_to_read: work.tokens,
             prefill,
             decode,
@@ -203,18 +207,19 @@
     }
 }
 
-/// What a reading delays those that come to its engine meanwhile, all together: on average each waits for half of it.
+/// Total delay of the requests that arrive while a prompt is processed; on average each waits for
+/// half of the time.
 fn delay_of_others_ms(per_ms: f64, reading_ms: f64) -> f64 {
     per_ms * reading_ms * reading_ms / 2.0
 }
 
-/// Time to move the KV cache of so many tokens between two engines of a zone.
-pub(super) fn move_ms(traits: &EngineTraits, tokens: u32) -> f64 {
-    const BITS: f64 = 8.0;
-    const KILOBITS_IN_MEGABIT: f64 = 1000.0;
+/// Time to transfer the KV cache of `tokens` tokens between two engines of a zone, in milliseconds.
+pub(super) fn transfer_ms(traits: &EngineTraits, tokens: u32) -> f64 {
+    const BITS_PER_BYTE: f64 = 8.0;
+    const KILOBITS_PER_MEGABIT: f64 = 1000.0;
     #[expect(clippy::cast_precision_loss, reason = "bytes of one token's cache")]
-    let token_bits = traits.token_bytes as f64 * BITS;
-    let bits_per_ms = traits.link_megabits * KILOBITS_IN_MEGABIT;
+    let token_bits = traits.token_bytes as f64 * BITS_PER_BYTE;
+    let bits_per_ms = traits.link_megabits * KILOBITS_PER_MEGABIT;
     if bits_per_ms <= 0.0 {
         return 0.0;
     }
--- a/crates/fleet/src/placement/work.rs
+++ b/crates/fleet/src/placement/work.rs
@@ -1,4 +1,4 @@
-//! Work that this daemon's requests bring, as a rate.
+//! Rates of work caused by the requests of this daemon and its peers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,13 +6,13 @@
 
 use crate::stages::StageWork;
 
-/// Time over which work and arrivals are averaged, in seconds.
-pub(super) const AVERAGED_S: f64 = 1.5;
-/// Work below which a service is forgotten, in engine-seconds a second.
+/// Time constant of the averages of work and arrivals, in seconds.
+pub(super) const AVERAGING_TIME_S: f64 = 1.5;
+/// Services with less work than this are removed, in engine-seconds per second.
 const NEGLIGIBLE: f64 = 1e-4;
 
-/// What a peer told is forgotten after this long.
-const REPORT_LIFE: Duration = Duration::from_secs(3);
+/// Reports of peers expire after this time.
+const REPORT_TTL: Duration = Duration::from_secs(3);
 
 #[derive(Debug)]
 struct Average {
@@ -20,14 +20,14 @@
     at: Instant,
 }
 
-/// Work by service, averaged with exponential weights.
+/// Exponentially weighted work by service.
 #[derive(Debug, Default)]
 pub struct WorkMeter {
     by_service: HashMap<Arc<str>, Average>,
 }
 
 impl WorkMeter {
-    /// Adds engine-seconds of work.
+    /// Adds work in engine-seconds.
     pub fn add(&mut self, service: &Arc<str>, work: StageWork, now: Instant) {
         let average = self
             .by_service
@@ -37,10 +37,10 @@
                 at: now,
             });
         average.decay(now);
-        average.work.add(work.times(1.0 / AVERAGED_S));
+        average.work.add(work.scaled(1.0 / AVERAGING_TIME_S));
     }
 
-    /// Work of each service in engine-seconds a second.
+    /// Work of each service, in engine-seconds per second.
     pub fn rates(&mut self, now: Instant) -> Vec<(Arc<str>, StageWork)> {
         for average in self.by_service.values_mut() {
             average.decay(now);
@@ -54,7 +54,7 @@
     }
 }
 
-/// What peers told of the work that their requests bring.
+/// Work reported by peers.
 #[derive(Debug, Default)]
 pub struct PeerWork {
     by_peer: HashMap<u64, PeerReport>,
@@ -62,32 +62,32 @@
 
 #[derive(Debug)]
 struct PeerReport {
-    heard: Instant,
+    received_at: Instant,
     rates: Vec<(Arc<str>, StageWork)>,
 }
 
 impl PeerWork {
-    /// Takes what a peer tells; `origin` is a hash that tells it from others.
+    /// Stores the report of a peer; `origin` is a hash that identifies the peer.
     pub fn receive(&mut self, origin: u64, rates: Vec<(Arc<str>, StageWork)>, now: Instant) {
-        let told = PeerReport { heard: now, rates };
-        self.by_peer.insert(origin, told);
+        let report = PeerReport { received_at: now, rates };
+        self.by_peer.insert(origin, report);
     }
 
-    /// Own work and that of all peers. Those that were not heard are taken to bring as much as the others.
-    pub fn with_own(
+    /// Sum of the work of this daemon and its peers, scaled up for daemons that have not reported.
+    pub fn fleet_rates(
         &mut self,
         own: &[(Arc<str>, StageWork)],
         daemons: usize,
         now: Instant,
     ) -> Vec<(Arc<str>, StageWork)> {
         self.by_peer
-            .retain(|_peer, told| now.saturating_duration_since(told.heard) < REPORT_LIFE);
-        let heard = self.by_peer.len() + 1;
+            .retain(|_peer, report| now.saturating_duration_since(report.received_at) < REPORT_TTL);
+        let reporting = self.by_peer.len() + 1;
         #[expect(clippy::cast_precision_loss, reason = "a few hundred daemons")]
-        let scale = daemons.max(heard) as f64 / heard as f64;
+        let scale = daemons.max(reporting) as f64 / reporting as f64;
         let mut sums: Vec<(Arc<str>, StageWork)> = Vec::new();
-        let told = self.by_peer.values().flat_map(|told| &told.rates);
-        for (service, work) in own.iter().chain(told) {
+        let report = self.by_peer.values().flat_map(|report| &report.rates);
+        for (service, work) in own.iter().chain(report) {
             let known = sums.iter_mut().find(|(known, _sum)| known == service);
             match known {
                 Some((_service, sum)) => sum.add(*work),
@@ -95,7 +95,7 @@
             }
         }
         for (_service, sum) in &mut sums {
-            *sum = sum.times(scale);
+            *sum = sum.scaled(scale);
         }
         sums
     }
@@ -103,19 +103,19 @@
 
 impl Average {
     fn decay(&mut self, now: Instant) {
-        self.work = self.work.times(kept_since(self.at, now));
+        self.work = self.work.scaled(average_decay(self.at, now));
         self.at = now;
     }
 }
 
-/// Part that is left of something that halves in each half-life.
-pub(super) fn halved_since(since: Instant, now: Instant, half_life: Duration) -> f64 {
+/// Remaining share of an amount with this half-life.
+pub(super) fn half_life_decay(since: Instant, now: Instant, half_life: Duration) -> f64 {
     let age = now.saturating_duration_since(since).as_secs_f64();
     (-age / half_life.as_secs_f64()).exp2()
 }
 
-/// Part of an average over [`AVERAGED_S`] that is left of what it was at `since`.
-pub(super) fn kept_since(since: Instant, now: Instant) -> f64 {
+/// Remaining share of an average with time constant [`AVERAGING_TIME_S`].
+pub(super) fn average_decay(since: Instant, now: Instant) -> f64 {
     let elapsed = now.saturating_duration_since(since).as_secs_f64();
-    (-elapsed / AVERAGED_S).exp()
+    (-elapsed / AVERAGING_TIME_S).exp()
 }
--- a/crates/fleet/src/prompt.rs
+++ b/crates/fleet/src/prompt.rs
@@ -1,42 +1,43 @@
-//! What a request tells of its prompt.
+//! Describes the prompt of a request.
 
 use std::sync::Arc;
 
-/// One part of a prompt; requests that begin with the same parts share their KV cache.
+/// One part of a prompt. Requests that begin with the same parts can share the KV cache of these
+/// parts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of the part.
+    /// Identifier of the part.
     pub id: Arc<str>,
-    /// Its tokens.
+    /// Tokens of the part.
     pub tokens: u32,
 }
 
-/// A prompt as the caller describes it.
+/// A prompt as described by the caller.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Tokens to read.
+    /// Number of prompt tokens.
     pub input_tokens: u32,
-    /// Most tokens that are generated.
+    /// Maximum number of generated tokens.
     pub output_tokens: u32,
-    /// Parts in order; the last is the request's or its session's own.
+    /// Parts in order; the last one belongs to the request or its session.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// Identity of the prompt's shared head, all its parts but the last: that of the last among them. Engines keep a
-    /// part for use only with all parts before it.
+    /// Hash of the shared prefix, which consists of all parts but the last. The last shared part
+    /// identifies it, because engines reuse a part only together with all parts before it.
     #[must_use]
     pub fn shared_prefix(&self) -> Option<u64> {
         self.shared_parts().last().map(|part| prefix_hash(&part.id))
     }
 
-    /// Tokens of the shared head.
+    /// Tokens of the shared prefix.
     #[must_use]
     pub fn shared_tokens(&self) -> u32 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens that belong to this request alone.
+    /// Tokens after the shared prefix.
     #[must_use]
     pub fn own_tokens(&self) -> u32 {
         self.input_tokens.saturating_sub(self.shared_tokens())
@@ -47,7 +48,7 @@
     }
 }
 
-/// Identity of the head that ends with this part.
+/// Hash of the prefix that ends with this part.
 #[must_use]
 pub fn prefix_hash(part: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(part.as_bytes())
--- a/crates/fleet/src/routes.rs
+++ b/crates/fleet/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which service of a split route.
+//! Selects the route of a request and the service within a split route.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 }
 
 impl RouteTable {
-    /// The table of `configuration`.
+    /// Builds the table of `configuration`.
     #[must_use]
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
@@ -26,7 +26,7 @@
         Self { by_host }
     }
 
-    /// The route with the longest prefix that begins `path`. A port behind `host` does not count.
+    /// Route with the longest path prefix that matches `path`. A port in `host` is ignored.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host);
@@ -37,42 +37,43 @@
     }
 }
 
-/// Deals requests of split routes to their services in the shares of their weights, evenly spread.
+/// Distributes the requests of split routes evenly over their services, in proportion to the
+/// weights.
 #[derive(Debug, Default)]
 pub struct SplitScheduler {
-    by_route: HashMap<Arc<str>, Deal>,
+    by_route: HashMap<Arc<str>, RoundRobin>,
 }
 
 #[derive(Debug)]
-struct Deal {
+struct RoundRobin {
     split: Vec<SplitPart>,
     credit: Vec<i64>,
 }
 
 impl SplitScheduler {
-    /// The service of the next request of `route`; none if no part has any weight.
+    /// Service for the next request of `route`; `None` if all weights are 0.
     pub fn next(&mut self, route: &Route) -> Option<Arc<str>> {
         if let [only] = route.split.as_slice() {
             return Some(Arc::clone(&only.service));
         }
-        let deal = self
+        let round_robin = self
             .by_route
             .entry(Arc::clone(&route.name))
-            .or_insert_with(|| Deal::new(&route.split));
-        if deal.split != route.split {
-            *deal = Deal::new(&route.split);
+            .or_insert_with(|| RoundRobin::new(&route.split));
+        if round_robin.split != route.split {
+            *round_robin = RoundRobin::new(&route.split);
         }
-        deal.next()
+        round_robin.next()
     }
 
-    /// Forgets routes that are no longer there.
+    /// Removes routes that are not in `configuration`.
     pub fn keep_only(&mut self, configuration: &Configuration) {
         self.by_route
             .retain(|name, _deal| configuration.routes.iter().any(|route| route.name == *name));
     }
 }
 
-impl Deal {
+impl RoundRobin {
     fn new(split: &[SplitPart]) -> Self {
         Self {
             split: split.to_vec(),
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Smooth weighted round robin: the part with the most credit pays the sum of all weights.
+    /// Smooth weighted round robin: the part with the most credit is chosen and pays the sum of all
+    /// weights.
     fn next(&mut self) -> Option<Arc<str>> {
         let total: i64 = self.split.iter().map(|part| i64::from(part.weight)).sum();
         if total == 0 {
--- a/crates/fleet/src/stages/work.rs
+++ b/crates/fleet/src/stages/work.rs
@@ -1,24 +1,25 @@
-//! The work of a service, by what it is of.
+//! Work of a service by kind.
 
-/// Decode engines read short prompts themselves for up to this share of their time; beyond it the pauses show in their
-/// streams, and prefill engines read the rest.
+/// Share of time that decode engines may spend on short prompts. Beyond it the gaps of their
+/// streams become noticeable, and prefill engines process the rest.
 pub const DECODE_READING_SHARE: f64 = 0.1;
-/// A decode engine reads prompts at this share of a prefill engine's pace.
-pub(crate) const DECODE_READ_PACE: f64 = 0.5;
+/// Prefill speed of a decode engine relative to a prefill engine.
+pub(crate) const DECODE_READ_SPEED_RATIO: f64 = 0.5;
 
-/// Work of one service, in engine-seconds a second. What each stage is wanted for counts there, wherever it was done: a
-/// full stage spills into the other, which must not look as if that were its own work.
+/// Work of one service, in engine-seconds per second. Work is attributed to the stage that should
+/// perform it: a full stage offloads to the other, which must not appear as demand for the other
+/// stage.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct StageWork {
-    /// Reading long prompts.
+    /// Prefill of long prompts.
     pub prefill: f64,
-    /// Reading short prompts, at the pace of prefill engines.
+    /// Prefill of short prompts, at the speed of prefill engines.
     pub short_reading: f64,
-    /// Generating.
+    /// Decoding.
     pub decode: f64,
-    /// Reading that decode engines really do.
+    /// Prefill that decode engines actually perform.
     pub decode_reading: f64,
-    /// Slots that streams hold, in engines.
+    /// Slots held by streams, as a number of engines.
     pub slots: f64,
 }
 
@@ -32,9 +33,9 @@
         self.slots += other.slots;
     }
 
-    /// This work, so many times.
+    /// Multiplies all kinds of work by `factor`.
     #[must_use]
-    pub fn times(self, factor: f64) -> Self {
+    pub fn scaled(self, factor: f64) -> Self {
         Self {
             prefill: self.prefill * factor,
             short_reading: self.short_reading * factor,
@@ -44,19 +45,19 @@
         }
     }
 
-    /// All work.
+    /// Total prefill and decode work.
     #[must_use]
     pub fn total(self) -> f64 {
         self.prefill + self.short_reading + self.decode
     }
 
-    /// Work of each stage where so many engines decode: prefill engines read the short prompts that these have no time
-    /// for.
+    /// Work of the prefill and the decode stage with this many decode engines: prefill engines
+    /// process the short prompts for which the decode engines have no time.
     pub(super) fn by_stage(self, decode_engines: usize) -> (f64, f64) {
         #[expect(clippy::cast_precision_loss, reason = "a few hundred engines")]
         let time_for_reading = DECODE_READING_SHARE * decode_engines as f64;
-        let read_there = (self.short_reading / DECODE_READ_PACE).min(time_for_reading);
-        let read_apart = self.short_reading - read_there * DECODE_READ_PACE;
-        (self.prefill + read_apart, self.decode + read_there)
+        let read_at_decode = (self.short_reading / DECODE_READ_SPEED_RATIO).min(time_for_reading);
+        let read_at_prefill = self.short_reading - read_at_decode * DECODE_READ_SPEED_RATIO;
+        (self.prefill + read_at_prefill, self.decode + read_at_decode)
     }
 }
--- a/crates/fleet/src/tenants.rs
+++ b/crates/fleet/src/tenants.rs
@@ -1,27 +1,29 @@
-//! Which tenant a caller's API key belongs to.
+//! Maps API keys to tenants.
 //!
-//! A key is resolved once, when a request is taken in; from there on the request carries its tenant. Neither logs nor
-//! error texts can hold a key: its `Debug` form is redacted and it has no `Display`.
+//! A key is resolved once, when a request is accepted; from then on the request carries its tenant.
+//! Keys must not appear in logs or error messages: the `Debug` output of a key is redacted and it
+//! has no `Display`.
 
 use std::collections::HashMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// A secret that names its tenant.
+/// A secret that identifies a tenant.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Arc<str>);
 
 impl ApiKey {
-    /// Longest key in bytes. Longer ones cannot be in any configuration, and are not kept.
+    /// Maximum key length in bytes. Longer keys cannot be in any configuration and are not stored.
     pub const MAXIMUM_BYTES: usize = 256;
 
-    /// Reads a key; none if it is empty, too long, or not printable ASCII without blanks.
+    /// Parses a key; `None` if it is empty, too long, or contains anything but printable ASCII
+    /// without spaces.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
-        let is_sound = !text.is_empty()
+        let is_valid = !text.is_empty()
             && text.len() <= Self::MAXIMUM_BYTES
             && text.bytes().all(|byte| byte.is_ascii_graphic());
-        is_sound.then(|| Self(Arc::from(text)))
+        is_valid.then(|| Self(Arc::from(text)))
     }
 }
 
@@ -31,43 +33,43 @@
     }
 }
 
-/// What a request says of who sends it.
+/// Credentials sent with a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// No key.
     #[default]
     Missing,
-    /// One key.
+    /// Exactly one key.
     Key(ApiKey),
-    /// Several keys, or something that cannot be a key.
+    /// Several keys, or a value that cannot be a key.
     Malformed,
 }
 
-/// A customer whose requests are counted and ranked together.
+/// A customer whose requests are counted and prioritized together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Tenant {
-    /// Name.
+    /// Name of the tenant.
     pub name: Arc<str>,
-    /// Rank of its requests; 0 is the most urgent. None where the configuration ranks it like all others.
+    /// Priority of its requests; 0 is the most urgent. `None` if the configuration sets none.
     pub priority: Option<u8>,
-    /// Keys that authenticate it; it may have none.
+    /// Keys that authenticate the tenant; may be empty.
     pub api_keys: Vec<ApiKey>,
 }
 
-/// A request whose credential names no tenant.
+/// The request's credential does not identify a tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the request's API key is missing or not known: send a valid key")]
 pub struct Unauthenticated;
 
-/// The tenants of one configuration, by key. A look-up costs the same for any number of keys.
+/// Tenants of one configuration, by key. Lookups take constant time.
 #[derive(Debug, Default)]
 pub struct TenantTable {
-    /// None for a key that several tenants claim: it cannot be decided whose request it would be.
+    /// `None` for a key claimed by several tenants, whose owner is ambiguous.
     by_key: HashMap<ApiKey, Option<Arc<Tenant>>>,
 }
 
 impl TenantTable {
-    /// The table of these tenants.
+    /// Builds the table of these tenants.
     #[must_use]
     pub fn new(tenants: &[Arc<Tenant>]) -> Self {
         let mut by_key: HashMap<ApiKey, Option<Arc<Tenant>>> = HashMap::new();
@@ -75,12 +77,12 @@
             for key in &tenant.api_keys {
                 by_key
                     .entry(key.clone())
-                    .and_modify(|holder| {
-                        let is_same = holder
+                    .and_modify(|owner| {
+                        let is_same = owner
                             .as_ref()
                             .is_some_and(|known| known.name == tenant.name);
                         if !is_same {
-                            *holder = None;
+                            *owner = None;
                         }
                     })
                     .or_insert_with(|| Some(Arc::clone(tenant)));
@@ -89,24 +91,24 @@
         Self { by_key }
     }
 
-    /// Keys that more than one tenant claims; they authenticate nobody.
+    /// Number of keys claimed by more than one tenant; they authenticate nobody.
     #[must_use]
     pub fn ambiguous_keys(&self) -> usize {
         self.by_key
             .values()
-            .filter(|holder| holder.is_none())
+            .filter(|owner| owner.is_none())
             .count()
     }
 
-    /// The tenant that `credential` authenticates.
+    /// Returns the tenant that `credential` authenticates.
     ///
     /// # Errors
-    /// [`Unauthenticated`], the same for whatever is wrong, so that an answer does not reveal which keys exist.
+    /// [`Unauthenticated`] in all cases, so that the answer does not reveal which keys exist.
     pub fn authenticate(&self, credential: &Credential) -> Result<&Arc<Tenant>, Unauthenticated> {
         let Credential::Key(key) = credential else {
             return Err(Unauthenticated);
         };
-        let holder = self.by_key.get(key).ok_or(Unauthenticated)?;
-        holder.as_ref().ok_or(Unauthenticated)
+        let owner = self.by_key.get(key).ok_or(Unauthenticated)?;
+        owner.as_ref().ok_or(Unauthenticated)
     }
 }
--- a/crates/fleet/src/topology.rs
+++ b/crates/fleet/src/topology.rs
@@ -1,8 +1,9 @@
-//! Which peers a daemon talks to, and which daemons follow the store for the others.
+//! Determines the peers of a daemon and the daemons that follow the store on behalf of others.
 //!
-//! A small fleet is one neighbourhood. In a larger one the daemons of a zone are: neighbours tell each other
-//! everything at once, and a few of every other zone hear it and pass it on to their own. Every call to the store
-//! costs, so only a few of each neighbourhood follow it and pass on what changes; all compute alike which.
+//! A small fleet forms one neighbourhood; in a larger one each zone does. Daemons publish
+//! everything to their neighbours, and to a few daemons of every other zone, which forward it to
+//! their own neighbours. Calls to the store are expensive, so only a few daemons of each
+//! neighbourhood follow it and forward changes. All daemons compute the same followers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,63 +12,64 @@
 
 use crate::distribution::distributors;
 
-/// A fleet of no more daemons is one neighbourhood.
+/// Largest fleet that forms a single neighbourhood.
 pub const SMALL_FLEET_MAX_DAEMONS: usize = 24;
-/// Daemons of each neighbourhood that follow the store: one may fail without a gap in the news.
+/// Number of daemons per neighbourhood that follow the store, such that one may fail without
+/// interrupting updates.
 pub const FOLLOWERS_PER_NEIGHBOURHOOD: usize = 2;
-/// Daemons of each neighbourhood that keep copies of what their neighbours counted: with half of all daemons killed at
-/// once, one count in eight has no copy left, and the killed ones' newest are lost in any case.
+/// Number of daemons per neighbourhood that store copies of their neighbours' usage counts. More
+/// copies lose fewer counts when many daemons fail at once.
 pub const USAGE_REPLICAS_PER_NEIGHBOURHOOD: usize = 3;
-/// Daemons of each other zone that are told.
+/// Daemons per other zone to which a daemon publishes.
 const PEERS_PER_OTHER_ZONE: usize = 2;
 
-/// A daemon as it announces itself.
+/// A daemon as announced to its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Name.
+    /// Name of the daemon.
     pub name: Arc<str>,
-    /// Zone; empty where it is not known.
+    /// Zone; empty if unknown.
     pub zone: Arc<str>,
-    /// Where it hears its peers.
+    /// Address that receives messages of peers.
     pub peer_address: SocketAddr,
-    /// Speed of its machine's link in megabits a second; 0 where it is not known.
+    /// Link speed of its machine in megabits per second; 0 if unknown.
     pub link_megabits: u32,
 }
 
-/// A daemon's place among its peers.
+/// Peers and duties of one daemon.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Topology {
-    /// Peers that are told everything.
+    /// Peers of the same neighbourhood, which receive everything.
     pub neighbours: Vec<SocketAddr>,
-    /// Those of them in the daemon's own zone.
+    /// Neighbours in the daemon's own zone.
     pub zone_peers: Vec<SocketAddr>,
-    /// Peers of other zones, which pass on what they hear.
+    /// Peers in other zones, which forward what they receive.
     pub remote_zone_peers: Vec<SocketAddr>,
     /// Whether this daemon follows the store for its neighbours.
     pub follows_store: bool,
-    /// Daemons of the fleet, this one among them.
+    /// Number of daemons in the fleet, including this one.
     pub daemons: usize,
-    /// Daemons of all neighbourhoods that follow the store, about.
+    /// Approximate number of daemons that follow the store, over all neighbourhoods.
     pub followers: usize,
-    /// Neighbours that keep copies of what this daemon counts.
+    /// Neighbours that store copies of this daemon's usage counts.
     pub usage_replicas: Vec<SocketAddr>,
-    /// All daemons that keep such copies, of all neighbourhoods, without this one.
+    /// All other daemons that store such copies, over all neighbourhoods.
     pub usage_replica_holders: Vec<SocketAddr>,
-    /// Daemons of the neighbourhood, this one perhaps among them, that hand on everything that the store holds; none in a small
-    /// one.
+    /// Daemons of the neighbourhood that distribute the full store contents, possibly including
+    /// this one; empty in a small neighbourhood.
     pub distributors: Vec<SocketAddr>,
 }
 
 impl Topology {
-    /// The daemon that keeps the retries of this one's zone; none in a small neighbourhood. Not one of those that read the store,
-    /// where there is another.
+    /// Daemon that owns the retry pool of this zone; `None` in a small neighbourhood. Avoids the
+    /// daemons that read the store if there is another distributor.
     #[must_use]
     pub fn retry_pool_owner(&self) -> Option<SocketAddr> {
         let other = self.distributors.get(FOLLOWERS_PER_NEIGHBOURHOOD);
         other.or(self.distributors.first()).copied()
     }
 
-    /// The place of `own` among `others`, which may contain it.
+    /// Computes the topology of `own` in a fleet of `others`, which may include `own`.
     #[must_use]
     pub fn of(own: &Member, others: &[Member]) -> Self {
         let peers: Vec<&Member> = others
@@ -77,11 +79,11 @@
         let is_small = peers.len() < SMALL_FLEET_MAX_DAEMONS;
         let is_near = |other: &Member| is_small || other.zone == own.zone;
         let near: Vec<&Member> = peers.iter().copied().filter(|peer| is_near(peer)).collect();
-        let zones = if is_small { 1 } else { zones_of(own, &peers) };
+        let zones = if is_small { 1 } else { count_zones(own, &peers) };
         Self {
             neighbours: addresses(near.iter().copied()),
             zone_peers: addresses(near.iter().copied().filter(|peer| peer.zone == own.zone)),
-            remote_zone_peers: far_of(own, &peers, is_near),
+            remote_zone_peers: remote_zone_peers_of(own, &peers, is_near),
             follows_store: is_follower(own, &near),
             daemons: peers.len() + 1,
             followers: zones * FOLLOWERS_PER_NEIGHBOURHOOD,
@@ -99,7 +101,7 @@
     members.map(|member| member.peer_address).collect()
 }
 
-fn zones_of(own: &Member, peers: &[&Member]) -> usize {
+fn count_zones(own: &Member, peers: &[&Member]) -> usize {
     let mut zones: Vec<&str> = peers.iter().map(|peer| &*peer.zone).collect();
     zones.push(&own.zone);
     zones.sort_unstable();
@@ -107,8 +109,8 @@
     zones.len()
 }
 
-/// A few daemons of each other zone. Which ones differs from daemon to daemon, so that the work is spread.
-fn far_of(own: &Member, peers: &[&Member], is_near: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
+/// A few daemons of each other zone. The selection differs between daemons, to spread the load.
+fn remote_zone_peers_of(own: &Member, peers: &[&Member], is_near: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
     let seed = xxh3_64(own.name.as_bytes());
     let mut others: Vec<(&str, u64, SocketAddr)> = peers
         .iter()
@@ -126,7 +128,7 @@
         .collect()
 }
 
-/// Every neighbourhood, the daemon's own among them.
+/// All neighbourhoods, including the daemon's own.
 fn neighbourhoods<'a>(
     own: &'a Member,
     peers: &[&'a Member],
@@ -142,21 +144,22 @@
         .collect()
 }
 
-/// Those of a neighbourhood that keep copies of what its daemons counted, without this daemon.
+/// Daemons of a neighbourhood that store copies of usage counts, without `own`.
 fn usage_replica_holders<'a>(own: &Member, daemons: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
     let mut ranked: Vec<&Member> = daemons.collect();
     ranked.sort_by_cached_key(|member| rank(member));
-    let keepers = ranked.into_iter().take(USAGE_REPLICAS_PER_NEIGHBOURHOOD);
-    addresses(keepers.filter(|keeper| keeper.name != own.name))
+    let holders = ranked.into_iter().take(USAGE_REPLICAS_PER_NEIGHBOURHOOD);
+    addresses(holders.filter(|holder| keeper.name != own.name))
 }
 
-/// Daemons with faster links come first.
+/// Sort key that puts daemons with faster links first.
 pub(crate) fn rank(member: &Member) -> (std::cmp::Reverse<u32>, u64) {
     let order = xxh3_64(member.name.as_bytes());
     (std::cmp::Reverse(member.link_megabits), order)
 }
 
-/// Those with the fastest links follow the store: they pass whole configurations on.
+/// Whether `own` follows the store. Daemons with the fastest links do, because they forward
+/// complete configurations.
 fn is_follower(own: &Member, neighbours: &[&Member]) -> bool {
     let own_rank = rank(own);
     let before = neighbours.iter().filter(|peer| rank(peer) < own_rank);
--- a/crates/fleet/tests/fairness.rs
+++ b/crates/fleet/tests/fairness.rs
@@ -125,7 +125,7 @@
         };
         assert!(!shares.yields(offer, 0.0, now));
     }
-    assert!(shares.excess("unknown", "large", now) <= 0.0);
+    assert!(shares.yielding_share("unknown", "large", now) <= 0.0);
 }
 
 #[test]
@@ -144,10 +144,10 @@
             };
             shares.yields(offer, 0.5, now);
         }
-        shares.excess("s", "large", now)
+        shares.yielding_share("s", "large", now)
     };
     let in_overload = (0..1_000).map(|_| offer(&mut shares, false)).last();
-    assert!(in_overload.is_some_and(|excess| excess > 0.9));
+    assert!(in_overload.is_some_and(|yielding_share| yielding_share > 0.9));
     let afterwards = (0..4_000).map(|_| offer(&mut shares, true)).last();
-    assert!(afterwards.is_some_and(|excess| excess <= 0.0));
+    assert!(afterwards.is_some_and(|yielding_share| yielding_share <= 0.0));
 }
--- a/crates/fleet/tests/learned_times.rs
+++ b/crates/fleet/tests/learned_times.rs
@@ -14,8 +14,8 @@
 fn the_longest_stream_counts_less_with_time() {
     let (mut streams, now) = (StreamTimes::default(), Instant::now());
     assert_eq!(streams.longest("models", now), Duration::ZERO);
-    streams.ran(&service(), Duration::from_secs(10), now);
-    streams.ran(&service(), Duration::from_secs(1), now);
+    streams.record_stream(&service(), Duration::from_secs(10), now);
+    streams.record_stream(&service(), Duration::from_secs(1), now);
     let longest = streams.longest("models", now).as_secs_f64();
     assert!((longest - 10.0).abs() < 1e-6, "{longest}");
     let later = now + Duration::from_secs(20);
@@ -24,7 +24,7 @@
         (longest - 5.0).abs() < 1e-6,
         "half after a half-life: {longest}"
     );
-    streams.ran(&service(), Duration::from_secs(6), later);
+    streams.record_stream(&service(), Duration::from_secs(6), later);
     let longest = streams.longest("models", later).as_secs_f64();
     assert!((longest - 6.0).abs() < 1e-6, "{longest}");
 }
@@ -32,13 +32,13 @@
 #[test]
 fn usual_times_are_averages_of_what_was_seen() {
     let (mut streams, now) = (StreamTimes::default(), Instant::now());
-    assert!(streams.quiet_gap_ms("models") < 1e-9, "nothing seen yet");
+    assert!(streams.baseline_gap_ms("models") < 1e-9, "nothing seen yet");
     for _ in 0..200 {
-        streams.ran(&service(), Duration::from_millis(80), now);
+        streams.record_stream(&service(), Duration::from_millis(80), now);
         streams.record_baseline_gap(&service(), Duration::from_millis(40));
     }
-    assert!((streams.usual_ms("models") - 80.0).abs() < 1.0);
-    assert!((streams.quiet_gap_ms("models") - 40.0).abs() < 1.0);
+    assert!((streams.average_ms("models") - 80.0).abs() < 1.0);
+    assert!((streams.baseline_gap_ms("models") - 40.0).abs() < 1.0);
 }
 
 #[test]
--- a/crates/fleet/tests/stages.rs
+++ b/crates/fleet/tests/stages.rs
@@ -185,20 +185,20 @@
     let mut scene = Scene::new(4, 8);
     scene.away = Duration::from_secs(3);
     let reading = work(3.0, 0.2);
-    let mut record_order = 0;
+    let mut order_count = 0;
     // The directory shows none of the changes: all are under way.
     for _ in 0..16 {
         for change in &scene.look_once(reading) {
             assert_eq!(
                 change.prefill_engines,
-                4 + record_order,
+                4 + order_count,
                 "each counts those before"
             );
             scene.planner.record_order(change, scene.now);
-            record_order += 1;
+            order_count += 1;
         }
     }
-    assert!((1..=4).contains(&record_order), "{record_order}");
+    assert!((1..=4).contains(&order_count), "{order_count}");
 }
 
 #[test]
