--- a/crates/fleet/src/placement/costs.rs
+++ b/crates/fleet/src/placement/costs.rs
@@ -103,11 +103,11 @@
         if tried.contains(&back_end.id) || self.is_closed(back_end, now) || !is_allowed {
             return Usability::Closed;
         }
-        let is_well = !self.health.is_ejected(&back_end.id)
+        let is_preferred = !self.health.is_ejected(&back_end.id)
             && !self.is_suspended(back_end, now)
             && !self.has_trial_request(&back_end.id)
             && !self.may_back_off_again(back_end, tried, now);
-        if is_well {
+        if is_preferred {
             Usability::Well
         } else {
             Usability::AtNeed
--- a/crates/fleet/src/placement/prefixes.rs
+++ b/crates/fleet/src/placement/prefixes.rs
@@ -177,8 +177,8 @@
     /// Engines at which the prefix is cached or pending.
     #[must_use]
     pub fn holders(&self, prefix: u64, now: Instant) -> Vec<Arc<str>> {
-        let noted = self.by_prefix.get(&prefix).into_iter().flatten();
-        noted
+        let known_holders = self.by_prefix.get(&prefix).into_iter().flatten();
+        known_holders
             .filter(|engine| self.state(engine, prefix, now).is_some())
             .cloned()
             .collect()
--- a/crates/fleet/src/placement/stream_times.rs
+++ b/crates/fleet/src/placement/stream_times.rs
@@ -8,7 +8,7 @@
 use super::work::half_life_decay;
 
 /// Half-life of the longest observed duration, so that it follows a changing request mix.
-const HALF_LIFE: Duration = Duration::from_secs(20);
+const LONGEST_HALF_LIFE: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone, Copy)]
 struct Longest {
@@ -18,7 +18,7 @@
 
 impl Longest {
     fn now(self, now: Instant) -> f64 {
-        self.seconds * half_life_decay(self.at, now, HALF_LIFE)
+        self.seconds * half_life_decay(self.at, now, LONGEST_HALF_LIFE)
     }
 }
 
--- a/crates/fleet/src/placement/work.rs
+++ b/crates/fleet/src/placement/work.rs
@@ -9,7 +9,7 @@
 /// Time constant of the averages of work and arrivals, in seconds.
 pub(super) const AVERAGING_TIME_S: f64 = 1.5;
 /// Services with less work than this are removed, in engine-seconds per second.
-const NEGLIGIBLE: f64 = 1e-4;
+const NEGLIGIBLE_WORK: f64 = 1e-4;
 
 /// Reports of peers expire after this time.
 const REPORT_TTL: Duration = Duration::from_secs(3);
@@ -46,7 +46,7 @@
             average.decay(now);
         }
         self.by_service
-            .retain(|_service, average| average.work.total() > NEGLIGIBLE);
+            .retain(|_service, average| average.work.total() > NEGLIGIBLE_WORK);
         self.by_service
             .iter()
             .map(|(service, average)| (Arc::clone(service), average.work))
--- a/crates/fleet/tests/candidates.rs
+++ b/crates/fleet/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! Among which back ends a request's are chosen: counted at 1,000 and at 10,000 of them.
+//! Tests the selection of candidates from fleets of up to 10,000 back ends.
 
 use std::cell::Cell;
 use std::collections::{HashMap, HashSet};
@@ -13,7 +13,7 @@
 };
 use ponddrift_fleet::revision::{Era, Revision};
 
-/// A revision of the first era.
+/// Revision `number` of the first era.
 fn at(number: u64) -> Revision {
     Revision::new(Era::FIRST, number).expect("small")
 }
@@ -60,7 +60,7 @@
     directory.candidates(&query, Instant::now())
 }
 
-fn well_if(is_well: bool) -> Usability {
+fn usability_if(is_well: bool) -> Usability {
     if is_well {
         Usability::Well
     } else {
@@ -68,13 +68,13 @@
     }
 }
 
-fn ids(candidates: &Candidates) -> HashSet<Arc<str>> {
+fn candidate_ids(candidates: &Candidates) -> HashSet<Arc<str>> {
     let engines = candidates.back_ends.iter();
     engines.map(|engine| Arc::clone(&engine.id)).collect()
 }
 
 #[test]
-fn a_choice_looks_at_as_many_of_ten_thousand_engines_as_of_a_thousand() {
+fn the_number_of_examined_engines_does_not_grow_with_the_fleet() {
     for engines in [1_000, 10_000] {
         let directory = fleet(engines, "a", 7);
         let looked_at = Cell::new(0);
@@ -96,15 +96,15 @@
 }
 
 #[test]
-fn of_a_small_fleet_every_back_end_is_a_candidate_once() {
+fn every_back_end_of_a_small_fleet_is_a_candidate_once() {
     let directory = fleet(100, "a", 7);
     let candidates = choose(&directory, Some(3), &[Arc::from("i-000007")]);
     assert_eq!(candidates.back_ends.len(), 100);
-    assert_eq!(ids(&candidates).len(), 100);
+    assert_eq!(candidate_ids(&candidates).len(), 100);
 }
 
 #[test]
-fn back_ends_of_the_own_zone_come_first() {
+fn back_ends_of_the_own_zone_are_preferred() {
     let directory = fleet(10_000, "b", 7);
     let candidates = choose(&directory, None, &[]);
     assert!(
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn back_ends_of_the_zone_that_is_asked_for_come_first() {
+fn back_ends_of_the_requested_zone_are_preferred() {
     let directory = fleet(10_000, "b", 7);
     let query = CandidateQuery {
         service: SERVICE,
@@ -131,14 +131,14 @@
 }
 
 #[test]
-fn where_none_of_the_own_zone_can_be_used_others_are_candidates() {
+fn other_zones_are_used_if_none_of_the_own_zone_is_usable() {
     let directory = fleet(10_000, "b", 7);
     let query = CandidateQuery {
         service: SERVICE,
         zone: None,
         prefix: None,
         holders: &[],
-        usability: &|back_end| well_if(&*back_end.zone != "b"),
+        usability: &|back_end| usability_if(&*back_end.zone != "b"),
     };
     let candidates = directory.candidates(&query, Instant::now());
     assert_eq!(candidates.back_ends.len(), 2 * CANDIDATES);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn where_none_can_be_used_there_are_candidates_all_the_same() {
+fn back_ends_usable_only_at_need_are_candidates_if_there_are_no_others() {
     let directory = fleet(1_000, "b", 7);
     let query = CandidateQuery {
         service: SERVICE,
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn every_engine_is_a_candidate_of_about_as_many_daemons() {
+fn engines_are_spread_evenly_over_the_candidates_of_daemons() {
     const DAEMONS: u64 = 160;
     let mut chosen_by: HashMap<Arc<str>, u32> = HashMap::new();
     for seed in 0..DAEMONS {
@@ -184,33 +184,34 @@
 
 #[test]
 fn all_daemons_find_the_same_owners_of_a_prefix() {
-    let here = fleet(3_000, "a", 1);
-    let there = fleet(3_000, "c", 2);
+    let daemon_in_a = fleet(3_000, "a", 1);
+    let daemon_in_c = fleet(3_000, "c", 2);
     for prefix in 0..50 {
-        let (here, there) = (
-            choose(&here, Some(prefix), &[]),
-            choose(&there, Some(prefix), &[]),
+        let (daemon_in_a, daemon_in_c) = (
+            choose(&daemon_in_a, Some(prefix), &[]),
+            choose(&daemon_in_c, Some(prefix), &[]),
         );
-        // Those that both find and neither prefers are owners; of two zones nothing else is common.
-        let common = ids(&here).intersection(&ids(&there)).count();
+        // Candidates of both daemons are owners of the prefix, because their other candidates are
+        // in different zones.
+        let common = candidate_ids(&daemon_in_a).intersection(&candidate_ids(&daemon_in_c)).count();
         assert!(common >= 6, "prefix {prefix}: {common}");
     }
 }
 
 #[test]
-fn holders_are_candidates_as_long_as_they_are_ready() {
+fn prefix_holders_are_candidates_while_ready() {
     let mut directory = fleet(10_000, "a", 7);
-    let far: Arc<str> = Arc::from("i-000003");
-    let holders = [Arc::clone(&far), Arc::from("i-unknown")];
-    assert!(ids(&choose(&directory, Some(3), &holders)).contains(&far));
-    directory.remove(&far, at(2), Instant::now(), false);
-    assert!(!ids(&choose(&directory, Some(3), &holders)).contains(&far));
+    let known_holder: Arc<str> = Arc::from("i-000003");
+    let holders = [Arc::clone(&known_holder), Arc::from("i-unknown")];
+    assert!(candidate_ids(&choose(&directory, Some(3), &holders)).contains(&known_holder));
+    directory.remove(&known_holder, at(2), Instant::now(), false);
+    assert!(!candidate_ids(&choose(&directory, Some(3), &holders)).contains(&known_holder));
 }
 
 #[test]
-fn candidates_stay_as_other_back_ends_come_and_go() {
+fn candidates_are_stable_while_other_back_ends_leave() {
     let mut directory = fleet(10_000, "a", 7);
-    let before = ids(&choose(&directory, None, &[]));
+    let before = candidate_ids(&choose(&directory, None, &[]));
     let now = Instant::now();
     for number in (1..10_000).step_by(7) {
         let left = engine(number);
@@ -218,11 +219,11 @@
             directory.remove(&left.id, at(2), now, false);
         }
     }
-    assert_eq!(ids(&choose(&directory, None, &[])), before);
+    assert_eq!(candidate_ids(&choose(&directory, None, &[])), before);
 }
 
 #[test]
-fn an_engine_that_drains_or_changes_its_service_is_no_candidate() {
+fn an_engine_that_drains_or_changes_its_service_is_not_a_candidate() {
     let mut directory = fleet(300, "a", 7);
     let mut draining = engine(4);
     draining.lifecycle = Lifecycle::Draining;
@@ -232,12 +233,12 @@
     directory.put(of_another, at(2), Instant::now());
     let candidates = choose(&directory, None, &[]);
     assert_eq!(candidates.ready.all(), 298);
-    assert!(!ids(&candidates).contains("i-000004"));
-    assert!(!ids(&candidates).contains("i-000008"));
+    assert!(!candidate_ids(&candidates).contains("i-000004"));
+    assert!(!candidate_ids(&candidates).contains("i-000008"));
 }
 
 #[test]
-fn an_engine_that_changes_its_stage_counts_once() {
+fn an_engine_that_changes_its_stage_is_counted_once() {
     let mut directory = fleet(300, "a", 7);
     let mut changed = engine(4);
     changed.stage = Some(Stage::Prefill);
@@ -247,7 +248,7 @@
 }
 
 #[test]
-fn while_entries_vanish_in_doubt_those_that_vanished_are_candidates() {
+fn back_ends_whose_entries_vanished_in_doubt_remain_candidates() {
     let mut directory = fleet(1_000, "a", 7);
     let now = Instant::now();
     for number in 0..900 {
--- a/crates/fleet/tests/capacity.rs
+++ b/crates/fleet/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! How many engines there are, of which kind, where.
+//! Tests the capacity planner: number, contract and zone of engines.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -47,8 +47,8 @@
     counts.map(|(_key, count)| *count).sum()
 }
 
-/// What is left when the spot engines of the zone with most of them are gone.
-fn left(plan: &CapacityPlan) -> u32 {
+/// Engines left after the loss of the zone with the most spot engines.
+fn engines_after_zone_loss(plan: &CapacityPlan) -> u32 {
     let spot = plan
         .desired
         .iter()
@@ -57,7 +57,7 @@
     total(plan, Contract::OnDemand) + total(plan, Contract::Spot) - most
 }
 
-fn planned(
+fn plan_for(
     work: Option<StageWork>,
     present: &EngineCounts,
     autoscaling: &Autoscaling,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn nothing_is_planned_before_anything_was_seen() {
+fn there_is_no_plan_before_the_first_observation() {
     let autoscaling = autoscaling(&["a", "b"], Some(0.2));
     let mut planner = CapacityPlanner::default();
     assert_eq!(
@@ -80,44 +80,44 @@
 }
 
 #[test]
-fn cheap_spot_engines_carry_the_load_without_those_of_any_zone() {
+fn cheap_spot_engines_carry_the_load_after_the_loss_of_a_zone() {
     let autoscaling = autoscaling(&["a", "b", "c", "d"], Some(0.22));
     let present = engines(&[("a", Contract::OnDemand, 10), ("b", Contract::OnDemand, 10)]);
-    let plan = planned(reading(20.0), &present, &autoscaling);
+    let plan = plan_for(reading(20.0), &present, &autoscaling);
     assert!(
         (plan.needed - 40.0).abs() < 1e-9,
-        "twenty engines, half busy"
+        "20 engines of work at a utilization of 0.5"
     );
     assert_eq!(
         total(&plan, Contract::OnDemand),
         4,
-        "the fewest of each zone"
+        "the minimum of each zone"
     );
     assert_eq!(total(&plan, Contract::Spot), 48);
-    assert!(left(&plan) >= 40);
+    assert!(engines_after_zone_loss(&plan) >= 40);
 }
 
 #[test]
-fn spot_engines_that_cost_more_with_a_zone_to_spare_are_not_taken() {
-    let dear = autoscaling(&["a", "b"], Some(0.6));
+fn spot_engines_are_not_used_if_spare_capacity_makes_them_dearer() {
+    let expensive = autoscaling(&["a", "b"], Some(0.6));
     let present = engines(&[("a", Contract::OnDemand, 10), ("b", Contract::OnDemand, 10)]);
-    let plan = planned(reading(10.0), &present, &dear);
-    assert_eq!(total(&plan, Contract::Spot), 0, "twice as many at 0.6 each");
+    let plan = plan_for(reading(10.0), &present, &expensive);
+    assert_eq!(total(&plan, Contract::Spot), 0, "twice as many engines at a price of 0.6");
     assert_eq!(total(&plan, Contract::OnDemand), 20);
     let alone = autoscaling(&["a"], Some(0.1));
-    let plan = planned(reading(10.0), &present, &alone);
-    assert_eq!(total(&plan, Contract::Spot), 0, "all could go at once");
+    let plan = plan_for(reading(10.0), &present, &alone);
+    assert_eq!(total(&plan, Contract::Spot), 0, "all spot engines could be lost at once");
     let none = autoscaling(&["a", "b"], None);
-    let plan = planned(reading(10.0), &present, &none);
+    let plan = plan_for(reading(10.0), &present, &none);
     assert_eq!(
         plan.desired.len(),
         2,
-        "no order for a kind that there is not"
+        "no orders for spot engines that are not offered"
     );
 }
 
 #[test]
-fn the_share_that_is_to_stay_on_demand_stays() {
+fn the_configured_on_demand_share_is_kept() {
     let autoscaling = autoscaling(&["a", "b", "c", "d"], Some(0.22));
     let settings = CapacitySettings {
         on_demand_share: 0.5,
@@ -136,42 +136,42 @@
         .plan(&present, &autoscaling, settings)
         .expect("a plan");
     assert_eq!(total(&plan, Contract::OnDemand), 20);
-    assert!(left(&plan) >= 40);
+    assert!(engines_after_zone_loss(&plan) >= 40);
 }
 
 #[test]
-fn a_fleet_of_unknown_load_gets_room_for_peaks_and_a_new_leader_asks_no_more() {
+fn unknown_load_adds_peak_headroom_only_once() {
     let zones = ["a", "b", "c", "d"];
     let autoscaling = autoscaling(&zones, Some(0.22));
     let initial: Vec<_> = zones
         .iter()
         .map(|zone| (*zone, Contract::OnDemand, 10))
         .collect();
-    let first = planned(None, &engines(&initial), &autoscaling);
-    assert!(left(&first) >= 60, "{first:?}");
-    let again = planned(None, &first.desired, &autoscaling);
+    let first = plan_for(None, &engines(&initial), &autoscaling);
+    assert!(engines_after_zone_loss(&first) >= 60, "{first:?}");
+    let again = plan_for(None, &first.desired, &autoscaling);
     assert!(again.needed <= first.left_after_loss + 1e-9);
     assert_eq!(again.desired, first.desired);
 }
 
-/// It knows a part of the load yet.
+/// A restarted daemon knows only part of the load and must not release engines that carry the rest.
 #[test]
-fn a_daemon_that_has_just_started_gives_nothing_back_that_was_planned_before() {
+fn a_restarted_daemon_releases_no_planned_engines() {
     let zones = ["a", "b", "c", "d"];
     let autoscaling = autoscaling(&zones, Some(0.22));
     let initial: Vec<_> = zones
         .iter()
         .map(|zone| (*zone, Contract::OnDemand, 10))
         .collect();
-    let fleet = planned(None, &engines(&initial), &autoscaling).desired;
-    let after_restart = planned(reading(0.5), &fleet, &autoscaling);
+    let fleet = plan_for(None, &engines(&initial), &autoscaling).desired;
+    let after_restart = plan_for(reading(0.5), &fleet, &autoscaling);
     assert_eq!(after_restart.desired, fleet);
-    let untouched = planned(reading(0.5), &engines(&initial), &autoscaling);
-    assert!(left(&untouched) >= 40, "{untouched:?}");
+    let untouched = plan_for(reading(0.5), &engines(&initial), &autoscaling);
+    assert!(engines_after_zone_loss(&untouched) >= 40, "{untouched:?}");
 }
 
 #[test]
-fn more_is_wanted_at_once_and_less_only_after_long() {
+fn capacity_is_raised_at_once_and_lowered_after_a_delay() {
     let zones = ["a", "b", "c", "d"];
     let autoscaling = autoscaling(&zones, Some(0.22));
     let present = engines(&[("a", Contract::OnDemand, 4)]);
@@ -188,23 +188,23 @@
     assert!((at(0, 10.0) - 20.0).abs() < 1e-9);
     assert!((at(1, 30.0) - 60.0).abs() < 1e-9);
     assert!((at(2, 3.0) - 60.0).abs() < 1e-9);
-    assert!((at(59, 3.0) - 60.0).abs() < 1e-9, "the peak may be back");
+    assert!((at(59, 3.0) - 60.0).abs() < 1e-9, "the peak is within the window");
     assert!(
         (at(70, 28.0) - 60.0).abs() < 1e-9,
-        "too little to change anything"
+        "too small a reduction"
     );
     assert!((at(140, 3.0) - 6.0).abs() < 1e-9);
 }
 
 #[test]
-fn held_slots_count_where_they_need_more_than_the_work() {
+fn held_slots_can_determine_the_needed_engines() {
     let autoscaling = autoscaling(&["a", "b"], None);
     let work = StageWork {
         decode: 1.0,
         slots: 12.0,
         ..StageWork::default()
     };
-    let plan = planned(
+    let plan = plan_for(
         Some(work),
         &engines(&[("a", Contract::OnDemand, 4)]),
         &autoscaling,
@@ -212,9 +212,9 @@
     assert!(plan.needed > 19.0, "{plan:?}");
 }
 
-/// On the way, no zone holds too many, and what is left carries the load.
+/// No step may exceed a zone's maximum or leave too few engines for the load.
 #[test]
-fn on_demand_engines_are_replaced_in_steps_that_fit_and_leave_enough() {
+fn engines_are_replaced_in_steps_within_the_zone_maximum() {
     let zones = ["a", "b", "c", "d"];
     let autoscaling = autoscaling(&zones, Some(0.22));
     let initial: Vec<_> = zones
@@ -222,16 +222,16 @@
         .map(|zone| (*zone, Contract::OnDemand, 18))
         .collect();
     let mut present = engines(&initial);
-    let plan = planned(None, &present, &autoscaling);
+    let plan = plan_for(None, &present, &autoscaling);
     let mut steps = 0;
     while present != plan.desired {
         let step = next_step(&plan, &present, &autoscaling);
-        assert_ne!(step, present, "it goes on: {present:?}");
+        assert_ne!(step, present, "no progress from {present:?}");
         for zone in zones {
             let of = |kind| step[&(Arc::from(zone), kind)];
             assert!(of(Contract::OnDemand) + of(Contract::Spot) <= autoscaling.maximum);
         }
-        assert!(step.values().sum::<u32>() >= 72, "no fewer than there were");
+        assert!(step.values().sum::<u32>() >= 72, "fewer engines than initially");
         present = step;
         steps += 1;
     }
@@ -239,20 +239,20 @@
 }
 
 #[test]
-fn nothing_is_given_back_before_what_takes_its_place_serves() {
+fn engines_are_released_only_after_their_replacements_serve() {
     let autoscaling = autoscaling(&["a", "b", "c", "d"], Some(0.22));
     let present = engines(&[("a", Contract::OnDemand, 14)]);
-    let plan = planned(reading(10.0), &present, &autoscaling);
+    let plan = plan_for(reading(10.0), &present, &autoscaling);
     let step = next_step(&plan, &present, &autoscaling);
     assert_eq!(
         step[&(Arc::from("a"), Contract::OnDemand)],
         14,
-        "13.3 carry it"
+        "at least 13.3 engines carry the load"
     );
 }
 
 #[test]
-fn whatever_the_load_and_prices_the_bounds_hold_and_a_zone_may_go() {
+fn plans_stay_within_bounds_and_survive_the_loss_of_a_zone() {
     type Case = (u16, u8, u8, u8, u8);
     bolero::check!()
         .with_type::<Case>()
@@ -288,7 +288,7 @@
                 full &= both == maximum;
             }
             assert!(
-                full || f64::from(left(&plan)) + 1e-9 >= plan.needed,
+                full || f64::from(engines_after_zone_loss(&plan)) + 1e-9 >= plan.needed,
                 "{plan:?}"
             );
         });
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Directory, health, budget and events.
+//! Tests the directory, back-end health, the retry budget and the event splitter.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use ponddrift_fleet::health::{FIRST_EJECTION, Health, LONGEST_EJECTION, Outcome};
 use ponddrift_fleet::revision::{Era, Revision};
 
-/// A revision of the first era.
+/// Revision `number` of the first era.
 fn at(number: u64) -> Revision {
     Revision::new(Era::FIRST, number).expect("small")
 }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn older_news_of_a_back_end_changes_nothing() {
+fn outdated_entries_of_a_back_end_are_ignored() {
     let now = Instant::now();
     let mut directory = Directory::default();
     assert_eq!(
@@ -59,28 +59,28 @@
     assert_eq!(
         directory.put(back_end("a", Lifecycle::Ready), at(5), now),
         Taken::Stale,
-        "a tombstone stays"
+        "the tombstone remains"
     );
 }
 
 #[test]
-fn entries_that_vanish_in_doubt_serve_on_for_a_while_if_they_are_the_greater_part() {
+fn back_ends_are_kept_for_a_while_if_most_entries_vanish_in_doubt() {
     let now = Instant::now();
     let mut directory = Directory::default();
     for (id, revision) in [("a", 1), ("b", 2), ("c", 3)] {
         directory.put(back_end(id, Lifecycle::Ready), at(revision), Instant::now());
     }
     directory.remove("a", at(4), now, true);
-    assert_eq!(ready_ids(&directory, now), ["b", "c"], "one alone has left");
+    assert_eq!(ready_ids(&directory, now), ["b", "c"], "a single back end has left");
     directory.remove("b", at(5), now, true);
     directory.remove("c", at(6), now, true);
     assert_eq!(ready_ids(&directory, now).len(), 3);
     assert!(ready_ids(&directory, now + DOUBT_GRACE).is_empty());
 }
 
-/// The platform promises that whoever lives is back about two seconds after the store.
+/// The platform guarantees that running back ends reappear about two seconds after the store.
 #[test]
-fn an_entry_that_is_still_missing_three_seconds_after_the_stores_return_is_gone() {
+fn an_entry_still_missing_after_the_grace_period_is_gone() {
     let now = Instant::now();
     let mut directory = Directory::default();
     for (id, revision) in [("a", 1), ("b", 2)] {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_slow_start_is_over_when_its_own_figure_says_so() {
+fn a_slow_start_ends_at_its_announced_time() {
     let now = Instant::now();
     let seconds = Duration::from_secs;
     let begun = ColdStart::seen(seconds(8), None, now);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn entries_that_vanish_while_the_store_is_well_are_gone() {
+fn entries_that_vanish_from_a_healthy_store_are_removed() {
     let now = Instant::now();
     let mut directory = Directory::default();
     directory.put(back_end("a", Lifecycle::Ready), at(1), Instant::now());
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn one_failed_connection_ejects_and_pauses_grow() {
+fn one_failed_connection_ejects_and_ejections_grow() {
     let id: Arc<str> = Arc::from("a");
     let mut now = Instant::now();
     let mut health = Health::default();
     let first = health.record(&id, Outcome::Unreachable, now);
     assert_eq!(first, Some(FIRST_EJECTION));
     assert!(health.is_ejected(&id));
-    assert_eq!(health.record(&id, Outcome::Unreachable, now), None, "once");
+    assert_eq!(health.record(&id, Outcome::Unreachable, now), None, "already ejected");
     let mut last = FIRST_EJECTION;
     for _ in 0..8 {
         now += last;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn answers_that_tell_of_failures_cost_but_never_eject() {
+fn error_answers_raise_the_cost_but_never_eject() {
     let id: Arc<str> = Arc::from("a");
     let mut health = Health::default();
     for _ in 0..50 {
@@ -156,18 +156,18 @@
 }
 
 #[test]
-fn a_new_life_has_nothing_saved() {
+fn a_new_budget_has_nothing_saved() {
     let service = Arc::from("s");
     let mut budget = budget(5);
     assert!(!budget.take(&service));
 }
 
 #[test]
-fn repeats_of_all_daemons_stay_within_ratio_and_slack() {
+fn retries_of_all_daemons_stay_within_ratio_and_slack() {
     const DAEMONS: usize = 7;
     const REQUESTS: usize = 200;
     let service = Arc::from("s");
-    let mut repeats = 0;
+    let mut retries = 0;
     for _ in 0..DAEMONS {
         let mut budget = budget(DAEMONS);
         for _ in 0..1_000 {
@@ -176,28 +176,28 @@
         for _ in 0..REQUESTS {
             budget.earn(&service);
             while budget.take(&service) {
-                repeats += 1;
+                retries += 1;
             }
         }
     }
     let requests = DAEMONS * REQUESTS;
-    assert!(repeats <= requests / 5 + 50, "{repeats}");
+    assert!(retries <= requests / 5 + 50, "{retries}");
 }
 
 #[test]
-fn events_are_whole_whatever_pieces_they_come_in() {
+fn events_are_split_correctly_for_any_chunk_size() {
     let text = b"id: 4\nweights: 2\ndata: x\n\nid:5\r\ndata: y\r\n\r\ndata: z\n\nid: 6\nda";
     for size in 1..text.len() {
         let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
-        for piece in text.chunks(size) {
-            splitter.push(piece);
-            while let Some(event) = splitter.next_event().expect("short") {
+        for chunk in text.chunks(size) {
+            splitter.push(chunk);
+            while let Some(event) = splitter.next_event().expect("a short event") {
                 events.push(event);
             }
         }
         let ids: Vec<Option<u64>> = events.iter().map(|event| event.id).collect();
-        assert_eq!(ids, [Some(4), Some(5), None], "pieces of {size}");
+        assert_eq!(ids, [Some(4), Some(5), None], "chunks of {size} bytes");
         let bytes: Vec<u8> = events
             .iter()
             .flat_map(|event| event.bytes.to_vec())
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn an_oversized_event_is_rejected() {
     let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'x'; MAXIMUM_EVENT_BYTES + 1]);
     assert_eq!(splitter.next_event(), Err(EventError::TooLong));
--- a/crates/fleet/tests/fairness.rs
+++ b/crates/fleet/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! Fair shares of tenants in an overload.
+//! Tests fair sharing between tenants during overload.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,29 +11,29 @@
 const STEP: Duration = Duration::from_millis(10);
 const WORK: f64 = 100.0;
 
-/// What became of tenants' requests: asked, and served in time.
-type Ends = HashMap<Arc<str>, (u32, u32)>;
+/// Number of offered requests and of requests served on time, by tenant.
+type Outcomes = HashMap<Arc<str>, (u32, u32)>;
 
-/// A request that waits.
+/// A queued request.
 struct Waiting {
     yields: bool,
     since: u32,
     tenant: Arc<str>,
 }
 
-/// Steps within which a request is in time.
-const TARGET_STEPS: u32 = 30;
+/// Steps within which a request is on time.
+const DEADLINE_STEPS: u32 = 30;
 
-/// Plays `rates` (requests of each tenant in a hundred steps) against engines that end `capacity` requests in a hundred
-/// steps, those that do not yield first.
-fn play(rates: &[(&str, u32)], capacity: u32, steps: u32) -> Ends {
+/// Simulates tenants that send `rates` requests per hundred steps to engines that serve `capacity`
+/// requests per hundred steps, those that do not yield first.
+fn simulate(rates: &[(&str, u32)], capacity: u32, steps: u32) -> Outcomes {
     let service: Arc<str> = Arc::from("s");
     let mut shares = FairShares::default();
     let mut random = Pcg64Mcg::seed_from_u64(7);
-    let mut ends = Ends::new();
+    let mut outcomes = Outcomes::new();
     let mut now = Instant::now();
     let mut queue: VecDeque<Waiting> = VecDeque::new();
-    let mut room = 0.0;
+    let mut capacity_left = 0.0;
     for step in 0..steps {
         now += STEP;
         for (name, rate) in rates {
@@ -43,7 +43,7 @@
             let tenant: Arc<str> = Arc::from(*name);
             let before = queue.iter().filter(|waiting| !waiting.yields).count();
             let before = u32::try_from(before).expect("few");
-            let fits = before * 100 < TARGET_STEPS * capacity;
+            let fits = before * 100 < DEADLINE_STEPS * capacity;
             let offer = OfferedRequest {
                 service: &service,
                 tenant: &tenant,
@@ -51,66 +51,66 @@
                 can_be_in_time: fits,
             };
             let yields = shares.yields(offer, random.random_range(0.0..1.0), now) || !fits;
-            ends.entry(Arc::clone(&tenant)).or_default().0 += 1;
+            outcomes.entry(Arc::clone(&tenant)).or_default().0 += 1;
             queue.push_back(Waiting {
                 yields,
                 since: step,
                 tenant,
             });
         }
-        queue.retain(|waiting| step - waiting.since < TARGET_STEPS);
-        room = f64::min(room + f64::from(capacity) / 100.0, 3.0);
-        while room >= 1.0 && !queue.is_empty() {
+        queue.retain(|waiting| step - waiting.since < DEADLINE_STEPS);
+        capacity_left = f64::min(capacity_left + f64::from(capacity) / 100.0, 3.0);
+        while capacity_left >= 1.0 && !queue.is_empty() {
             let first = queue
                 .iter()
                 .position(|waiting| !waiting.yields)
                 .unwrap_or(0);
-            let served = queue.remove(first).expect("there");
-            ends.entry(served.tenant).or_default().1 += 1;
-            room -= 1.0;
+            let served = queue.remove(first).expect("a queued request");
+            outcomes.entry(served.tenant).or_default().1 += 1;
+            capacity_left -= 1.0;
         }
     }
-    ends
+    outcomes
 }
 
-fn share(ends: &Ends, tenant: &str) -> f64 {
-    let (asked, served) = ends[tenant];
-    f64::from(served) / f64::from(asked)
+fn on_time_share(outcomes: &Outcomes, tenant: &str) -> f64 {
+    let (offered, served) = outcomes[tenant];
+    f64::from(served) / f64::from(offered)
 }
 
-fn share_of_all(ends: &Ends) -> f64 {
-    let asked: u32 = ends.values().map(|end| end.0).sum();
-    let served: u32 = ends.values().map(|end| end.1).sum();
-    f64::from(served) / f64::from(asked)
+fn total_on_time_share(outcomes: &Outcomes) -> f64 {
+    let offered: u32 = outcomes.values().map(|outcome| outcome.0).sum();
+    let served: u32 = outcomes.values().map(|outcome| outcome.1).sum();
+    f64::from(served) / f64::from(offered)
 }
 
 #[test]
-fn a_tenant_at_ten_times_its_share_takes_little_from_the_others() {
+fn a_tenant_far_above_its_share_barely_affects_the_others() {
     let rates = [("hog", 100), ("a", 10), ("b", 10), ("c", 10)];
-    let ends = play(&rates, 60, 20_000);
+    let outcomes = simulate(&rates, 60, 20_000);
     for tenant in ["a", "b", "c"] {
-        assert!(share(&ends, tenant) > 0.75, "{tenant}: {ends:?}");
+        assert!(on_time_share(&outcomes, tenant) > 0.75, "{tenant}: {outcomes:?}");
     }
-    assert!(share(&ends, "hog") > share_of_all(&ends) / 4.0, "{ends:?}");
+    assert!(on_time_share(&outcomes, "hog") > total_on_time_share(&outcomes) / 4.0, "{outcomes:?}");
 }
 
 #[test]
-fn of_74_skewed_tenants_none_is_served_less_than_a_quarter_as_often_as_all() {
+fn no_tenant_of_a_skewed_load_gets_less_than_a_quarter_of_the_average() {
     let names: Vec<String> = (0..74).map(|number| format!("t{number}")).collect();
     let rates: Vec<(&str, u32)> = names
         .iter()
         .enumerate()
         .map(|(number, name)| (name.as_str(), if number < 4 { 25 } else { 2 }))
         .collect();
-    let ends = play(&rates, 120, 20_000);
-    let all = share_of_all(&ends);
+    let outcomes = simulate(&rates, 120, 20_000);
+    let all = total_on_time_share(&outcomes);
     for name in &names {
-        assert!(share(&ends, name) >= all / 4.0, "{name}: {ends:?}");
+        assert!(on_time_share(&outcomes, name) >= all / 4.0, "{name}: {outcomes:?}");
     }
 }
 
 #[test]
-fn nobody_yields_while_all_can_be_served() {
+fn no_request_yields_without_an_overload() {
     let service: Arc<str> = Arc::from("s");
     let mut shares = FairShares::default();
     let mut now = Instant::now();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_end_of_an_overload_ends_the_yielding() {
+fn yielding_ends_with_the_overload() {
     let service: Arc<str> = Arc::from("s");
     let mut shares = FairShares::default();
     let mut now = Instant::now();
--- a/crates/fleet/tests/learned_times.rs
+++ b/crates/fleet/tests/learned_times.rs
@@ -1,4 +1,4 @@
-//! What is learned of streams, of expected times and of arrivals.
+//! Tests the averages of stream times, confidence and arrival rates.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn the_longest_stream_counts_less_with_time() {
+fn the_longest_stream_duration_decays() {
     let (mut streams, now) = (StreamTimes::default(), Instant::now());
     assert_eq!(streams.longest("models", now), Duration::ZERO);
     streams.record_stream(&service(), Duration::from_secs(10), now);
@@ -22,7 +22,7 @@
     let longest = streams.longest("models", later).as_secs_f64();
     assert!(
         (longest - 5.0).abs() < 1e-6,
-        "half after a half-life: {longest}"
+        "halved after one half-life: {longest}"
     );
     streams.record_stream(&service(), Duration::from_secs(6), later);
     let longest = streams.longest("models", later).as_secs_f64();
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn usual_times_are_averages_of_what_was_seen() {
+fn stream_times_are_averaged() {
     let (mut streams, now) = (StreamTimes::default(), Instant::now());
-    assert!(streams.baseline_gap_ms("models") < 1e-9, "nothing seen yet");
+    assert!(streams.baseline_gap_ms("models") < 1e-9, "no samples yet");
     for _ in 0..200 {
         streams.record_stream(&service(), Duration::from_millis(80), now);
         streams.record_baseline_gap(&service(), Duration::from_millis(40));
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn confidence_falls_with_late_ones_and_settles_where_one_in_twelve_is_late() {
+fn confidence_is_stable_at_one_late_request_per_twelve() {
     let mut confidence = Confidence::default();
     assert!((confidence.share("models") - 1.0).abs() < 1e-9);
     for _ in 0..100 {
         confidence.record_deadline_outcome(&service(), 1.0, false);
     }
     let lowest = confidence.share("models");
-    assert!((0.4..0.6).contains(&lowest), "bounded: {lowest}");
+    assert!((0.4..0.6).contains(&lowest), "lower bound: {lowest}");
     for number in 0..1_300 {
         confidence.record_deadline_outcome(&service(), 2.0, number % 13 != 0);
     }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn requests_far_from_the_end_of_the_share_tell_nothing_when_in_time() {
+fn only_estimates_near_the_limit_raise_confidence() {
     let mut confidence = Confidence::default();
     for _ in 0..1_000 {
         confidence.record_deadline_outcome(&service(), 0.1, true);
@@ -68,11 +68,11 @@
         confidence.record_deadline_outcome(&service(), 5.0, true);
     }
     let highest = confidence.share("models");
-    assert!((highest - 2.0).abs() < 1e-9, "bounded: {highest}");
+    assert!((highest - 2.0).abs() < 1e-9, "upper bound: {highest}");
 }
 
 #[test]
-fn arrivals_are_a_rate_by_stage() {
+fn arrival_rates_are_separate_by_stage() {
     let (mut arrivals, mut now) = (Arrivals::default(), Instant::now());
     for number in 0..2_000 {
         let stage = if number % 4 == 0 {
@@ -83,9 +83,9 @@
         arrivals.add(&service(), stage, now);
         now += Duration::from_millis(10);
     }
-    let apart = arrivals.per_ms("models", Stage::Prefill);
-    let direct = arrivals.per_ms("models", Stage::Decode);
-    assert!((0.07..0.08).contains(&apart), "{apart}");
-    assert!((0.02..0.03).contains(&direct), "{direct}");
+    let prefill_rate = arrivals.per_ms("models", Stage::Prefill);
+    let decode_rate = arrivals.per_ms("models", Stage::Decode);
+    assert!((0.07..0.08).contains(&prefill_rate), "{prefill_rate}");
+    assert!((0.02..0.03).contains(&decode_rate), "{decode_rate}");
     assert!(arrivals.per_ms("another", Stage::Decode) < 1e-9);
 }
--- a/crates/fleet/tests/load.rs
+++ b/crates/fleet/tests/load.rs
@@ -1,4 +1,4 @@
-//! Work in progress at engines, by how urgent it is.
+//! Tests the outstanding work at engines by urgency.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::engines;
 
 #[test]
-fn what_will_be_late_is_ahead_of_newcomers_with_half_of_one_prompt_only() {
+fn late_prompts_delay_new_requests_by_half_a_prompt_only() {
     let mut load = LoadTable::default();
     let id = Arc::clone(&engines(1, 0)[0].id);
     load.begin(&id, 1_000.0, Urgency::InTime);
@@ -18,16 +18,16 @@
     let ahead = outstanding.tokens_ahead(Urgency::InTime);
     assert!(
         (ahead - 3_000.0).abs() < 1e-9,
-        "1,000 and half of 4,000: {ahead}"
+        "1,000 tokens and half of the average late prompt of 4,000: {ahead}"
     );
-    let behind = outstanding.tokens_ahead(Urgency::Late);
-    assert!((behind - 9_000.0).abs() < 1e-9, "{behind}");
+    let ahead_of_late = outstanding.tokens_ahead(Urgency::Late);
+    assert!((ahead_of_late - 9_000.0).abs() < 1e-9, "{ahead_of_late}");
     assert!((outstanding.requests_ahead(Urgency::InTime) - 1.0).abs() < 1e-9);
     assert!((outstanding.requests_ahead(Urgency::Late) - 3.0).abs() < 1e-9);
 }
 
 #[test]
-fn a_late_request_that_generates_holds_its_slot_against_all() {
+fn a_late_request_that_generates_keeps_its_slot() {
     let mut load = LoadTable::default();
     let engines = engines(0, 1);
     let id = Arc::clone(&engines[0].id);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn whatever_way_requests_end_nothing_is_left_of_them() {
+fn finished_requests_leave_no_outstanding_work() {
     for (urgency, generates) in [
         (Urgency::InTime, false),
         (Urgency::InTime, true),
@@ -54,7 +54,7 @@
     ] {
         let mut load = LoadTable::default();
         let id = Arc::clone(&engines(0, 1)[0].id);
-        // A second one stays, so that the row is not dropped whole.
+        // A second request remains, so that the back end's entry is not removed.
         load.begin(&id, 0.0, Urgency::InTime);
         load.begin(&id, 700.0, urgency);
         load.prompt_read(&id, 700.0, urgency);
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which engines a prompt goes to.
+//! Tests the choice of engines for prompts.
 
 mod support;
 
@@ -22,7 +22,7 @@
 use rand_pcg::Pcg64Mcg;
 use support::engines;
 
-const AIMS: LatencyTargets = LatencyTargets {
+const TARGETS: LatencyTargets = LatencyTargets {
     latency: Duration::from_millis(500),
     gap: Some(Duration::from_millis(150)),
 };
@@ -55,7 +55,7 @@
                 &[],
                 &PromptRequest {
                     prompt,
-                    latency_targets: AIMS,
+                    latency_targets: TARGETS,
                     traits: &traits(),
                     urgency: self.urgency,
                     body_bytes: 20_000,
@@ -66,22 +66,22 @@
             .expect("an engine")
     }
 
-    fn keep(&mut self, engine: usize, prompt: &Prompt) {
-        self.note(engine, prompt, PrefixState::Cached);
+    fn record_cached(&mut self, engine: usize, prompt: &Prompt) {
+        self.record_use(engine, prompt, PrefixState::Cached);
     }
 
-    fn note(&mut self, engine: usize, prompt: &Prompt, state: PrefixState) {
-        let usage = PrefixUse::of(prompt, &self.engines[engine], state).expect("a head");
+    fn record_use(&mut self, engine: usize, prompt: &Prompt, state: PrefixState) {
+        let usage = PrefixUse::of(prompt, &self.engines[engine], state).expect("a shared prefix");
         self.placement.prefixes.used(usage, self.now);
     }
 
-    fn believes(&self, engine: usize, prompt: &Prompt) -> Option<PrefixState> {
-        let head = prompt.shared_prefix().expect("a head");
+    fn assumed_state(&self, engine: usize, prompt: &Prompt) -> Option<PrefixState> {
+        let prefix = prompt.shared_prefix().expect("a shared prefix");
         let id = &self.engines[engine].id;
-        self.placement.prefixes.state(id, head, self.now)
+        self.placement.prefixes.state(id, prefix, self.now)
     }
 
-    /// Work that other daemons brought to an engine.
+    /// Report of a peer whose requests cause `outstanding` work at an engine.
     fn peer_report(&self, engine: usize, sequence: u32, outstanding: Outstanding) -> WorkReport {
         let row = WorkRow {
             id: Arc::clone(&self.engines[engine].id),
@@ -94,7 +94,7 @@
         }
     }
 
-    fn decode_choice(&mut self, prompt: &Prompt) -> Arc<str> {
+    fn choose_decoder(&mut self, prompt: &Prompt) -> Arc<str> {
         let chosen = self.placement.choose_decode(
             &self.engines,
             &[],
@@ -105,11 +105,11 @@
         Arc::clone(&chosen.expect("an engine").id)
     }
 
-    fn peer_works_at(&mut self, engine: usize, prompt_tokens: f64) {
-        self.peer_works_at_as(7, engine, prompt_tokens);
+    fn add_peer_work(&mut self, engine: usize, prompt_tokens: f64) {
+        self.add_peer_work_from(7, engine, prompt_tokens);
     }
 
-    fn peer_works_at_as(&mut self, origin: u64, engine: usize, prompt_tokens: f64) {
+    fn add_peer_work_from(&mut self, origin: u64, engine: usize, prompt_tokens: f64) {
         let outstanding = Outstanding {
             requests: 1.0,
             prompt_tokens,
@@ -131,7 +131,7 @@
     }
 }
 
-fn prompt(head: &str, shared: u32, own: u32) -> Prompt {
+fn prompt(prefix: &str, shared: u32, own: u32) -> Prompt {
     let part = |id: &str, tokens| PromptPart {
         id: Arc::from(id),
         tokens,
@@ -139,12 +139,12 @@
     Prompt {
         input_tokens: shared + own,
         output_tokens: 20,
-        parts: vec![part(head, shared), part("own", own)],
+        parts: vec![part(prefix, shared), part("own", own)],
     }
 }
 
 #[test]
-fn a_short_prompt_is_read_where_it_is_answered() {
+fn a_short_prompt_is_processed_by_its_decode_engine() {
     let mut scene = Scene::new(2, 3);
     let plan = scene.plan(&prompt("h", 60, 250));
     assert!(plan.prefill.is_none());
@@ -152,173 +152,173 @@
 }
 
 #[test]
-fn a_long_prompt_is_read_apart() {
+fn a_long_prompt_goes_to_a_prefill_engine() {
     let mut scene = Scene::new(2, 3);
     let plan = scene.plan(&prompt("h", 13_000, 3_700));
     assert!(plan.prefill.is_some());
 }
 
 #[test]
-fn prompts_with_one_unknown_head_meet_at_one_engine() {
+fn prompts_with_the_same_uncached_prefix_go_to_one_engine() {
     let mut scene = Scene::new(5, 3);
-    let asked = prompt("h", 13_000, 3_700);
-    let first = scene.plan(&asked).prefill.expect("apart").id.clone();
+    let test_prompt = prompt("h", 13_000, 3_700);
+    let first = scene.plan(&test_prompt).prefill.expect("a prefill engine").id.clone();
     for _ in 0..20 {
-        assert_eq!(scene.plan(&asked).prefill.expect("apart").id, first);
+        assert_eq!(scene.plan(&test_prompt).prefill.expect("a prefill engine").id, first);
     }
 }
 
 #[test]
-fn a_head_that_is_kept_draws_its_prompts() {
-    for keeper in 0..3 {
+fn prompts_go_to_the_engine_that_caches_their_prefix() {
+    for holder in 0..3 {
         let mut scene = Scene::new(3, 3);
-        let asked = prompt("h", 13_000, 3_700);
-        scene.keep(keeper, &asked);
-        let plan = scene.plan(&asked);
-        assert_eq!(plan.prefill.expect("apart").id, scene.engines[keeper].id);
+        let test_prompt = prompt("h", 13_000, 3_700);
+        scene.record_cached(holder, &test_prompt);
+        let plan = scene.plan(&test_prompt);
+        assert_eq!(plan.prefill.expect("a prefill engine").id, scene.engines[holder].id);
         assert!(plan.fetch_from.is_none());
         assert!((plan.tokens_to_read - 3_700.0).abs() < 1.0);
     }
 }
 
 #[test]
-fn a_busy_keeper_is_spared_and_its_head_fetched() {
+fn a_prefix_is_fetched_from_a_busy_holder() {
     let mut scene = Scene::new(3, 3);
-    let asked = prompt("h", 13_000, 3_700);
-    scene.keep(0, &asked);
-    scene.peer_works_at(0, 60_000.0);
-    let plan = scene.plan(&asked);
-    assert_ne!(plan.prefill.expect("apart").id, scene.engines[0].id);
-    assert_eq!(plan.fetch_from.expect("fetched").id, scene.engines[0].id);
+    let test_prompt = prompt("h", 13_000, 3_700);
+    scene.record_cached(0, &test_prompt);
+    scene.add_peer_work(0, 60_000.0);
+    let plan = scene.plan(&test_prompt);
+    assert_ne!(plan.prefill.expect("a prefill engine").id, scene.engines[0].id);
+    assert_eq!(plan.fetch_from.expect("a holder").id, scene.engines[0].id);
     assert!(
         (plan.tokens_to_read - 3_700.0).abs() < 1.0,
-        "the head is not read"
+        "the prefix is fetched"
     );
 }
 
 #[test]
-fn a_head_is_not_fetched_from_an_ejected_engine() {
+fn a_prefix_is_not_fetched_from_an_ejected_engine() {
     let mut scene = Scene::new(2, 2);
-    let asked = prompt("h", 13_000, 3_700);
-    scene.keep(0, &asked);
+    let test_prompt = prompt("h", 13_000, 3_700);
+    scene.record_cached(0, &test_prompt);
     let id = Arc::clone(&scene.engines[0].id);
     let pause = scene
         .placement
         .health
         .record(&id, Outcome::Unreachable, scene.now);
     assert!(pause.is_some());
-    let plan = scene.plan(&asked);
-    assert_eq!(plan.prefill.expect("apart").id, scene.engines[1].id);
+    let plan = scene.plan(&test_prompt);
+    assert_eq!(plan.prefill.expect("a prefill engine").id, scene.engines[1].id);
     assert!(plan.fetch_from.is_none());
 }
 
 #[test]
-fn a_head_that_gave_way_is_no_longer_believed() {
+fn an_evicted_prefix_is_no_longer_assumed_cached() {
     let mut scene = Scene::new(1, 1);
     let first = prompt("first", 13_000, 100);
-    scene.keep(0, &first);
+    scene.record_cached(0, &first);
     for number in 0..40 {
-        scene.keep(0, &prompt(&format!("later-{number}"), 13_000, 100));
+        scene.record_cached(0, &prompt(&format!("later-{number}"), 13_000, 100));
     }
-    assert!(scene.believes(0, &first).is_none());
+    assert!(scene.assumed_state(0, &first).is_none());
 }
 
 #[test]
-fn what_follows_heads_pushes_them_out_too() {
+fn tokens_after_a_prefix_evict_other_prefixes() {
     let mut scene = Scene::new(1, 1);
     let first = prompt("first", 13_000, 100);
-    scene.keep(0, &first);
+    scene.record_cached(0, &first);
     for _ in 0..40 {
-        scene.keep(0, &prompt("other", 13_000, 20_000));
+        scene.record_cached(0, &prompt("other", 13_000, 20_000));
     }
-    assert!(scene.believes(0, &first).is_none());
-    assert!(scene.believes(0, &prompt("other", 13_000, 0)).is_some());
+    assert!(scene.assumed_state(0, &first).is_none());
+    assert!(scene.assumed_state(0, &prompt("other", 13_000, 0)).is_some());
 }
 
 #[test]
-fn short_prompts_of_all_daemons_push_heads_out() {
+fn short_prompts_of_all_daemons_evict_prefixes() {
     let mut scene = Scene::new(1, 1);
     let first = prompt("first", 13_000, 100);
-    scene.keep(0, &first);
+    scene.record_cached(0, &first);
     let id = Arc::clone(&scene.engines[0].id);
     scene.placement.prefixes.record_inserted_tokens(&id, 500_000);
-    assert!(scene.believes(0, &first).is_none());
+    assert!(scene.assumed_state(0, &first).is_none());
 }
 
 #[test]
-fn short_heads_are_neither_remembered_nor_told() {
+fn short_prefixes_are_neither_tracked_nor_published() {
     let scene = Scene::new(1, 1);
     let short = prompt("h", 90, 300);
     assert!(PrefixUse::of(&short, &scene.engines[0], PrefixState::Cached).is_none());
 }
 
 #[test]
-fn a_head_on_its_way_is_waited_for_until_it_is_kept_somewhere() {
+fn a_prefix_is_pending_until_an_engine_caches_it() {
     let mut scene = Scene::new(2, 1);
-    let asked = prompt("h", 13_000, 100);
-    let comes = |scene: &Scene| {
+    let test_prompt = prompt("h", 13_000, 100);
+    let is_pending = |scene: &Scene| {
         let engines = &scene.engines;
-        scene.placement.is_prefix_pending(engines, &asked, scene.now)
+        scene.placement.is_prefix_pending(engines, &test_prompt, scene.now)
     };
-    assert!(!comes(&scene));
-    scene.note(0, &asked, PrefixState::Pending);
-    assert!(comes(&scene));
-    scene.keep(0, &asked);
-    assert!(!comes(&scene));
-    scene.note(0, &asked, PrefixState::Pending);
-    assert_eq!(scene.believes(0, &asked), Some(PrefixState::Cached));
+    assert!(!is_pending(&scene));
+    scene.record_use(0, &test_prompt, PrefixState::Pending);
+    assert!(is_pending(&scene));
+    scene.record_cached(0, &test_prompt);
+    assert!(!is_pending(&scene));
+    scene.record_use(0, &test_prompt, PrefixState::Pending);
+    assert_eq!(scene.assumed_state(0, &test_prompt), Some(PrefixState::Cached));
 }
 
 #[test]
-fn a_head_whose_reading_was_lost_is_not_waited_for_any_longer() {
+fn a_pending_prefix_expires() {
     let mut scene = Scene::new(1, 1);
-    let asked = prompt("h", 13_000, 100);
-    scene.note(0, &asked, PrefixState::Pending);
+    let test_prompt = prompt("h", 13_000, 100);
+    scene.record_use(0, &test_prompt, PrefixState::Pending);
     scene.now += Duration::from_secs(10);
-    assert!(scene.believes(0, &asked).is_none());
+    assert!(scene.assumed_state(0, &test_prompt).is_none());
 }
 
 #[test]
-fn prompts_go_on_where_their_head_is_kept_already() {
+fn decoding_prefers_the_engine_that_caches_the_prefix() {
     let mut scene = Scene::new(1, 8);
-    let asked = prompt("h", 13_000, 100);
-    scene.keep(5, &asked);
-    let keeper = Arc::clone(&scene.engines[5].id);
+    let test_prompt = prompt("h", 13_000, 100);
+    scene.record_cached(5, &test_prompt);
+    let holder = Arc::clone(&scene.engines[5].id);
     for _ in 0..20 {
-        assert_eq!(scene.decode_choice(&asked), keeper);
+        assert_eq!(scene.choose_decoder(&test_prompt), holder);
     }
 }
 
 #[test]
-fn an_unknown_head_goes_on_at_one_engine_whoever_decides() {
-    let asked = prompt("h", 13_000, 100);
+fn all_daemons_choose_the_same_decoder_for_an_uncached_prefix() {
+    let test_prompt = prompt("h", 13_000, 100);
     let choices: Vec<Arc<str>> = (0..10)
         .map(|seed| {
             let mut scene = Scene::new(1, 8);
             scene.random = Pcg64Mcg::seed_from_u64(seed);
-            scene.decode_choice(&asked)
+            scene.choose_decoder(&test_prompt)
         })
         .collect();
     assert!(choices.iter().all(|choice| *choice == choices[0]));
 }
 
 #[test]
-fn a_nearly_full_engine_is_left_though_it_keeps_the_head() {
+fn a_full_engine_is_avoided_even_if_it_caches_the_prefix() {
     let mut scene = Scene::new(1, 8);
-    let asked = prompt("h", 13_000, 100);
-    scene.keep(5, &asked);
-    let full = Outstanding {
+    let test_prompt = prompt("h", 13_000, 100);
+    scene.record_cached(5, &test_prompt);
+    let outstanding_at_full = Outstanding {
         requests: f64::from(scene.engines[5].slots) * 1.2,
         ..Outstanding::default()
     };
-    let report = scene.peer_report(5, 1, full);
+    let report = scene.peer_report(5, 1, outstanding_at_full);
     scene.placement.load.receive(report, scene.now);
-    let keeper = Arc::clone(&scene.engines[5].id);
-    assert_ne!(scene.decode_choice(&asked), keeper);
+    let holder = Arc::clone(&scene.engines[5].id);
+    assert_ne!(scene.choose_decoder(&test_prompt), holder);
 }
 
 #[test]
-fn a_report_that_comes_late_changes_nothing() {
+fn an_outdated_work_report_is_ignored() {
     let mut scene = Scene::new(2, 1);
     let work = |requests| Outstanding {
         requests,
@@ -333,7 +333,7 @@
 }
 
 #[test]
-fn an_engine_stays_away_for_the_longest_time_that_was_told() {
+fn a_shorter_suspension_does_not_replace_a_longer_one() {
     let mut scene = Scene::new(0, 2);
     let engine = Arc::clone(&scene.engines[0]);
     let other = Arc::clone(&scene.engines[1].id);
@@ -350,25 +350,25 @@
 }
 
 #[test]
-fn heads_are_told_to_peers_once() {
+fn prefix_uses_are_published_once() {
     let mut scene = Scene::new(1, 1);
-    scene.keep(0, &prompt("h", 13_000, 100));
+    scene.record_cached(0, &prompt("h", 13_000, 100));
     assert_eq!(scene.placement.prefixes.take_unpublished().len(), 1);
     assert!(scene.placement.prefixes.take_unpublished().is_empty());
 }
 
 #[test]
-fn work_that_a_peer_told_of_is_forgotten_when_the_peer_falls_silent() {
+fn reported_work_expires_when_the_peer_stops_reporting() {
     let mut scene = Scene::new(2, 1);
-    scene.peer_works_at(0, 60_000.0);
+    scene.add_peer_work(0, 60_000.0);
     scene.now += Duration::from_secs(10);
-    scene.peer_works_at(1, 1.0);
+    scene.add_peer_work(1, 1.0);
     let outstanding = scene.placement.load.outstanding(&scene.engines[0].id);
     assert!(outstanding.prompt_tokens < 1.0);
 }
 
 #[test]
-fn where_all_engines_are_ejected_they_all_count() {
+fn ejected_engines_are_used_if_there_are_no_others() {
     let mut scene = Scene::new(0, 2);
     for engine in scene.engines.clone() {
         scene
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn short_prompts_are_read_apart_while_decode_engines_read_most_of_their_time() {
+fn short_prompts_go_to_prefill_engines_while_decode_engines_are_busy_with_prefill() {
     let mut scene = Scene::new(3, 3);
     let short = prompt("h", 60, 250);
     assert!(scene.plan(&short).prefill.is_none());
@@ -389,19 +389,19 @@
         ..StageWork::default()
     };
     let service = Arc::from("models");
-    let told = vec![(service, busy)];
-    scene.placement.peer_work.receive(7, told, scene.now);
+    let report = vec![(service, busy)];
+    scene.placement.peer_work.receive(7, report, scene.now);
     scene.placement.fleet_work(scene.now);
     assert!(scene.plan(&short).prefill.is_some());
 }
 
 #[test]
-fn long_prompts_that_spill_to_decode_engines_count_as_work_for_prefill_engines() {
+fn long_prompts_processed_by_decode_engines_count_as_prefill_work() {
     let mut scene = Scene::new(0, 2);
     let service = Arc::from("models");
     let plan = scene.plan(&prompt("h", 10_000, 4_000));
     assert!(plan.prefill.is_none());
-    scene.placement.record_prompt_work(&service, &plan, AIMS, scene.now);
+    scene.placement.record_prompt_work(&service, &plan, TARGETS, scene.now);
     let rates = scene.placement.work.rates(scene.now);
     let work = rates[0].1;
     assert!(work.prefill > 0.1 && work.decode_reading > work.prefill);
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn of_many_engines_that_change_the_latest_are_told_first() {
+fn suspended_engines_are_listed_latest_first() {
     let mut scene = Scene::new(0, 20);
     for engine in scene.engines.clone() {
         scene
@@ -417,42 +417,43 @@
             .suspend_engine(&engine, Duration::from_secs(2), true, scene.now);
         scene.now += Duration::from_millis(50);
     }
-    let told = scene.placement.suspended_engines(scene.now);
-    assert_eq!(told.len(), 20);
-    assert_eq!(told[0].0, scene.engines[19].id);
+    let suspended = scene.placement.suspended_engines(scene.now);
+    assert_eq!(suspended.len(), 20);
+    assert_eq!(suspended[0].0, scene.engines[19].id);
 }
 
 #[test]
-fn on_a_full_link_a_body_leaves_once() {
+fn a_request_body_is_sent_only_once_over_a_slow_link() {
     let mut scene = Scene::new(2, 3);
     let long = prompt("h", 13_000, 3_700);
     assert!(scene.plan(&long).prefill.is_some());
     scene.placement.link.set_megabits(1);
     let slow = prompt("h", 0, 1_500);
     let plan = scene.plan(&slow);
-    assert!(plan.prefill.is_none(), "a second body takes 166 ms");
+    assert!(plan.prefill.is_none(), "sending the body twice takes 166 ms longer");
     assert!(plan.expected_ms > 160.0, "{}", plan.expected_ms);
 }
 
 #[test]
-fn what_waits_at_the_own_link_leaves_at_its_pace() {
+fn the_send_queue_drains_at_the_link_speed() {
     let mut scene = Scene::new(1, 1);
     let link = &mut scene.placement.link;
     link.record_send(1_000_000, scene.now);
     assert!(
         link.wait_ms(scene.now) < 1e-9,
-        "a link of unknown speed is free"
+        "a link of unknown speed causes no delay"
     );
     link.set_megabits(8);
-    let full = link.wait_ms(scene.now);
-    assert!((1_000.0..1_001.0).contains(&full), "{full}");
-    let later = link.wait_ms(scene.now + Duration::from_millis(600));
-    assert!((400.0..401.0).contains(&later), "{later}");
+    let initial_wait_ms = link.wait_ms(scene.now);
+    assert!((1_000.0..1_001.0).contains(&initial_wait_ms), "{initial_wait_ms}");
+    let later_wait_ms = link.wait_ms(scene.now + Duration::from_millis(600));
+    assert!((400.0..401.0).contains(&later_wait_ms), "{later_wait_ms}");
     assert!(link.wait_ms(scene.now + Duration::from_secs(2)) < 1e-9);
 }
 
-/// A service whose streams pause 50 ms where nothing is read, and 100 streams of other daemons at every decode engine.
-fn with_streams(decode: u8) -> Scene {
+/// A scene whose streams have gaps of 50 ms without prefill, with 10 streams of other daemons at
+/// every decode engine.
+fn scene_with_streams(decode: u8) -> Scene {
     let mut scene = Scene::new(1, decode);
     let service = Arc::from("models");
     for _ in 0..200 {
@@ -479,33 +480,33 @@
 }
 
 #[test]
-fn a_reading_that_would_make_streams_late_is_done_apart_though_that_takes_longer() {
-    let mut scene = with_streams(2);
-    // The only prefill engine is busy for 200 ms; a decode engine would have read it after 130.
-    scene.peer_works_at_as(9, 0, 6_000.0);
+fn a_prefill_that_would_delay_streams_goes_to_a_slower_prefill_engine() {
+    let mut scene = scene_with_streams(2);
+    // The prefill engine is busy for 200 ms; a decode engine would complete the prompt in 130 ms.
+    scene.add_peer_work_from(9, 0, 6_000.0);
     let plan = scene.plan(&prompt("h", 0, 2_000));
     assert!(
         plan.prefill.is_some(),
-        "20 streams would pause 180 ms of 150"
+        "20 streams would have gaps of 180 ms, over the target of 150 ms"
     );
     let mut alone = Scene::new(1, 2);
-    alone.peer_works_at_as(9, 0, 6_000.0);
+    alone.add_peer_work_from(9, 0, 6_000.0);
     let plan = alone.plan(&prompt("h", 0, 2_000));
-    assert!(plan.prefill.is_none(), "nobody is late by it there");
+    assert!(plan.prefill.is_none(), "there are no streams to delay");
 }
 
 #[test]
-fn a_short_reading_holds_no_stream_up() {
-    let mut scene = with_streams(2);
+fn a_short_prefill_does_not_delay_streams() {
+    let mut scene = scene_with_streams(2);
     let plan = scene.plan(&prompt("h", 0, 300));
     assert!(plan.prefill.is_none());
 }
 
 #[test]
-fn a_reading_costs_what_it_delays_those_that_come_meanwhile() {
+fn prefill_cost_includes_the_delay_of_later_arrivals() {
     let mut scene = Scene::new(1, 2);
     let long = prompt("h", 0, 2_000);
-    scene.peer_works_at_as(9, 0, 6_000.0);
+    scene.add_peer_work_from(9, 0, 6_000.0);
     assert!(scene.plan(&long).prefill.is_none());
     let service = Arc::from("models");
     for _ in 0..400 {
@@ -515,15 +516,15 @@
             .add(&service, Stage::Decode, scene.now);
         scene.now += Duration::from_millis(5);
     }
-    scene.peer_works_at_as(10, 0, 6_000.0);
+    scene.add_peer_work_from(10, 0, 6_000.0);
     assert!(
         scene.plan(&long).prefill.is_some(),
-        "100 short prompts a second come to each decode engine"
+        "100 prompts per second arrive at each decode engine"
     );
 }
 
 #[test]
-fn a_request_that_can_be_in_time_passes_by_those_that_cannot() {
+fn requests_on_time_are_served_before_late_ones() {
     let mut scene = Scene::new(1, 1);
     let late = Outstanding {
         requests: 40.0,
@@ -536,16 +537,16 @@
         report.origin = origin;
         scene.placement.load.receive(report, scene.now);
     }
-    let asked = prompt("h", 0, 1_000);
-    let in_time = scene.plan(&asked).expected_ms;
+    let test_prompt = prompt("h", 0, 1_000);
+    let in_time = scene.plan(&test_prompt).expected_ms;
     scene.urgency = Urgency::Late;
-    let behind = scene.plan(&asked).expected_ms;
+    let behind = scene.plan(&test_prompt).expected_ms;
     assert!(in_time < 300.0, "{in_time}");
     assert!(behind > 5_000.0, "{behind}");
 }
 
 #[test]
-fn a_back_end_in_its_slow_start_gets_less_until_it_is_warm() {
+fn a_back_end_in_its_slow_start_gets_fewer_requests() {
     let mut scene = Scene::new(0, 4);
     let left = Duration::from_secs(6);
     let mut cold = (*scene.engines[0]).clone();
@@ -558,22 +559,22 @@
         });
         chosen.filter(|chosen| &*chosen.id == "i-1").count()
     };
-    assert_eq!(times_chosen(&mut scene), 0, "warm ones are free");
+    assert_eq!(times_chosen(&mut scene), 0, "warm back ends are idle");
     scene.now += left;
     assert!(times_chosen(&mut scene) > 25);
 }
 
-/// Engines that read the prompts of forty plans.
-fn readers(scene: &mut Scene, asked: &Prompt) -> HashSet<Arc<str>> {
-    let plans = (0..40).map(|_| scene.plan(asked));
+/// Prefill engines chosen in forty plans.
+fn readers(scene: &mut Scene, test_prompt: &Prompt) -> HashSet<Arc<str>> {
+    let plans = (0..40).map(|_| scene.plan(test_prompt));
     let readers = plans.filter_map(|plan| plan.prefill);
     readers.map(|engine| Arc::clone(&engine.id)).collect()
 }
 
-/// An engine reads what it has begun to its end: a long prompt that is late anyway joins others of its kind, and leaves the
-/// idle engine to those that can be in time.
+/// Engines complete a prompt that they have started. A late prompt must therefore join other late
+/// prompts and leave the idle engine to prompts on time.
 #[test]
-fn late_prompts_gather_where_late_ones_are_read_already() {
+fn late_prompts_go_to_engines_that_process_late_prompts() {
     let mut scene = Scene::new(2, 2);
     let late = Outstanding {
         requests: 1.0,
@@ -584,26 +585,26 @@
     let report = scene.peer_report(0, 1, late);
     scene.placement.load.receive(report, scene.now);
     for decode_engine in 2..4 {
-        scene.peer_works_at_as(20 + decode_engine as u64, decode_engine, 30_000.0);
+        scene.add_peer_work_from(20 + decode_engine as u64, decode_engine, 30_000.0);
     }
     let service = Arc::from("models");
     for _ in 0..60 {
         let arrivals = &mut scene.placement.arrivals;
         arrivals.add(&service, Stage::Prefill, scene.now);
     }
-    let asked = prompt("h", 0, 20_000);
+    let test_prompt = prompt("h", 0, 20_000);
     scene.urgency = Urgency::Late;
     let joined: HashSet<Arc<str>> = HashSet::from([Arc::clone(&scene.engines[0].id)]);
-    assert_eq!(readers(&mut scene, &asked), joined);
-    let asked = prompt("h", 0, 2_000);
+    assert_eq!(readers(&mut scene, &test_prompt), joined);
+    let test_prompt = prompt("h", 0, 2_000);
     scene.urgency = Urgency::InTime;
     let idle: HashSet<Arc<str>> = HashSet::from([Arc::clone(&scene.engines[1].id)]);
-    assert_eq!(readers(&mut scene, &asked), idle);
+    assert_eq!(readers(&mut scene, &test_prompt), idle);
 }
 
-/// The KV cache of a long prompt takes twice as long into another zone.
+/// Transferring the KV cache of a long prompt to another zone takes twice as long.
 #[test]
-fn a_prompt_goes_on_in_the_zone_where_it_was_read() {
+fn decoding_stays_in_the_zone_of_the_prefill_engine() {
     for seed in 0..10 {
         let mut scene = Scene::new(1, 6);
         scene.random = Pcg64Mcg::seed_from_u64(seed);
@@ -612,12 +613,12 @@
         }
         let mut reader = BackEnd::clone(&scene.engines[0]);
         reader.zone = Arc::from("far");
-        let asked = prompt("h", 30_000, 10_000);
-        let hand_over = HandOver::of(&asked, &reader, &traits());
+        let test_prompt = prompt("h", 30_000, 10_000);
+        let hand_over = HandOver::of(&test_prompt, &reader, &traits());
         let chosen = scene.placement.choose_decode_after_prefill(
             &scene.engines,
             &[],
-            Some(&asked),
+            Some(&test_prompt),
             Some(hand_over),
             scene.now,
             &mut scene.random,
@@ -626,12 +627,13 @@
     }
 }
 
-/// An engine that limits the rate of its requests takes one now and none a moment later: a prefix at home there would move, and be read anew, each time.
+/// The availability of a rate-limited engine changes from request to request. As a preferred engine
+/// it would cause prefixes to move and to be processed again each time.
 #[test]
-fn an_engine_that_limits_its_requests_is_no_home_for_prefixes() {
+fn a_rate_limited_engine_is_not_preferred_for_new_prefixes() {
     let mut scene = Scene::new(0, 6);
     let fresh = prompt("never-seen", 8_000, 200);
-    let home = scene.plan(&fresh).decode;
+    let preferred_engine = scene.plan(&fresh).decode;
     let members = Arc::new(Members {
         own: 1,
         daemons: vec![(Arc::from("a"), 1)],
@@ -643,11 +645,11 @@
         sent: scene.now,
         is_of_run: true,
     };
-    limits.note(&home, answer, scene.now);
+    limits.record_use(&preferred_engine, answer, scene.now);
     scene.now += Duration::from_secs(1);
-    let allowance = scene.placement.rate_limits.allowance(&home, scene.now);
-    assert_eq!(allowance, Allowance::Now, "it would take the request");
+    let allowance = scene.placement.rate_limits.allowance(&preferred_engine, scene.now);
+    assert_eq!(allowance, Allowance::Now, "the engine accepts the request");
     for _ in 0..20 {
-        assert_ne!(scene.plan(&fresh).decode.id, home.id);
+        assert_ne!(scene.plan(&fresh).decode.id, preferred_engine.id);
     }
 }
--- a/crates/fleet/tests/retry_pool.rs
+++ b/crates/fleet/tests/retry_pool.rs
@@ -1,4 +1,5 @@
-//! Retries that a zone saves up together: counted at 100 and at 2,000 daemons.
+//! Tests that retries stay within the budget with and without a shared pool, for up to 6,000
+//! daemons.
 
 use std::sync::Arc;
 
@@ -11,32 +12,32 @@
 const ZONES: usize = 6;
 const SERVICE: u32 = 7;
 
-/// A zone of a fleet: what its daemons earn goes to one pool.
+/// One zone of a fleet, whose daemons deposit their earnings into one pool.
 struct Zone {
     budgets: Vec<RetryBudget>,
     pool: RetryPool,
-    most: f64,
+    max_saved: f64,
     sequence: u32,
 }
 
 impl Zone {
     fn new(daemons: usize) -> Self {
-        let of_zone = daemons / ZONES;
+        let zone_daemons = daemons / ZONES;
         let budget = || {
             let mut budget = RetryBudget::new(SETTINGS);
             budget.set_daemons(daemons);
             budget
         };
         Self {
-            budgets: std::iter::repeat_with(budget).take(of_zone).collect(),
+            budgets: std::iter::repeat_with(budget).take(zone_daemons).collect(),
             pool: RetryPool::default(),
-            most: pool_capacity(SETTINGS, of_zone, daemons),
+            max_saved: pool_capacity(SETTINGS, zone_daemons, daemons),
             sequence: 0,
         }
     }
 
-    /// Every daemon gets a request, then all put in what they earned.
-    fn requests(&mut self) {
+    /// Every daemon earns for one request and deposits its earnings.
+    fn run_requests(&mut self) {
         let service = Arc::from("s");
         self.sequence += 1;
         for (origin, budget) in (1..).zip(&mut self.budgets) {
@@ -50,7 +51,7 @@
                     .map(|(_service, repeats)| (SERVICE, repeats))
                     .collect(),
             };
-            self.pool.deposit(&deposits, self.most);
+            self.pool.deposit(&deposits, self.max_saved);
         }
     }
 
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_daemon_saves_up_itself_as_long_as_its_part_of_the_slack_is_a_retry() {
+fn a_daemon_saves_retries_itself_while_its_share_is_at_least_one() {
     for (daemons, is_pooled) in [(95, false), (800, false), (986, true), (1_972, true)] {
         let mut budget = RetryBudget::new(SETTINGS);
         budget.set_daemons(daemons);
@@ -69,40 +70,40 @@
     }
 }
 
-/// A service of which one answer in seven fails, with a request of each daemon in three seconds.
+/// One answer in seven fails; each daemon gets one request per round.
 #[test]
-fn a_zone_has_a_retry_for_each_failed_answer_from_the_first_seconds_on() {
+fn the_pool_covers_failed_answers_from_the_first_round() {
     for daemons in [986, 1_972] {
         let mut zone = Zone::new(daemons);
-        zone.requests();
+        zone.run_requests();
         let failed = zone.budgets.len() / 7;
         assert!(zone.withdraw_all() >= failed, "{daemons} daemons");
     }
 }
 
 #[test]
-fn retries_of_all_zones_stay_within_ratio_and_slack_whatever_the_number_of_daemons() {
+fn retries_of_all_zones_stay_within_ratio_and_slack() {
     for daemons in [986, 1_972, 6_000] {
         let mut zone = Zone::new(daemons);
         for _ in 0..200 {
-            zone.requests();
+            zone.run_requests();
         }
         let saved_up = zone.withdraw_all();
-        zone.requests();
-        let requests = zone.budgets.len();
+        zone.run_requests();
+        let run_requests = zone.budgets.len();
         let retries = (saved_up + zone.withdraw_all()) * ZONES;
-        #[expect(clippy::cast_precision_loss, reason = "some thousand")]
-        let (retries, requests) = (retries as f64, (requests * ZONES) as f64);
-        let allowed = SETTINGS.slack + SETTINGS.ratio * requests;
+        #[expect(clippy::cast_precision_loss, reason = "a few thousand")]
+        let (retries, run_requests) = (retries as f64, (run_requests * ZONES) as f64);
+        let allowed = SETTINGS.slack + SETTINGS.ratio * run_requests;
         assert!(
             retries <= allowed,
-            "{daemons} daemons: {retries} of {allowed}"
+            "{daemons} daemons: {retries} retries, {allowed} allowed"
         );
     }
 }
 
 #[test]
-fn no_daemon_of_a_pooled_fleet_takes_a_retry_by_itself() {
+fn a_pooled_daemon_takes_no_retry_from_its_own_budget() {
     let service = Arc::from("s");
     let mut budget = RetryBudget::new(SETTINGS);
     budget.set_daemons(1_972);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn deposits_that_come_twice_or_late_count_once() {
+fn repeated_and_outdated_deposits_are_ignored() {
     let mut pool = RetryPool::default();
     let deposits = |sequence, repeats| Deposits {
         origin: 1,
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn what_is_no_number_of_retries_is_not_put_in() {
+fn invalid_deposits_are_ignored() {
     let mut pool = RetryPool::default();
     for (sequence, repeats) in (1..).zip([f64::NAN, f64::INFINITY, -5.0]) {
         let deposits = Deposits {
--- a/crates/fleet/tests/routes.rs
+++ b/crates/fleet/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes by host and prefix, and splits by weight.
+//! Tests route lookup by host and path prefix, and weighted splits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_and_hosts_are_apart() {
+fn the_longest_prefix_of_the_host_matches() {
     let table = table(vec![
         route("all", "one.example", "/", &[("s", 1)]),
         route("deep", "one.example", "/a/b/", &[("s", 1)]),
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn shares_follow_weights_evenly_spread() {
+fn requests_are_spread_evenly_by_weight() {
     let route = route("r", "h", "/", &[("big", 90), ("small", 10)]);
-    let mut dealer = SplitScheduler::default();
+    let mut scheduler = SplitScheduler::default();
     for _ in 0..5 {
-        let dealt: Vec<Arc<str>> = (0..10).filter_map(|_| dealer.next(&route)).collect();
-        let small = dealt
+        let services: Vec<Arc<str>> = (0..10).filter_map(|_| scheduler.next(&route)).collect();
+        let small = services
             .iter()
             .filter(|service| &***service == "small")
             .count();
@@ -67,25 +67,25 @@
 }
 
 #[test]
-fn a_part_without_weight_gets_nothing() {
-    let mut dealer = SplitScheduler::default();
+fn a_part_with_weight_zero_gets_no_requests() {
+    let mut scheduler = SplitScheduler::default();
     let half = route("r", "h", "/", &[("on", 3), ("off", 0)]);
     for _ in 0..20 {
-        assert_eq!(dealer.next(&half).as_deref(), Some("on"));
+        assert_eq!(scheduler.next(&half).as_deref(), Some("on"));
     }
     let none = route("n", "h", "/", &[("off", 0), ("also", 0)]);
-    assert_eq!(dealer.next(&none), None);
+    assert_eq!(scheduler.next(&none), None);
 }
 
 #[test]
-fn changed_weights_are_in_force_with_the_next_request() {
-    let mut dealer = SplitScheduler::default();
+fn changed_weights_apply_to_the_next_request() {
+    let mut scheduler = SplitScheduler::default();
     let before = route("r", "h", "/", &[("a", 1), ("b", 1)]);
     for _ in 0..7 {
-        dealer.next(&before);
+        scheduler.next(&before);
     }
     let after = route("r", "h", "/", &[("a", 0), ("b", 1)]);
     for _ in 0..7 {
-        assert_eq!(dealer.next(&after).as_deref(), Some("b"));
+        assert_eq!(scheduler.next(&after).as_deref(), Some("b"));
     }
 }
--- a/crates/fleet/tests/speed.rs
+++ b/crates/fleet/tests/speed.rs
@@ -1,11 +1,12 @@
-//! Rates that are learned from readings.
+//! Tests the speeds learned from prefill measurements.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use ponddrift_fleet::placement::{PromptReading, SpeedTable};
 
-/// What an engine takes that reads 60 tokens in a millisecond, after 20 ms of messages.
+/// Measurement of an engine that processes 60 tokens per millisecond, with 20 ms of messaging
+/// overhead.
 fn reading(tokens: f64, waited_ms: f64) -> PromptReading {
     PromptReading {
         tokens,
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn the_pace_is_learned_apart_from_what_messages_take() {
+fn speed_is_learned_separately_from_messaging_overhead() {
     let mut speed = SpeedTable::default();
     for number in 1..=20 {
         speed.prompt_read(reading(f64::from(number) * 700.0, 0.0));
@@ -24,18 +25,18 @@
 }
 
 #[test]
-fn readings_that_waited_behind_others_change_the_pace_little() {
+fn queueing_delays_barely_affect_the_learned_speed() {
     let mut speed = SpeedTable::default();
     for number in 1..=200_u32 {
-        let waited = if number % 4 == 0 { 400.0 } else { 0.0 };
-        speed.prompt_read(reading(f64::from(number % 23) * 700.0, waited));
+        let queueing_ms = if number % 4 == 0 { 400.0 } else { 0.0 };
+        speed.prompt_read(reading(f64::from(number % 23) * 700.0, queueing_ms));
     }
     let rate = speed.prefill_tokens_per_ms();
     assert!((40.0..80.0).contains(&rate), "{rate}");
 }
 
 #[test]
-fn readings_of_peers_count_and_are_not_told_again() {
+fn measurements_of_peers_are_used_but_not_republished() {
     let mut speed = SpeedTable::default();
     for number in 1..=20 {
         speed.receive(reading(f64::from(number) * 700.0, 0.0));
@@ -48,28 +49,29 @@
 }
 
 #[test]
-fn readings_of_like_prompts_tell_the_least_pace_and_never_more_than_the_true_one() {
+fn equal_prompt_lengths_yield_a_lower_bound_of_the_speed() {
     let mut speed = SpeedTable::default();
-    let guess = speed.prefill_tokens_per_ms();
+    let default_rate = speed.prefill_tokens_per_ms();
     for _ in 0..20 {
         speed.prompt_read(reading(4_000.0, 0.0));
         let rate = speed.prefill_tokens_per_ms();
-        let shown = 4_000.0 / reading(4_000.0, 0.0).took_ms;
-        assert!((rate - shown).abs() < 1e-9, "{rate} for {shown}");
-        assert!(guess < rate && rate < 60.0, "{guess} to {rate}");
+        let lower_bound = 4_000.0 / reading(4_000.0, 0.0).took_ms;
+        assert!((rate - lower_bound).abs() < 1e-9, "{rate}, expected {lower_bound}");
+        assert!(default_rate < rate && rate < 60.0, "{default_rate}, {rate}");
     }
     let mut slow = SpeedTable::default();
     slow.prompt_read(reading(4_000.0, 900.0));
     let rate = slow.prefill_tokens_per_ms();
     assert!(
-        (rate - guess).abs() < 1e-9,
-        "one that waited tells nothing: {rate}"
+        (rate - default_rate).abs() < 1e-9,
+        "a queued prompt does not lower the default: {rate}"
     );
 }
 
-/// Nothing is sent to an engine that is known to be slow, so no answer tells when it is well again.
+/// An engine known to be slow gets no requests that could show its recovery, so it must be tried
+/// again without them.
 #[test]
-fn an_engine_that_was_slow_is_tried_again_after_a_while() {
+fn learned_slowness_decays() {
     let mut speed = SpeedTable::default();
     let engine: Arc<str> = Arc::from("i-1");
     let mut now = Instant::now();
@@ -83,6 +85,6 @@
     speed.record_engine_answer(&engine, 100.0, 500.0, now);
     assert!(
         speed.slowness(&engine, now) > 1.3,
-        "still slow: it loses its share again"
+        "a slow answer is learned again"
     );
 }
--- a/crates/fleet/tests/stage_bounds.rs
+++ b/crates/fleet/tests/stage_bounds.rs
@@ -1,4 +1,4 @@
-//! Whatever work comes, and whatever engines do with their orders, the planner keeps its bounds.
+//! Property tests: the stage planner keeps its bounds for any work and any outcome of its orders.
 
 mod support;
 
@@ -13,21 +13,22 @@
 use ponddrift_fleet::stages::{StageChange, StagePlanner, StageWork};
 use support::engines;
 
-/// Orders of all histories.
+/// Number of orders over all generated histories.
 static ORDERS: AtomicUsize = AtomicUsize::new(0);
-const LOOK: Duration = Duration::from_millis(500);
+const STEP: Duration = Duration::from_millis(500);
 
-/// Looks in a row at the same work: long enough for the planner to believe in it.
-const LOOKS_IN_A_ROW: usize = 60;
-/// Phases of one history, at most.
-const MOST_PHASES: usize = 8;
+/// Samples per phase; enough for the planner to act on the work.
+const STEPS_PER_PHASE: usize = 60;
+/// Maximum number of phases per history.
+const MAX_PHASES: usize = 8;
 
-/// Work of one phase, in eighths of an engine, and what becomes of the orders of that time.
+/// Prefill, decode and slot work of one phase in eighths of an engine, and whether its orders are
+/// accepted and carried out at once.
 type Phase = (u8, u8, u8, bool, bool);
 
-fn looks(phases: &[Phase]) -> impl Iterator<Item = Phase> {
-    let phases = phases.iter().take(MOST_PHASES);
-    phases.flat_map(|phase| std::iter::repeat_n(*phase, LOOKS_IN_A_ROW))
+fn steps(phases: &[Phase]) -> impl Iterator<Item = Phase> {
+    let phases = phases.iter().take(MAX_PHASES);
+    phases.flat_map(|phase| std::iter::repeat_n(*phase, STEPS_PER_PHASE))
 }
 
 fn work((prefill, decode, slots, ..): Phase) -> StageWork {
@@ -62,35 +63,35 @@
     }
 }
 
-fn least(all: usize, share: f64) -> usize {
+fn min_engines(all: usize, share: f64) -> usize {
     #[expect(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a few engines"
     )]
-    let least = (all as f64 * share).ceil() as usize;
-    least
+    let min_engines = (all as f64 * share).ceil() as usize;
+    min_engines
 }
 
 #[test]
-fn no_work_takes_a_stage_below_its_share_or_an_engine_twice() {
+fn stages_keep_their_minimum_and_no_engine_is_ordered_twice() {
     check!()
         .with_type::<(u8, u8, Vec<Phase>)>()
         .for_each(|(prefill, decode, phases)| {
             let (prefill, decode) = (prefill % 12 + 3, decode % 24 + 6);
             let mut engines = engines(prefill, decode);
             let all = engines.len();
-            let floor_of_prefill = usize::from(prefill).min(least(all, 0.25));
-            let floor_of_decode = usize::from(decode).min(least(all, 0.3));
+            let min_prefill = usize::from(prefill).min(min_engines(all, 0.25));
+            let min_decode = usize::from(decode).min(min_engines(all, 0.3));
             let mut planner = StagePlanner::default();
             let mut under_way: Vec<StageChange> = Vec::new();
             let mut now = Instant::now();
-            let mut taken_at = VecDeque::new();
-            for look in looks(phases) {
-                let (.., is_taken, is_done) = look;
-                now += LOOK;
-                planner.observe(work(look), &engines, now);
+            let mut accepted_at = VecDeque::new();
+            for step in steps(phases) {
+                let (.., is_accepted, is_done) = step;
+                now += STEP;
+                planner.observe(work(step), &engines, now);
                 let away = Duration::from_secs(4);
                 let changes = planner.plan(&engines, |_| Some(0.0), |_| away, now);
                 assert!(changes.len() <= (all / 12).max(1), "{}", changes.len());
@@ -98,36 +99,37 @@
                     let twice = under_way
                         .iter()
                         .any(|other| other.engine.id == change.engine.id);
-                    assert!(!twice, "{} is under way", change.engine.id);
+                    assert!(!twice, "a change of {} is in progress", change.engine.id);
                     assert_ne!(change.engine.stage, Some(change.stage));
                     ORDERS.fetch_add(1, Ordering::Relaxed);
                     planner.record_order(&change, now);
-                    if is_taken {
+                    if is_accepted {
                         under_way.push(change);
-                        taken_at.push_back(now);
+                        accepted_at.push_back(now);
                     } else {
                         planner.record_rejected_order(&change.engine.id);
                     }
                 }
-                // An order that is not carried out long after its time is taken as failed: here all are, in time.
-                while let Some(at) = taken_at.front()
+                // The planner considers overdue orders failed, so all orders are carried out in
+                // time.
+                while let Some(at) = accepted_at.front()
                     && (is_done || now.saturating_duration_since(*at) >= Duration::from_secs(3))
                 {
-                    taken_at.pop_front();
+                    accepted_at.pop_front();
                     carry_out(&mut engines, &under_way.remove(0));
                 }
-                assert!(count(&engines, &under_way, Stage::Prefill) >= floor_of_prefill);
-                assert!(count(&engines, &under_way, Stage::Decode) >= floor_of_decode);
+                assert!(count(&engines, &under_way, Stage::Prefill) >= min_prefill);
+                assert!(count(&engines, &under_way, Stage::Decode) >= min_decode);
             }
         });
     assert!(
         ORDERS.load(Ordering::Relaxed) > 0,
-        "no history had an order"
+        "no history caused an order"
     );
 }
 
 #[test]
-fn net_gains_are_finite_and_positive_for_every_order() {
+fn every_order_has_a_finite_positive_net_gain() {
     check!()
         .with_type::<(Vec<Phase>, u16)>()
         .for_each(|(phases, away_ms)| {
@@ -135,9 +137,9 @@
             let mut planner = StagePlanner::default();
             let mut now = Instant::now();
             let away = Duration::from_millis(u64::from(*away_ms));
-            for look in looks(phases) {
-                now += LOOK;
-                planner.observe(work(look), &engines, now);
+            for step in steps(phases) {
+                now += STEP;
+                planner.observe(work(step), &engines, now);
                 for change in planner.plan(&engines, |_| Some(0.0), |_| away, now) {
                     assert!(change.net_gain.is_finite() && change.net_gain > 0.0);
                     assert!(change.gain > 0.0, "{}", change.gain);
--- a/crates/fleet/tests/stages.rs
+++ b/crates/fleet/tests/stages.rs
@@ -1,4 +1,4 @@
-//! The stage planner: what it moves, and what it leaves.
+//! Tests which engines the stage planner moves, and when.
 
 mod support;
 
@@ -10,16 +10,17 @@
 use ponddrift_fleet::stages::{StageChange, StagePlanner, StageWork};
 use support::engines;
 
-const LOOK: Duration = Duration::from_millis(500);
+const STEP: Duration = Duration::from_millis(500);
 
 struct Scene {
     planner: StagePlanner,
     engines: Vec<Arc<BackEnd>>,
     now: Instant,
     changes: usize,
-    /// How long a change takes an engine away.
-    away: Duration,
-    /// Part of that which the change itself takes; the streams of a decode engine take the rest.
+    /// Time for which a change to prefill makes an engine unavailable.
+    change_time: Duration,
+    /// Share of the change itself in that time; waiting for the streams of a decode engine takes
+    /// the rest.
     change_share: f64,
 }
 
@@ -30,38 +31,38 @@
             engines: engines(prefill, decode),
             now: Instant::now(),
             changes: 0,
-            away: Duration::from_secs(1),
+            change_time: Duration::from_secs(1),
             change_share: 1.0,
         }
     }
 
-    /// One look at this work, and the changes that it brings; none is carried out.
-    fn look_once(&mut self, work: StageWork) -> Vec<StageChange> {
-        self.now += LOOK;
+    /// Observes `work` once and returns the planned changes without carrying them out.
+    fn step(&mut self, work: StageWork) -> Vec<StageChange> {
+        self.now += STEP;
         self.planner.observe(work, &self.engines, self.now);
-        let away = |stage| match stage {
-            Stage::Prefill => self.away,
-            Stage::Decode => self.away.mul_f64(self.change_share),
+        let change_time = |stage| match stage {
+            Stage::Prefill => self.change_time,
+            Stage::Decode => self.change_time.mul_f64(self.change_share),
         };
         self.planner
-            .plan(&self.engines, |_| Some(0.0), away, self.now)
+            .plan(&self.engines, |_| Some(0.0), change_time, self.now)
     }
 
-    /// Looks at this work until that brings changes.
-    fn look_until_changes(&mut self, work: StageWork) -> Vec<StageChange> {
+    /// Observes `work` until the planner returns changes.
+    fn run_until_changes(&mut self, work: StageWork) -> Vec<StageChange> {
         loop {
-            let changes = self.look_once(work);
+            let changes = self.step(work);
             if !changes.is_empty() {
                 return changes;
             }
         }
     }
 
-    /// Looks for `time` at this work; changes are carried out at once.
-    fn look(&mut self, time: Duration, work: StageWork) {
+    /// Observes `work` for `time` and carries out all changes at once.
+    fn run(&mut self, time: Duration, work: StageWork) {
         let end = self.now + time;
         while self.now < end {
-            for change in self.look_once(work) {
+            for change in self.step(work) {
                 self.carry_out(&change);
             }
         }
@@ -99,100 +100,100 @@
 }
 
 #[test]
-fn balanced_work_changes_nothing() {
+fn balanced_work_causes_no_change() {
     let mut scene = Scene::new(7, 11);
-    scene.look(Duration::from_secs(60), work(1.5, 1.5));
+    scene.run(Duration::from_secs(60), work(1.5, 1.5));
     assert_eq!(scene.changes, 0);
 }
 
 #[test]
-fn much_reading_draws_engines_that_have_little_to_do() {
+fn prefill_load_moves_idle_engines() {
     let mut scene = Scene::new(7, 11);
-    scene.look(Duration::from_secs(20), work(5.0, 1.0));
+    scene.run(Duration::from_secs(20), work(5.0, 1.0));
     assert!(scene.prefill() > 7, "{}", scene.prefill());
     let settled = scene.changes;
-    scene.look(Duration::from_secs(60), work(5.0, 1.0));
-    assert_eq!(scene.changes, settled, "it settles");
+    scene.run(Duration::from_secs(60), work(5.0, 1.0));
+    assert_eq!(scene.changes, settled, "the planner settles");
 }
 
 #[test]
-fn a_stage_keeps_its_least_share_whatever_the_work() {
+fn a_stage_keeps_its_minimum_share() {
     let mut scene = Scene::new(6, 6);
-    scene.look(Duration::from_secs(120), work(9.0, 0.01));
-    assert!(scene.prefill() <= 8, "three tenths stay with decode");
-    scene.look(Duration::from_secs(120), work(0.01, 9.0));
-    assert!(scene.prefill() >= 3, "a quarter stays with prefill");
+    scene.run(Duration::from_secs(120), work(9.0, 0.01));
+    assert!(scene.prefill() <= 8, "three tenths remain decode engines");
+    scene.run(Duration::from_secs(120), work(0.01, 9.0));
+    assert!(scene.prefill() >= 3, "a quarter remains prefill engines");
 }
 
 #[test]
-fn a_busy_stage_gives_nothing_away() {
+fn a_busy_stage_gives_up_no_engine() {
     let mut scene = Scene::new(7, 11);
-    scene.look(Duration::from_secs(60), work(6.0, 6.0));
+    scene.run(Duration::from_secs(60), work(6.0, 6.0));
     assert_eq!(scene.changes, 0);
 }
 
 #[test]
-fn a_spike_shorter_than_two_looks_changes_nothing() {
+fn a_spike_in_one_sample_causes_no_change() {
     let mut scene = Scene::new(7, 11);
-    scene.look(Duration::from_secs(10), work(1.0, 1.0));
+    scene.run(Duration::from_secs(10), work(1.0, 1.0));
     for _ in 0..20 {
-        scene.look(LOOK, work(9.0, 1.0));
-        scene.look(Duration::from_secs(3), work(0.2, 1.0));
+        scene.run(STEP, work(9.0, 1.0));
+        scene.run(Duration::from_secs(3), work(0.2, 1.0));
     }
     assert_eq!(scene.changes, 0);
 }
 
 #[test]
-fn short_prompts_that_decode_engines_have_no_time_for_draw_engines_to_prefill() {
+fn excess_short_prompts_move_engines_to_prefill() {
     let mut scene = Scene::new(6, 12);
     let work = StageWork {
         short_reading: 4.5,
         decode: 0.5,
         ..StageWork::default()
     };
-    scene.look(Duration::from_secs(20), work);
+    scene.run(Duration::from_secs(20), work);
     assert!(scene.prefill() > 6, "{}", scene.prefill());
 }
 
 #[test]
-fn of_a_large_fleet_several_engines_change_at_a_time() {
+fn a_large_fleet_changes_several_engines_at_a_time() {
     let mut scene = Scene::new(20, 40);
-    scene.look(Duration::from_secs(4), work(18.0, 1.0));
+    scene.run(Duration::from_secs(4), work(18.0, 1.0));
     scene
         .planner
         .observe(work(18.0, 1.0), &scene.engines, scene.now);
-    let changes = scene.look_until_changes(work(18.0, 1.0));
+    let changes = scene.run_until_changes(work(18.0, 1.0));
     assert!(changes.len() > 1 && changes.len() <= 5, "{}", changes.len());
 }
 
 #[test]
-fn whoever_only_observed_decides_as_soon_as_it_may() {
+fn a_planner_that_only_observed_needs_no_warm_up() {
     let mut scene = Scene::new(7, 11);
     let reading = work(5.0, 1.0);
     for _ in 0..10 {
-        scene.now += LOOK;
+        scene.now += STEP;
         scene.planner.observe(reading, &scene.engines, scene.now);
     }
     let begun = scene.now;
     while scene.changes == 0 {
-        scene.look(LOOK, reading);
+        scene.run(STEP, reading);
     }
-    assert!(scene.now - begun <= LOOK * 3, "{:?}", scene.now - begun);
+    assert!(scene.now - begun <= STEP * 3, "{:?}", scene.now - begun);
 }
 
 #[test]
-fn changes_under_way_count_where_their_engines_will_be() {
+fn changes_in_progress_count_for_the_new_stage() {
     let mut scene = Scene::new(4, 8);
-    scene.away = Duration::from_secs(3);
+    scene.change_time = Duration::from_secs(3);
     let reading = work(3.0, 0.2);
     let mut order_count = 0;
-    // The directory shows none of the changes: all are under way.
+    // The directory shows none of the changes, so all are in progress.
     for _ in 0..16 {
-        for change in &scene.look_once(reading) {
+        for change in &scene.step(reading) {
             assert_eq!(
                 change.prefill_engines,
                 4 + order_count,
-                "each counts those before"
+                "earlier changes are counted"
             );
             scene.planner.record_order(change, scene.now);
             order_count += 1;
@@ -202,48 +203,49 @@
 }
 
 #[test]
-fn a_shift_that_is_shorter_than_a_change_takes_changes_nothing() {
+fn a_shift_shorter_than_a_change_is_ignored() {
     let mut scene = Scene::new(4, 8);
-    scene.away = Duration::from_secs(10);
+    scene.change_time = Duration::from_secs(10);
     for _ in 0..6 {
-        scene.look(Duration::from_secs(4), work(3.6, 0.2));
-        scene.look(Duration::from_secs(4), work(0.5, 0.5));
+        scene.run(Duration::from_secs(4), work(3.6, 0.2));
+        scene.run(Duration::from_secs(4), work(0.5, 0.5));
     }
     assert_eq!(scene.changes, 0);
-    scene.look(Duration::from_secs(60), work(3.6, 0.2));
-    assert!(scene.changes > 0, "one that stays is followed");
+    scene.run(Duration::from_secs(60), work(3.6, 0.2));
+    assert!(scene.changes > 0, "a lasting shift causes changes");
 }
 
 #[test]
-fn an_order_that_was_not_taken_leaves_its_engine_where_it_was() {
+fn a_rejected_order_leaves_the_engine_in_its_stage() {
     let mut scene = Scene::new(4, 8);
-    scene.look(Duration::from_secs(2), work(1.0, 1.0));
+    scene.run(Duration::from_secs(2), work(1.0, 1.0));
     let reading = work(3.6, 0.2);
-    let change = scene.look_until_changes(reading).remove(0);
+    let change = scene.run_until_changes(reading).remove(0);
     scene.planner.record_order(&change, scene.now);
     scene.planner.record_rejected_order(&change.engine.id);
-    let again = scene.look_until_changes(reading);
+    let again = scene.run_until_changes(reading);
     assert_eq!(again[0].prefill_engines, 4);
 }
 
 #[test]
-fn slots_that_were_held_lately_keep_their_engines() {
+fn recently_held_slots_prevent_a_change() {
     let mut scene = Scene::new(4, 8);
     scene.change_share = 1.0 / 3.0;
     let held = StageWork {
         slots: 4.0,
         ..work(0.5, 0.5)
     };
-    scene.look(Duration::from_secs(5), held);
-    scene.look(Duration::from_secs(10), work(3.6, 0.2));
-    assert_eq!(scene.changes, 0, "a mix that held them may be back");
-    scene.look(Duration::from_secs(30), work(3.6, 0.2));
-    assert!(scene.changes > 0, "it has not come back");
+    scene.run(Duration::from_secs(5), held);
+    scene.run(Duration::from_secs(10), work(3.6, 0.2));
+    assert_eq!(scene.changes, 0, "the mix that held the slots may return");
+    scene.run(Duration::from_secs(30), work(3.6, 0.2));
+    assert!(scene.changes > 0, "the mix has not returned");
 }
 
-/// Streams that end soon keep no engine from changing, and nobody waits long for their slots.
+/// Short streams neither keep an engine from changing for long nor make others wait long for their
+/// slots.
 #[test]
-fn more_slots_may_be_held_where_streams_end_soon() {
+fn short_streams_allow_a_change_with_more_held_slots() {
     for (change_share, may_change) in [(1.0 / 3.0, false), (0.7, true)] {
         let mut scene = Scene::new(4, 8);
         scene.change_share = change_share;
@@ -251,18 +253,18 @@
             slots: 2.4,
             ..work(3.6, 0.2)
         };
-        scene.look(Duration::from_secs(30), held);
+        scene.run(Duration::from_secs(30), held);
         assert_eq!(scene.changes > 0, may_change, "{change_share}");
     }
 }
 
 #[test]
-fn decode_engines_without_free_slots_get_engines_back() {
+fn full_decode_engines_get_engines_from_prefill() {
     let mut scene = Scene::new(9, 3);
     let full = StageWork {
         slots: 2.9,
         ..work(0.8, 0.5)
     };
-    scene.look(Duration::from_secs(15), full);
+    scene.run(Duration::from_secs(15), full);
     assert!(scene.prefill() < 9, "{}", scene.prefill());
 }
--- a/crates/fleet/tests/tenants.rs
+++ b/crates/fleet/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Whose request it is.
+//! Tests the mapping of API keys to tenants.
 
 use std::sync::Arc;
 
@@ -16,17 +16,17 @@
     })
 }
 
-fn holder(table: &TenantTable, text: &str) -> Option<String> {
+fn owner(table: &TenantTable, text: &str) -> Option<String> {
     let credential = Credential::Key(key(text));
     let tenant = table.authenticate(&credential).ok()?;
     Some(tenant.name.to_string())
 }
 
 #[test]
-fn each_key_names_its_tenant_and_all_else_is_refused_alike() {
+fn each_key_maps_to_its_tenant_and_all_else_is_rejected_alike() {
     let table = TenantTable::new(&[tenant("a", &["one", "two"]), tenant("b", &["three"])]);
-    assert_eq!(holder(&table, "two").as_deref(), Some("a"));
-    assert_eq!(holder(&table, "three").as_deref(), Some("b"));
+    assert_eq!(owner(&table, "two").as_deref(), Some("a"));
+    assert_eq!(owner(&table, "three").as_deref(), Some("b"));
     let refused = [
         Credential::Missing,
         Credential::Malformed,
@@ -40,25 +40,25 @@
 #[test]
 fn a_key_of_two_tenants_authenticates_neither() {
     let table = TenantTable::new(&[tenant("a", &["one", "own"]), tenant("b", &["one"])]);
-    assert_eq!(holder(&table, "one"), None);
-    assert_eq!(holder(&table, "own").as_deref(), Some("a"));
+    assert_eq!(owner(&table, "one"), None);
+    assert_eq!(owner(&table, "own").as_deref(), Some("a"));
     assert_eq!(table.ambiguous_keys(), 1);
 }
 
 #[test]
-fn a_key_named_twice_by_one_tenant_is_its_key() {
+fn a_key_listed_twice_by_one_tenant_is_valid() {
     let table = TenantTable::new(&[tenant("a", &["one", "one"])]);
-    assert_eq!(holder(&table, "one").as_deref(), Some("a"));
+    assert_eq!(owner(&table, "one").as_deref(), Some("a"));
 }
 
 #[test]
-fn a_tenant_without_keys_and_no_tenant_at_all_authenticate_nobody() {
-    assert_eq!(holder(&TenantTable::new(&[tenant("a", &[])]), "one"), None);
-    assert_eq!(holder(&TenantTable::new(&[]), "one"), None);
+fn tenants_without_keys_authenticate_nobody() {
+    assert_eq!(owner(&TenantTable::new(&[tenant("a", &[])]), "one"), None);
+    assert_eq!(owner(&TenantTable::new(&[]), "one"), None);
 }
 
 #[test]
-fn no_output_holds_a_key() {
+fn keys_do_not_appear_in_output() {
     let held = tenant("a", &["secret-1"]);
     let table = TenantTable::new(&[Arc::clone(&held)]);
     let credential = Credential::Key(key("secret-1"));
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn a_key_is_printable_ascii_and_neither_empty_nor_too_long() {
+fn parsing_accepts_exactly_the_valid_keys() {
     bolero::check!().for_each(|bytes: &[u8]| {
         let Ok(text) = std::str::from_utf8(bytes) else {
             return;
         };
-        let is_sound = !text.is_empty()
+        let is_valid = !text.is_empty()
             && text.len() <= ApiKey::MAXIMUM_BYTES
             && text.chars().all(|letter| ('!'..='~').contains(&letter));
-        assert_eq!(ApiKey::parse(text).is_some(), is_sound);
+        assert_eq!(ApiKey::parse(text).is_some(), is_valid);
     });
 }
--- a/crates/fleet/tests/topology.rs
+++ b/crates/fleet/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Who talks to whom, who follows the store, and for how long that is relied on.
+//! Tests peers, store followers, and how long a follower is trusted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn in_a_larger_fleet_the_daemons_of_a_zone_are_neighbours_and_some_of_each_other_zone_are_told() {
+fn larger_fleets_form_a_neighbourhood_per_zone() {
     let fleet = fleet(90);
     let own = &fleet[0];
     let topology = Topology::of(own, &fleet);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn every_daemon_finds_the_same_followers_in_each_zone() {
+fn all_daemons_compute_the_same_followers() {
     let fleet = fleet(90);
     let followers = followers_of(&fleet);
     assert_eq!(followers.len(), ZONES.len() * FOLLOWERS_PER_NEIGHBOURHOOD);
@@ -80,17 +80,17 @@
 }
 
 #[test]
-fn those_with_the_fastest_links_follow() {
+fn daemons_with_the_fastest_links_follow_the_store() {
     let mut fleet = fleet(30);
     fleet[4] = member(4, "b", 200);
     fleet[7] = member(7, "b", 200);
     let followers = followers_of(&fleet);
-    let in_b: Vec<&str> = followers
+    let followers_in_b: Vec<&str> = followers
         .iter()
         .filter(|follower| &*follower.zone == "b")
         .map(|follower| &*follower.name)
         .collect();
-    assert_eq!(in_b, ["d-4", "d-7"]);
+    assert_eq!(followers_in_b, ["d-4", "d-7"]);
 }
 
 #[test]
@@ -107,13 +107,13 @@
 }
 
 #[test]
-fn what_far_daemons_are_told_is_spread_over_them() {
+fn publishing_is_spread_over_daemons_of_other_zones() {
     let fleet = fleet(90);
-    let mut told = std::collections::HashSet::new();
+    let mut receivers = std::collections::HashSet::new();
     for own in fleet.iter().filter(|own| &*own.zone == "a") {
-        told.extend(Topology::of(own, &fleet).remote_zone_peers);
+        receivers.extend(Topology::of(own, &fleet).remote_zone_peers);
     }
-    assert!(told.len() > 30, "{} of 60 daemons are told", told.len());
+    assert!(receivers.len() > 30, "{} of 60 daemons are sent to", receivers.len());
 }
 
 fn peer() -> SocketAddr {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_follower_is_relied_on_while_it_is_heard() {
+fn a_follower_is_trusted_while_it_reports() {
     let mut table = FollowerTable::default();
     let mut now = Instant::now();
     assert!(table.relied_on_until(now).is_none());
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_follower_that_has_not_heard_from_the_store_is_not_relied_on() {
+fn a_follower_without_recent_store_contact_is_not_trusted() {
     let mut table = FollowerTable::default();
     let now = Instant::now();
     table.receive(peer(), Duration::from_secs(3), now);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_follower_that_does_not_hand_on_what_it_has_is_not_relied_on() {
+fn a_distrusted_follower_is_not_relied_on() {
     let mut table = FollowerTable::default();
     let now = Instant::now();
     table.receive(peer(), Duration::ZERO, now);
@@ -152,22 +152,22 @@
 }
 
 #[test]
-fn the_end_of_relying_comes_in_time_for_the_bounds_of_the_rules() {
+fn trust_in_a_dead_follower_ends_within_a_second() {
     let mut table = FollowerTable::default();
     let now = Instant::now();
-    // All followers die right after they said that the store had just answered.
+    // All followers fail right after they reported contact with the store.
     table.receive(peer(), Duration::ZERO, now);
-    let until = table.relied_on_until(now).expect("relied on");
+    let until = table.relied_on_until(now).expect("a trusted follower");
     assert!(until - now < Duration::from_secs(1));
 }
 
-/// Calls a second of so many daemons that ask again after gathering.
+/// Store calls per second of `daemons` daemons that each wait for `gathering` between calls.
 fn calls_per_second(daemons: u32, gathering: Duration) -> f64 {
     f64::from(daemons) / gathering.as_secs_f64()
 }
 
 #[test]
-fn daemons_that_all_follow_the_store_alone_use_a_tenth_of_its_reads_whatever_their_number() {
+fn following_the_store_alone_uses_at_most_a_tenth_of_its_reads() {
     const READS: f64 = 16_000.0;
     for daemons in [100, 1_000, 2_000] {
         let gathering = gathering_alone(daemons as usize, READS);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn changes_are_gathered_no_longer_than_they_may_take() {
+fn gathering_is_bounded() {
     let longest = Duration::from_millis(1_500);
     assert_eq!(gathering_alone(100_000, 100.0), longest);
     assert_eq!(gathering_alone(7, 0.0), longest);
@@ -191,21 +191,21 @@
     assert_eq!(gathering_alone(7, 2_000.0), Duration::from_millis(150));
 }
 
-/// Digests to other zones in a minute, with one published each half second.
-fn far_digests_in_a_minute(tells_of_work: impl Fn(u32) -> bool) -> usize {
+/// Digests sent to other zones in one minute, with one published every half second.
+fn remote_digests_in_a_minute(has_work: impl Fn(u32) -> bool) -> usize {
     let begun = Instant::now();
     let mut pace = FarPace::default();
-    let told = (0..120).filter(|step| {
+    let receivers = (0..120).filter(|step| {
         let now = begun + Duration::from_millis(500) * *step;
-        pace.is_due(tells_of_work(*step), now)
+        pace.is_due(has_work(*step), now)
     });
-    told.count()
+    receivers.count()
 }
 
 #[test]
-fn other_zones_are_told_at_once_of_work_and_seldom_of_none() {
-    assert_eq!(far_digests_in_a_minute(|_step| true), 120);
-    assert_eq!(far_digests_in_a_minute(|_step| false), 30);
-    // Work in one half second of ten: told then, its end at once, and twice more before the next.
-    assert_eq!(far_digests_in_a_minute(|step| step % 10 == 0), 48);
+fn other_zones_receive_work_at_once_and_idle_digests_rarely() {
+    assert_eq!(remote_digests_in_a_minute(|_step| true), 120);
+    assert_eq!(remote_digests_in_a_minute(|_step| false), 30);
+    // Work in one of ten intervals is sent at once, its end as well, and two idle digests follow.
+    assert_eq!(remote_digests_in_a_minute(|step| step % 10 == 0), 48);
 }
