--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use crate::followers::GOSSIP_INTERVAL;
-use crate::topology::{FOLLOWERS, Member, SMALL_FLEET, rank};
+use crate::topology::{FOLLOWERS_PER_NEIGHBOURHOOD, Member, SMALL_FLEET_MAX_DAEMONS, rank};
 
 /// Approximate number of readers per distributor, bounded by what its network link can send within
 /// a fraction of a second.
@@ -41,12 +41,12 @@
 #[must_use]
 pub fn distributors<'a>(neighbourhood: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
     let mut ranked: Vec<&Member> = neighbourhood.collect();
-    if ranked.len() <= SMALL_FLEET {
+    if ranked.len() <= SMALL_FLEET_MAX_DAEMONS {
         return Vec::new();
     }
     ranked.sort_by_cached_key(|member| rank(member));
     let wanted = ranked.len().div_ceil(READERS_PER_DISTRIBUTOR);
-    let count = wanted.clamp(FOLLOWERS, MAX_DISTRIBUTORS);
+    let count = wanted.clamp(FOLLOWERS_PER_NEIGHBOURHOOD, MAX_DISTRIBUTORS);
     let chosen = ranked.into_iter().take(count);
     chosen.map(|member| member.peer_address).collect()
 }
@@ -66,9 +66,9 @@
     #[must_use]
     pub fn of(own: SocketAddr, distributors: &[SocketAddr], daemon_hash: u64) -> Self {
         let own_rank = distributors.iter().position(|peer| *peer == own);
-        let (roots, others) = distributors.split_at(distributors.len().min(FOLLOWERS));
+        let (roots, others) = distributors.split_at(distributors.len().min(FOLLOWERS_PER_NEIGHBOURHOOD));
         let providers = match own_rank {
-            Some(rank) if rank < FOLLOWERS => Vec::new(),
+            Some(rank) if rank < FOLLOWERS_PER_NEIGHBOURHOOD => Vec::new(),
             Some(_) => rotated(roots, daemon_hash),
             None => {
                 let mut providers = rotated(others, daemon_hash);
--- a/crates/fleet/tests/distribution.rs
+++ b/crates/fleet/tests/distribution.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use ponddrift_fleet::distribution::{MAX_DISTRIBUTORS, ReadPlan, distributors};
-use ponddrift_fleet::topology::{FOLLOWERS, Member, SMALL_FLEET};
+use ponddrift_fleet::topology::{FOLLOWERS_PER_NEIGHBOURHOOD, Member, SMALL_FLEET_MAX_DAEMONS};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A zone in which one in sixteen daemons has a fast link.
@@ -48,7 +48,7 @@
 fn the_number_of_store_readers_does_not_grow_with_the_zone() {
     for daemons in [100, 1_000] {
         let readers = readers(&zone(daemons));
-        assert_eq!(readers[&None], FOLLOWERS, "{daemons} daemons");
+        assert_eq!(readers[&None], FOLLOWERS_PER_NEIGHBOURHOOD, "{daemons} daemons");
     }
 }
 
@@ -99,14 +99,14 @@
         if plan.providers.is_empty() {
             continue;
         }
-        assert!(plan.providers.len() >= FOLLOWERS);
+        assert!(plan.providers.len() >= FOLLOWERS_PER_NEIGHBOURHOOD);
         assert!(!plan.providers.contains(&own));
     }
 }
 
 #[test]
 fn in_a_small_neighbourhood_all_daemons_read_the_store() {
-    let zone = zone(u16::try_from(SMALL_FLEET).expect("small"));
+    let zone = zone(u16::try_from(SMALL_FLEET_MAX_DAEMONS).expect("small"));
     assert!(distributors(zone.iter()).is_empty());
     assert_eq!(readers(&zone)[&None], zone.len());
 }
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -123,7 +123,7 @@
         let has_news = !own.heads.is_empty() || !own.away.is_empty();
         let concerns_far = has_news || reason != Reason::Forwarded;
         if concerns_far && cross_zone_pacer.is_due(own.tells_of_work(), now()) {
-            self.send(own.clone().encode(), &topology.far).await;
+            self.send(own.clone().encode(), &topology.remote_zone_peers).await;
         }
         let for_neighbours = with_forwarded(own, forwarded);
         let neighbours = self.neighbours();
@@ -155,7 +155,7 @@
         let readings = placement.speed.take_unpublished();
         let results = placement.health.take_unpublished();
         let unwell = placement.health.ejected();
-        let away = placement.away(now());
+        let away = placement.suspended_engines(now());
         let work = placement.work.rates(now());
         drop(placement);
         let store_silence = self.following.store_silence();
