--- a/crates/serve/src/daemon.rs
+++ b/crates/serve/src/daemon.rs
@@ -22,7 +22,7 @@
 use ponddrift_serving::store::FleetStore;
 use ponddrift_serving::usage::UsageRecorder;
 use ponddrift_serving::usage::report::{self, ReportSettings, Reporting};
-use ponddrift_serving::{capacity, follow, front, leader, orders, peers, quarantine};
+use ponddrift_serving::{capacity, follow, leader, listeners, orders, peers, quarantine};
 use tokio::time::Instant;
 
 use crate::process;
@@ -78,14 +78,14 @@
             Arc::clone(&metrics),
             &pipeline_settings,
         );
-        let status = front::serve_status(runtime, settings.readiness, &pipeline, &metrics)
+        let status = listeners::serve_status(runtime, settings.readiness, &pipeline, &metrics)
             .await
             .wrap_err("listen.readiness cannot be bound: is another process there?")?;
         let metrics_server = match settings.metrics {
             Some(address) => serve_metrics(runtime, address, &pipeline, &metrics).await,
             None => None,
         };
-        let callers = front::serve_callers(runtime, settings.callers, &pipeline)
+        let callers = listeners::serve_callers(runtime, settings.callers, &pipeline)
             .await
             .wrap_err("listen.callers cannot be bound: is another process there?")?;
         let (following, unpublished) = Following::new();
@@ -205,7 +205,7 @@
         tokio::time::sleep_until(begun + stop.notice).await;
         self.callers.close_connections();
         tokio::time::sleep_until(begun + stop.accept).await;
-        self.pipeline.refuse_new();
+        self.pipeline.refuse_new_requests();
         self.await_last_request(begun + stop.limit).await;
         let closing = tokio::time::timeout(CLOSE_LIMIT, self.callers.stop());
         if closing.await.is_err() {
@@ -274,7 +274,7 @@
     pipeline: &Arc<Pipeline>,
     metrics: &Arc<Metrics>,
 ) -> Option<Server> {
-    match front::serve_status(runtime, address, pipeline, metrics).await {
+    match listeners::serve_status(runtime, address, pipeline, metrics).await {
         Ok(server) => Some(server),
         Err(error) => {
             tracing::warn!(%address, %error, "metrics_address_taken");
--- a/crates/serve/src/logging.rs
+++ b/crates/serve/src/logging.rs
@@ -3,7 +3,7 @@
 
 use std::io;
 
-use ponddrift_serving::request_trace::SERVED_TARGET;
+use ponddrift_serving::request_trace::SERVED_LOG_TARGET;
 use tracing::Metadata;
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::EnvFilter;
@@ -41,7 +41,7 @@
     }
 
     fn make_writer_for(&'a self, line: &Metadata<'_>) -> Self::Writer {
-        if line.target() == SERVED_TARGET {
+        if line.target() == SERVED_LOG_TARGET {
             self.served.clone()
         } else {
             self.others.clone()
--- a/crates/serving/src/connections.rs
+++ b/crates/serving/src/connections.rs
@@ -112,7 +112,7 @@
         request: Request<Body>,
     ) -> Result<Reply, ExchangeError> {
         if reuse == Reuse::Never {
-            self.distrust_idle(address);
+            self.discard_idle(address);
         }
         let mut request = request;
         loop {
@@ -177,12 +177,12 @@
             let bytes = body::read_all(incoming, LARGEST_CALL_ANSWER, limit)
                 .await
                 .ok()?;
-            reply.connection.give_back(&head.headers);
+            reply.connection.return_to_pool(&head.headers);
             Some(Response::from_parts(head, bytes))
         };
         let answer = tokio::time::timeout(limit, exchange).await;
         if answer.is_err() {
-            self.distrust_idle(address);
+            self.discard_idle(address);
         }
         answer.ok()?
     }
@@ -258,7 +258,7 @@
 
     /// Closes the idle connections to a back end that left an answer out. Connections may have gone silent for good without
     /// a reset, all at once, while new ones work: each one tried would cost a request its time.
-    pub fn distrust_idle(&self, address: SocketAddr) {
+    pub fn discard_idle(&self, address: SocketAddr) {
         if let Some(pool) = self.lock().get_mut(&address) {
             let closed = u32::try_from(pool.idle.len()).unwrap_or(u32::MAX);
             pool.idle.clear();
@@ -282,7 +282,7 @@
 impl Connection {
     /// Gives the connection back for further use, as the answer's head allows. The answer's body must have been
     /// read to its end.
-    pub fn give_back(mut self, head: &HeaderMap) {
+    pub fn return_to_pool(mut self, head: &HeaderMap) {
         let Some(sender) = self.sender.take() else {
             return;
         };
--- a/crates/serving/src/dialect.rs
+++ b/crates/serving/src/dialect.rs
@@ -15,7 +15,7 @@
 
 /// What a caller's request head tells.
 #[derive(Debug, Clone, Default)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Identity of the request; every try of a caller has its own.
     pub id: Option<Arc<str>>,
     /// How long the caller waits.
@@ -30,7 +30,7 @@
 
 /// What one send to a back end says beside the caller's own headers.
 #[derive(Debug)]
-pub struct SendFacts<'a> {
+pub struct SendMetadata<'a> {
     /// The life that must answer.
     pub back_end: &'a str,
     /// How long the answer is of use.
@@ -65,13 +65,13 @@
 
 /// What an answer's head tells.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerFacts {
+pub struct AnswerMetadata {
     /// It answers the request that was sent.
-    pub belongs: bool,
+    pub matches_request: bool,
     /// It bears the signature of a back end that ran the request.
-    pub signed: bool,
+    pub is_signed: bool,
     /// The back end says that it did not run the request.
-    pub not_run: bool,
+    pub was_not_run: bool,
 }
 
 /// What a prefill engine answers.
@@ -83,14 +83,14 @@
 
 /// A small call to a back end.
 #[derive(Debug, Clone)]
-pub struct SmallCall {
+pub struct BodylessCall {
     /// Method.
     pub method: Method,
     /// Path.
     pub path: String,
 }
 
-impl SmallCall {
+impl BodylessCall {
     /// The request to the back end at `address`; none if the path is none.
     #[must_use]
     pub fn request(self, address: SocketAddr) -> Option<Request<Body>> {
@@ -125,7 +125,7 @@
 
 /// An order to an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct OrderFacts<'a> {
+pub struct OrderParameters<'a> {
     /// The life that must take it.
     pub back_end: &'a str,
     /// The stage that it is to have.
@@ -154,13 +154,13 @@
 /// The words of callers and back ends.
 pub trait Dialect: Send + Sync + 'static {
     /// Reads the head of a caller's request.
-    fn read_request(&self, headers: &HeaderMap) -> RequestFacts;
+    fn read_request(&self, headers: &HeaderMap) -> RequestMetadata;
     /// Removes what is not passed on: the caller's credential, and headers that only this system may set.
     fn strip_reserved(&self, headers: &mut HeaderMap);
     /// Writes the headers of one send.
-    fn write_send(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
+    fn write_send(&self, headers: &mut HeaderMap, facts: &SendMetadata<'_>);
     /// Reads the head of a back end's answer to request `id`.
-    fn read_answer(&self, head: &response::Parts, id: &str) -> AnswerFacts;
+    fn read_answer(&self, head: &response::Parts, id: &str) -> AnswerMetadata;
     /// Reads what any answer of a back end says of the back end itself.
     fn read_announcement(&self, status: StatusCode, headers: &HeaderMap) -> Announcement;
     /// Reads how many requests a second a back end says in an answer that it takes from all daemons together.
@@ -168,17 +168,17 @@
     /// Reads the body of a prefill engine's answer.
     fn read_prefill(&self, body: &[u8]) -> Option<PrefillResult>;
     /// The call that frees a handle.
-    fn release_handle(&self, handle: &str) -> SmallCall;
+    fn release_handle(&self, handle: &str) -> BodylessCall;
     /// The call that asks an engine for what it lately took up and gave up.
-    fn cache_events(&self) -> SmallCall;
+    fn cache_events(&self) -> BodylessCall;
     /// Reads the answer to it, oldest first.
     fn read_cache_events(&self, body: &[u8]) -> Option<Vec<CacheEvent>>;
     /// The call that asks an engine for its state.
-    fn report(&self) -> SmallCall;
+    fn report(&self) -> BodylessCall;
     /// Reads the answer to it.
     fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
     /// The call that orders an engine.
-    fn order(&self, facts: &OrderFacts<'_>) -> BodyCall;
+    fn order(&self, facts: &OrderParameters<'_>) -> BodyCall;
     /// Identity that a health check's answer names.
     fn health_identity<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
     /// Adds to an answer of our own whose request it answers.
--- a/crates/serving/src/orders.rs
+++ b/crates/serving/src/orders.rs
@@ -13,7 +13,7 @@
 use ponddrift_runtime::Runtime;
 
 use crate::connections::Connections;
-use crate::dialect::{Dialect, EngineReport, OrderFacts};
+use crate::dialect::{Dialect, EngineReport, OrderParameters};
 use crate::fleet_state::FleetState;
 use crate::leader::Leadership;
 use crate::pipeline::Pipeline;
@@ -143,7 +143,7 @@
     async fn change(&self, change: &StageChange) -> OrderEnd {
         let engine = &change.engine;
         self.pipeline
-            .engine_away(engine, Duration::from_secs_f64(change.away_s));
+            .pause_engine(engine, Duration::from_secs_f64(change.away_s));
         tokio::time::sleep(NOTICE).await;
         let report = self.calls.report(engine).await;
         let (end, fence) = match report {
@@ -185,7 +185,7 @@
             OrderEnd::Taken => return,
             OrderEnd::Unanswered => UNSETTLED,
             OrderEnd::Refused(_) | OrderEnd::NotSent => {
-                self.pipeline.engine_back(&engine.id);
+                self.pipeline.resume_engine(&engine.id);
                 if let Some(planner) = self.planners.get_mut(&engine.service) {
                     planner.not_taken(&engine.id);
                 }
@@ -222,7 +222,7 @@
         let Some(fence) = self.leadership.begin_call() else {
             return (OrderEnd::NotSent, None);
         };
-        let facts = OrderFacts {
+        let facts = OrderParameters {
             back_end: &engine.id,
             stage,
             holder: &self.holder,
--- a/crates/serving/src/orders/engine_calls.rs
+++ b/crates/serving/src/orders/engine_calls.rs
@@ -9,7 +9,7 @@
 use ponddrift_http::body::{self, Body};
 
 use crate::connections::Connections;
-use crate::dialect::{Dialect, EngineReport, OrderFacts};
+use crate::dialect::{Dialect, EngineReport, OrderParameters};
 use crate::pipeline::{AnswerOrigin, Pipeline, SendPermit};
 use crate::time::now;
 
@@ -57,7 +57,11 @@
             .flatten()
     }
 
-    pub(super) async fn order(&self, engine: &Arc<BackEnd>, facts: &OrderFacts<'_>) -> OrderEnd {
+    pub(super) async fn order(
+        &self,
+        engine: &Arc<BackEnd>,
+        facts: &OrderParameters<'_>,
+    ) -> OrderEnd {
         let Some(request) = self.build(engine, facts) else {
             return OrderEnd::NotSent;
         };
@@ -93,7 +97,7 @@
         Some(answer)
     }
 
-    fn build(&self, engine: &BackEnd, facts: &OrderFacts<'_>) -> Option<Request<Body>> {
+    fn build(&self, engine: &BackEnd, facts: &OrderParameters<'_>) -> Option<Request<Body>> {
         let call = self.dialect.order(facts);
         let mut request = Request::builder()
             .method(call.method)
--- a/crates/serving/src/peers/rate_limits.rs
+++ b/crates/serving/src/peers/rate_limits.rs
@@ -215,7 +215,7 @@
         drop(placement);
         if let Some(change) = merge.change {
             log_rate_change(&back_end.id, incarnation.0, change, "peer");
-            self.pipeline.rates_have_changed();
+            self.pipeline.notify_rate_change();
         }
         merge
     }
--- a/crates/serving/src/peers/receive.rs
+++ b/crates/serving/src/peers/receive.rs
@@ -117,7 +117,7 @@
         }
         drop(placement);
         if !digest.heads.is_empty() {
-            self.pipeline.heads_have_changed();
+            self.pipeline.notify_prefix_change();
         }
     }
 
--- a/crates/serving/src/pipeline.rs
+++ b/crates/serving/src/pipeline.rs
@@ -162,7 +162,7 @@
     }
 
     /// From now on requests are sent elsewhere: what began now would not end in time.
-    pub fn refuse_new(&self) {
+    pub fn refuse_new_requests(&self) {
         self.refusing.store(true, Ordering::Relaxed);
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Something became known of the heads that engines keep.
-    pub fn heads_have_changed(&self) {
+    pub fn notify_prefix_change(&self) {
         self.heads_changed.notify_waiters();
     }
 
@@ -239,13 +239,13 @@
     }
 
     /// An engine is about to change: it gets nothing new for so long, here and at peers.
-    pub fn engine_away(&self, engine: &BackEnd, time: Duration) {
+    pub fn pause_engine(&self, engine: &BackEnd, time: Duration) {
         self.placement().set_away(engine, time, true, now());
         self.heavy_work_changed.notify_one();
     }
 
     /// An engine that was about to change takes requests again.
-    pub fn engine_back(&self, id: &str) {
+    pub fn resume_engine(&self, id: &str) {
         self.placement().set_back(id);
     }
 
--- a/crates/serving/src/pipeline/announcements.rs
+++ b/crates/serving/src/pipeline/announcements.rs
@@ -109,7 +109,7 @@
         if let Some(change) = change {
             log_rate_change(&back_end.id, back_end.incarnation.0, change, origin.source);
             self.changed_rate_limits.add(Arc::clone(&back_end.id));
-            self.rates_have_changed();
+            self.notify_rate_change();
         }
     }
 
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -15,7 +15,7 @@
 use super::job::Job;
 use super::wait_policy::WaitPolicy;
 use crate::connections::{ExchangeError, NotSent, Reply, Reuse};
-use crate::dialect::{SendFacts, SendStep};
+use crate::dialect::{SendMetadata, SendStep};
 use crate::request_trace::{Step, milliseconds};
 use crate::time::now;
 
@@ -95,7 +95,7 @@
         back_end: &Arc<BackEnd>,
         order: SendOrder<'_>,
     ) -> HeadEnd {
-        let facts = SendFacts {
+        let facts = SendMetadata {
             back_end: &back_end.id,
             time_left: job.time_left(),
             tenant: job.tenant.as_ref().map(|tenant| &*tenant.name),
@@ -232,21 +232,21 @@
         let status = Some(head.status.as_u16());
         // Another back end that took over the address says so with this status, and speaks for itself.
         let is_another = head.status == StatusCode::MISDIRECTED_REQUEST;
-        if facts.belongs && !is_another {
-            let origin = AnswerOrigin::request(purpose(step), sent, !facts.not_run);
+        if facts.matches_request && !is_another {
+            let origin = AnswerOrigin::request(purpose(step), sent, !facts.was_not_run);
             self.note_announcement(back_end, head.status, &head.headers, origin);
         }
         let is_for_caller = !matches!(step, SendStep::Prefill);
         let is_success = head.status.is_success();
         let is_encoded = head.headers.contains_key(http::header::CONTENT_ENCODING);
-        let (end, outcome) = if !facts.belongs {
+        let (end, outcome) = if !facts.matches_request {
             let end = HeadEnd::Unsure("answer_to_another_request");
             (end, Some(Outcome::Broken))
-        } else if facts.not_run {
+        } else if facts.was_not_run {
             (HeadEnd::NotRun("back_end_refused"), None)
         } else if is_encoded {
             (HeadEnd::Unsure("answer_encoded"), Some(Outcome::Broken))
-        } else if is_for_caller && is_success && !facts.signed {
+        } else if is_for_caller && is_success && !facts.is_signed {
             (HeadEnd::Unsure("answer_unsigned"), Some(Outcome::Broken))
         } else {
             let reply = Reply {
@@ -281,7 +281,7 @@
         self.placement().set_away(back_end, time, false, now());
     }
 
-    fn build(&self, job: &Job, facts: &SendFacts<'_>) -> Option<Request<body::Body>> {
+    fn build(&self, job: &Job, facts: &SendMetadata<'_>) -> Option<Request<body::Body>> {
         let path = job.uri.path_and_query().map_or("/", |path| path.as_str());
         let mut request = Request::builder()
             .method(job.method.clone())
--- a/crates/serving/src/pipeline/intake.rs
+++ b/crates/serving/src/pipeline/intake.rs
@@ -16,9 +16,9 @@
 use super::answers::Failure;
 use super::guards::{HeldBytes, InProgress};
 use super::job::Job;
-use crate::dialect::RequestFacts;
+use crate::dialect::RequestMetadata;
 use crate::fleet_state::InForce;
-use crate::request_trace::{RequestTrace, SERVED_TARGET, milliseconds};
+use crate::request_trace::{RequestTrace, SERVED_LOG_TARGET, milliseconds};
 use crate::time::{self, now};
 
 /// An own answer leaves this long before the caller's time is over, so that it arrives.
@@ -120,7 +120,7 @@
         self: &Arc<Self>,
         head: request::Parts,
         body: &mut Incoming,
-        mut facts: RequestFacts,
+        mut facts: RequestMetadata,
         arrived: std::time::Instant,
     ) -> Result<Job, Failure> {
         if self.is_refusing() {
@@ -216,7 +216,7 @@
             took,
         };
         if outcome == "served" && in_time {
-            write_end!(SERVED_TARGET, job, end);
+            write_end!(SERVED_LOG_TARGET, job, end);
         } else {
             job.trace.write(&job.id);
             write_end!(module_path!(), job, end);
--- a/crates/serving/src/pipeline/job.rs
+++ b/crates/serving/src/pipeline/job.rs
@@ -12,7 +12,7 @@
 
 use super::Pipeline;
 use super::guards::HeldBytes;
-use crate::dialect::RequestFacts;
+use crate::dialect::RequestMetadata;
 use crate::request_trace::RequestTrace;
 use crate::time::now;
 
@@ -29,7 +29,7 @@
     pub(super) body: Bytes,
     /// Counts the body while it is held.
     pub(super) _held_bytes: HeldBytes,
-    pub(super) facts: RequestFacts,
+    pub(super) facts: RequestMetadata,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<Service>,
     /// Whose request it is; none on routes that need no key.
--- a/crates/serving/src/pipeline/plain.rs
+++ b/crates/serving/src/pipeline/plain.rs
@@ -197,7 +197,7 @@
         let body = body::read_all(body, LARGEST_ANSWER_BYTES, time)
             .await
             .ok()?;
-        reply.connection.give_back(&head.headers);
+        reply.connection.return_to_pool(&head.headers);
         Some(WholeAnswer { head, body })
     }
 }
--- a/crates/serving/src/pipeline/prefill.rs
+++ b/crates/serving/src/pipeline/prefill.rs
@@ -135,7 +135,7 @@
         };
         if let Some(usage) = HeadUse::of(prompt, engine, state) {
             self.placement().prefixes.used(usage, now());
-            self.heads_have_changed();
+            self.notify_prefix_change();
             // Peers should know of it at once: what they do not know of they have read again.
             self.heavy_work_changed.notify_one();
         } else if state == HeadState::Kept {
@@ -152,7 +152,7 @@
         let head = job.facts.prompt.as_ref().and_then(Prompt::shared_head);
         if let Some(head) = head {
             self.placement().prefixes.was_missing(&engine.id, head);
-            self.heads_have_changed();
+            self.notify_prefix_change();
         }
     }
 }
--- a/crates/serving/src/pipeline/probe.rs
+++ b/crates/serving/src/pipeline/probe.rs
@@ -10,7 +10,7 @@
 
 use super::Pipeline;
 use super::announcements::AnswerOrigin;
-use crate::dialect::SmallCall;
+use crate::dialect::BodylessCall;
 use crate::time::now;
 
 /// Time for a health check.
@@ -119,7 +119,7 @@
         back_end: &Arc<BackEnd>,
         path: &str,
     ) -> CheckEnd {
-        let call = SmallCall {
+        let call = BodylessCall {
             method: Method::GET,
             path: path.to_owned(),
         };
--- a/crates/serving/src/pipeline/rate_wait.rs
+++ b/crates/serving/src/pipeline/rate_wait.rs
@@ -143,7 +143,7 @@
     }
 
     /// A rate limit is another than before: requests that wait look anew.
-    pub(crate) fn rates_have_changed(&self) {
+    pub(crate) fn notify_rate_change(&self) {
         self.rates_changed.notify_waiters();
     }
 }
--- a/crates/serving/src/pipeline/relay.rs
+++ b/crates/serving/src/pipeline/relay.rs
@@ -199,7 +199,7 @@
         self.pipeline
             .placement()
             .meter_stream(service, slots, time, now());
-        stream.connection.give_back(&stream.head.headers);
+        stream.connection.return_to_pool(&stream.head.headers);
         self.close(200, "served");
     }
 
--- a/crates/serving/src/pipeline/wait_policy.rs
+++ b/crates/serving/src/pipeline/wait_policy.rs
@@ -114,7 +114,7 @@
                 () = sleep => {}
             }
             if !asks {
-                self.connections.distrust_idle(back_end.address);
+                self.connections.discard_idle(back_end.address);
                 return Err(if time < LEAST_SILENCE {
                     WaitEnd::OutOfTime
                 } else if wait_policy.is_behind && self.lives_since(back_end, begun) {
@@ -133,7 +133,7 @@
                 answer = &mut answer => return Ok(answer),
                 check = self.check_health(back_end, health_path) => {
                     if check == CheckEnd::Unwell {
-                        self.connections.distrust_idle(back_end.address);
+                        self.connections.discard_idle(back_end.address);
                         return Err(WaitEnd::Unresponsive);
                     }
                 }
--- a/crates/serving/src/request_trace.rs
+++ b/crates/serving/src/request_trace.rs
@@ -9,7 +9,7 @@
 use crate::time::now;
 
 /// Target of the line of a request that was served in time: where there is no room for all lines, these go first.
-pub const SERVED_TARGET: &str = "served";
+pub const SERVED_LOG_TARGET: &str = "served";
 /// Most decisions kept of one request.
 const MAXIMUM_STEPS: usize = 32;
 
