--- a/crates/serving/src/dialect.rs
+++ b/crates/serving/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What an adapter translates between the pipeline and the wire.
+//! The interface through which an adapter translates between the pipeline and the wire protocol.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,37 +13,37 @@
 use ponddrift_fleet::tenants::Credential;
 use ponddrift_http::body::{self, Body};
 
-/// What a caller's request head tells.
+/// What the pipeline needs from the head of a caller's request.
 #[derive(Debug, Clone, Default)]
 pub struct RequestMetadata {
-    /// Identity of the request; every try of a caller has its own.
+    /// ID of the request. Each attempt of a caller has its own.
     pub id: Option<Arc<str>>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub time_limit: Option<Duration>,
-    /// The prompt, where there is one.
+    /// The prompt, if the request has one.
     pub prompt: Option<Prompt>,
-    /// The stream goes on after this event.
+    /// ID of the last event that the caller has; the stream continues after it.
     pub resume_after: Option<u64>,
-    /// Who sends it.
+    /// Credential of the caller.
     pub credential: Credential,
 }
 
-/// What one send to a back end says beside the caller's own headers.
+/// What a send to a back end carries in addition to the caller's own headers.
 #[derive(Debug)]
 pub struct SendMetadata<'a> {
-    /// The life that must answer.
+    /// Instance ID of the back end that must answer.
     pub back_end: &'a str,
-    /// How long the answer is of use.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
-    /// Name of the tenant whose request it is; none where it has none.
+    /// Name of the request's tenant, if it has one.
     pub tenant: Option<&'a str>,
-    /// Rank; 0 is the most urgent.
+    /// Rank at the back end; 0 is the most urgent.
     pub priority: u8,
-    /// What is to be done.
+    /// What the back end is asked to do.
     pub step: SendStep<'a>,
-    /// The stream goes on after this event.
+    /// ID of the last event that the caller has; the stream continues after it.
     pub resume_after: Option<u64>,
-    /// An engine that keeps the prompt's head, to be fetched from there.
+    /// An engine that holds the shared prefix of the prompt, which is fetched from there.
     pub fetch_from: Option<SocketAddr>,
 }
 
@@ -52,46 +52,46 @@
 pub enum SendStep<'a> {
     /// Answer it.
     Serve,
-    /// Only read its prompt.
+    /// Only prefill its prompt.
     Prefill,
-    /// Answer it with the KV cache that another engine keeps.
+    /// Answer it with the KV cache that another engine holds.
     Continue {
-        /// Engine that keeps it.
+        /// Address of the engine that holds the KV cache.
         source: SocketAddr,
-        /// Its handle there.
+        /// Handle of the KV cache at that engine.
         handle: &'a str,
     },
 }
 
-/// What an answer's head tells.
+/// What the pipeline needs from the head of an answer.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerMetadata {
-    /// It answers the request that was sent.
+    /// Whether the answer is for the request that was sent.
     pub matches_request: bool,
-    /// It bears the signature of a back end that ran the request.
+    /// Whether the answer carries the signature of a back end that ran the request.
     pub is_signed: bool,
-    /// The back end says that it did not run the request.
+    /// Whether the back end states that it did not run the request.
     pub was_not_run: bool,
 }
 
-/// What a prefill engine answers.
+/// Answer of a prefill engine.
 #[derive(Debug, Clone)]
 pub struct PrefillResult {
     /// Handle of the KV cache.
     pub handle: String,
 }
 
-/// A small call to a back end.
+/// A call to a back end without a request body.
 #[derive(Debug, Clone)]
 pub struct BodylessCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Request path.
     pub path: String,
 }
 
 impl BodylessCall {
-    /// The request to the back end at `address`; none if the path is none.
+    /// Builds the request to the back end at `address`; `None` if the path is not valid.
     #[must_use]
     pub fn request(self, address: SocketAddr) -> Option<Request<Body>> {
         Request::builder()
@@ -103,84 +103,87 @@
     }
 }
 
-/// What an engine says of its state.
+/// State that an engine reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Its stage.
+    /// Stage of the engine.
     pub stage: Option<Stage>,
-    /// Whether an order is under way.
+    /// Whether the engine is carrying out an order.
     pub is_changing: bool,
-    /// Orders that it has taken.
+    /// Number of orders that the engine has accepted.
     pub sequence: u64,
 }
 
-/// A part of a prompt that an engine took up or gave up, as it tells afterwards.
+/// A prompt part that an engine has cached or evicted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Identity of the part.
+    /// ID of the prompt part.
     pub part: String,
-    /// Tokens of it that are kept now; 0 where it gave way.
+    /// Tokens of the part in the cache; 0 after an eviction.
     pub tokens: u32,
 }
 
-/// An order to an engine.
+/// An order to an engine to change its stage.
 #[derive(Debug, Clone, Copy)]
 pub struct OrderParameters<'a> {
-    /// The life that must take it.
+    /// Instance ID of the engine that must accept the order.
     pub back_end: &'a str,
-    /// The stage that it is to have.
+    /// Stage that the engine changes to.
     pub stage: Stage,
-    /// Who orders.
+    /// ID of the leader that sends the order.
     pub holder: &'a str,
-    /// Fencing token.
+    /// Fencing token of the leader.
     pub fence: u64,
-    /// Orders that it has taken so far; with another count it does not take this one.
+    /// Number of orders that the engine has accepted so far. The engine rejects the order if the
+    /// numbers differ.
     pub expected_sequence: u64,
 }
 
-/// A call with a body.
+/// A call with a request body.
 #[derive(Debug, Clone)]
 pub struct BodyCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Request path.
     pub path: String,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// The words of callers and back ends.
+/// The wire protocol of callers and back ends.
 pub trait Dialect: Send + Sync + 'static {
     /// Reads the head of a caller's request.
     fn read_request(&self, headers: &HeaderMap) -> RequestMetadata;
-    /// Removes what is not passed on: the caller's credential, and headers that only this system may set.
+    /// Removes headers that are not forwarded: the caller's credential and headers that only this
+    /// system may set.
     fn strip_reserved(&self, headers: &mut HeaderMap);
     /// Writes the headers of one send.
-    fn write_send(&self, headers: &mut HeaderMap, facts: &SendMetadata<'_>);
+    fn write_send(&self, headers: &mut HeaderMap, metadata: &SendMetadata<'_>);
     /// Reads the head of a back end's answer to request `id`.
     fn read_answer(&self, head: &response::Parts, id: &str) -> AnswerMetadata;
-    /// Reads what any answer of a back end says of the back end itself.
+    /// Reads the availability that a back end announces in an answer.
     fn read_announcement(&self, status: StatusCode, headers: &HeaderMap) -> Announcement;
-    /// Reads how many requests a second a back end says in an answer that it takes from all daemons together.
+    /// Reads the rate limit that a back end announces in an answer: requests a second from all
+    /// daemons together.
     fn read_rate(&self, headers: &HeaderMap) -> AnnouncedRate;
     /// Reads the body of a prefill engine's answer.
     fn read_prefill(&self, body: &[u8]) -> Option<PrefillResult>;
-    /// The call that frees a handle.
+    /// The call that releases a KV cache handle.
     fn release_handle(&self, handle: &str) -> BodylessCall;
-    /// The call that asks an engine for what it lately took up and gave up.
+    /// The call that queries an engine's recent cache insertions and evictions.
     fn cache_events(&self) -> BodylessCall;
-    /// Reads the answer to it, oldest first.
+    /// Reads the answer to the cache query, oldest event first.
     fn read_cache_events(&self, body: &[u8]) -> Option<Vec<CacheEvent>>;
-    /// The call that asks an engine for its state.
+    /// The call that queries an engine's state.
     fn report(&self) -> BodylessCall;
-    /// Reads the answer to it.
+    /// Reads the answer to the state query.
     fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
-    /// The call that orders an engine.
-    fn order(&self, facts: &OrderParameters<'_>) -> BodyCall;
-    /// Identity that a health check's answer names.
+    /// The call that sends an order to an engine.
+    fn order(&self, parameters: &OrderParameters<'_>) -> BodyCall;
+    /// Instance ID in the answer to a health check.
     fn health_identity<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str>;
-    /// Adds to an answer of our own whose request it answers.
+    /// Marks an answer of this daemon itself with the ID of the request that it answers.
     fn mark_own_answer(&self, headers: &mut HeaderMap, id: &str);
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,10 +1,17 @@
-//! The request pipeline of a fleet whose configuration and directory lie in a store.
+//! The request pipeline of a fleet whose configuration and back-end directory are kept in a store.
 //!
-//! [`pipeline`] takes requests of callers and brings back answers; [`fleet_state`] holds what the store told;
-//! [`follow`] keeps it new; [`peers`] tells other daemons about own work and hands on newer state;
-//! [`leader`] elects the daemon that does what is done once for all: [`orders`] changes the stages of engines, [`capacity`]
-//! their number, [`usage`] reports what tenants used; [`connections`] pools connections to back ends. How callers, back ends, the store and the
-//! provider speak comes from an adapter through [`dialect`], [`store`] and [`provider`].
+//! [`pipeline`] accepts requests from callers, forwards them to back ends and returns the answers.
+//! [`listeners`] opens the ports for callers and for status checks. [`connections`] pools the
+//! connections to back ends.
+//!
+//! [`fleet_state`] caches the contents of the store and [`follow`] keeps the cache up to date.
+//! [`peers`] publishes this daemon's own work to other daemons and relays newer state.
+//!
+//! [`leader`] elects the daemon that runs the fleet-wide tasks: [`orders`] changes the stages of
+//! engines, [`capacity`] adjusts their number, and [`usage`] reports the usage of tenants.
+//!
+//! An adapter implements the protocols of callers, back ends, the store and the provider through
+//! the traits in [`dialect`], [`store`] and [`provider`].
 
 pub mod back_end_index;
 pub mod capacity;
--- a/crates/serving/src/listeners.rs
+++ b/crates/serving/src/listeners.rs
@@ -1,4 +1,4 @@
-//! Listens: callers, and whoever asks whether this daemon is ready or what its figures are.
+//! HTTP listeners for callers and for status checks (readiness and metrics).
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,35 +14,36 @@
 use crate::metrics::Metrics;
 use crate::pipeline::{CallerHandler, Pipeline};
 
-/// A caller's connection is not closed for resting: a request on its way at that moment would be lost.
-const REST_LIMIT: Duration = Duration::from_secs(120);
-/// Time callers of a stopping daemon have to close their connections.
-const CLOSE_NOTICE: Duration = Duration::from_millis(800);
-/// Path of the figures.
+/// Idle time before a connection of a caller is closed; long, because closing would lose a request
+/// that is just arriving.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// How long callers have to close their connections when the daemon stops.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(800);
+/// Path that serves the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 /// Serves callers at `address`.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// If the address cannot be bound.
 pub async fn serve_callers(
     runtime: &Runtime,
     address: SocketAddr,
     pipeline: &Arc<Pipeline>,
 ) -> io::Result<Server> {
     let settings = ServerSettings {
-        header_time_limit: REST_LIMIT,
-        close_notice: CLOSE_NOTICE,
+        header_time_limit: IDLE_TIMEOUT,
+        close_notice: SHUTDOWN_GRACE,
         ..ServerSettings::default()
     };
     let handler = Arc::new(CallerHandler(Arc::clone(pipeline)));
     Server::start(runtime, address, settings, handler).await
 }
 
-/// Answers at `address` whether the daemon is ready, and its figures.
+/// Serves the readiness check and the metrics at `address`.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// If the address cannot be bound.
 pub async fn serve_status(
     runtime: &Runtime,
     address: SocketAddr,
@@ -54,7 +55,7 @@
         metrics: Arc::clone(metrics),
     });
     let settings = ServerSettings {
-        header_time_limit: REST_LIMIT,
+        header_time_limit: IDLE_TIMEOUT,
         close_notice: Duration::ZERO,
         ..ServerSettings::default()
     };
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Files quarantines in the store: they outlast the loss of all daemons there, and a daemon that starts reads them with
-//! everything else.
+//! Writes quarantines to the store, so that they outlast a loss of all daemons and daemons read
+//! them when they start.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 use crate::store::{FleetStore, StoreError};
 use crate::time::now;
 
-/// Daemons that know of a quarantine from others file it after a random time up to this, where the daemon that found it out
-/// has not, because it ended or cannot reach the store.
-const FILING_SPREAD: Duration = Duration::from_secs(2);
-/// Pause after a call that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum delay before a daemon writes a quarantine that it learned from others. It writes only if
+/// the daemon that found it has not, because that one exited or cannot reach the store.
+const MAX_WRITE_DELAY: Duration = Duration::from_secs(2);
+/// Pause after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Starts to file quarantines.
+/// Starts the task that writes quarantines.
 pub fn start(runtime: &Runtime, store: &Arc<dyn FleetStore>, state: &Arc<FleetState>) {
-    let filing = Filing {
+    let filing = QuarantineWriter {
         store: Arc::clone(store),
         state: Arc::clone(state),
         random: Pcg64Mcg::seed_from_u64(runtime.seed.rotate_left(43)),
@@ -30,52 +30,53 @@
     runtime.spawner.spawn(Box::pin(filing.run()));
 }
 
-struct Filing {
+struct QuarantineWriter {
     store: Arc<dyn FleetStore>,
     state: Arc<FleetState>,
     random: Pcg64Mcg,
 }
 
-impl Filing {
+impl QuarantineWriter {
     async fn run(mut self) {
         loop {
             self.state.quarantine_changed().notified().await;
-            self.release_all().await;
-            while let Some(unfiled) = self.next_unfiled() {
+            self.write_releases().await;
+            while let Some(unfiled) = self.next_unwritten() {
                 let is_its_turn = self.wait_for_its_turn(&unfiled).await;
                 if !is_its_turn || self.state.quarantine().is_filed(unfiled.fingerprint) {
                     continue;
                 }
-                if !self.file(&unfiled).await {
-                    tokio::time::sleep(FAILURE_PAUSE).await;
+                if !self.write_quarantine(&unfiled).await {
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Own finds first.
-    fn next_unfiled(&self) -> Option<Unfiled> {
+    /// The next quarantine to write; those that this daemon found itself come first.
+    fn next_unwritten(&self) -> Option<Unfiled> {
         let mut unfiled = self.state.quarantine().unfiled(now());
         unfiled.sort_by_key(|unfiled| !unfiled.is_own);
         unfiled.into_iter().next()
     }
 
-    /// Returns false where something changed meanwhile: an own find goes first.
+    /// Waits until the quarantine may be written. Returns `false` if the set of quarantines changed
+    /// meanwhile, because one found by this daemon takes precedence.
     async fn wait_for_its_turn(&mut self, unfiled: &Unfiled) -> bool {
         if unfiled.is_own {
             return true;
         }
-        let spread = self.random.random_range(0.2..1.0);
-        let turn = tokio::time::sleep(FILING_SPREAD.mul_f64(spread));
+        let fraction = self.random.random_range(0.2..1.0);
+        let delay = tokio::time::sleep(MAX_WRITE_DELAY.mul_f64(fraction));
         tokio::select! {
             biased;
             () = self.state.quarantine_changed().notified() => false,
-            () = turn => true,
+            () = delay => true,
         }
     }
 
-    /// Returns whether the store holds it now.
-    async fn file(&self, unfiled: &Unfiled) -> bool {
+    /// Returns whether the store holds the quarantine now.
+    async fn write_quarantine(&self, unfiled: &Unfiled) -> bool {
         let fingerprint = unfiled.fingerprint;
         let filing = self
             .store
@@ -97,11 +98,12 @@
         }
     }
 
-    async fn release_all(&self) {
+    async fn write_releases(&self) {
         let cleared = self.state.quarantine().take_releases();
         for fingerprint in cleared {
             if let Err(error) = self.release(fingerprint).await {
-                // Its lease ends it in any case, and daemons that were told of the good run serve the request.
+                // The lease expires the quarantine anyway, and daemons that learned of the
+                // successful run serve the request.
                 tracing::warn!(%fingerprint, %error, "quarantine_not_released");
             }
         }
