--- a/crates/serving/src/pipeline/relay.rs
+++ b/crates/serving/src/pipeline/relay.rs
@@ -1,8 +1,8 @@
-//! Passes a stream on, event by event, and goes on elsewhere where its engine fails.
+//! Forwards a stream event by event, and resumes it on another engine if its engine fails.
 //!
-//! Only whole events are passed on, so that what follows from another engine begins where the last ended. The
-//! caller keeps the head of the first engine. Pieces are made only as the caller takes them, so a caller that
-//! does not read holds up its engine and no memory.
+//! Only complete events are forwarded, so that another engine can continue exactly after the last
+//! one. The caller keeps the response head of the first engine. Events are read only as the caller
+//! consumes them, so a slow caller holds up its engine instead of filling memory.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,38 +15,40 @@
 use ponddrift_http::body::BodyError;
 
 use super::Pipeline;
-use super::first_event::{Flow, take_frame};
+use super::first_event::{BodyState, push_frame};
 use super::generate::OpenStream;
 use super::guards::InProgress;
 use super::job::Job;
 use super::wait_policy::{WaitEnd, WaitPolicy};
-use crate::request_trace::Step;
+use crate::request_trace::TraceStep;
 use crate::time::now;
 
-/// The health of an engine whose next event is this many target gaps late is asked for,
-const GAP_FACTOR: u32 = 3;
-/// but not sooner than this.
-const LEAST_GAP_WAIT: Duration = Duration::from_millis(300);
-/// A resumable stream without an event for this long goes on elsewhere; callers leave after two seconds.
-const LONGEST_GAP: Duration = Duration::from_millis(1_300);
+/// An engine's health is checked when its next event is overdue by this multiple of the target gap,
+/// but not before [`MIN_GAP_WAIT`].
+const GAP_CHECK_FACTOR: u32 = 3;
+/// Minimum silence of an engine before its health is checked.
+const MIN_GAP_WAIT: Duration = Duration::from_millis(300);
+/// A resumable stream without an event for this long is resumed elsewhere, before callers give up
+/// after two seconds.
+const RESUME_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// A stream on its way to its caller.
+/// A stream that is being forwarded to its caller.
 pub(super) struct Relay {
     pipeline: Arc<Pipeline>,
     job: Job,
     stream: Option<OpenStream>,
-    last_id: Option<u64>,
+    last_event_id: Option<u64>,
     last_event: Option<Instant>,
-    is_closed: bool,
+    is_finished: bool,
     _in_progress: InProgress,
 }
 
-/// The caller sees its connection end early, which no complete answer does.
+/// Ends the caller's connection early, so that the caller can tell the answer from a complete one.
 #[derive(Debug, thiserror::Error)]
-#[error("the stream broke off: {0}; ask again")]
-struct BrokenOff(&'static str);
+#[error("the stream ended early ({0}); retry the request")]
+struct StreamBroken(&'static str);
 
-enum Next {
+enum NextItem {
     Event(Event),
     End,
     Broken(&'static str),
@@ -60,52 +62,52 @@
         stream: OpenStream,
         in_progress: InProgress,
     ) -> Self {
-        let last_id = job.facts.resume_after;
+        let last_event_id = job.metadata.resume_after;
         Self {
             pipeline: Arc::clone(pipeline),
             job,
             stream: Some(stream),
-            last_id,
+            last_event_id,
             last_event: None,
-            is_closed: false,
+            is_finished: false,
             _in_progress: in_progress,
         }
     }
 
-    /// The pieces of the body, made as they are asked for.
-    pub(super) fn into_pieces(self) -> impl Stream<Item = Result<Bytes, BodyError>> {
+    /// The chunks of the response body, produced on demand.
+    pub(super) fn into_body_chunks(self) -> impl Stream<Item = Result<Bytes, BodyError>> {
         stream::unfold(self, |mut relay| async move {
-            let piece = relay.next_piece().await?;
-            Some((piece, relay))
+            let chunk = relay.next_chunk().await?;
+            Some((chunk, relay))
         })
     }
 
-    async fn next_piece(&mut self) -> Option<Result<Bytes, BodyError>> {
-        while !self.is_closed {
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, BodyError>> {
+        while !self.is_finished {
             let mut stream = self.stream.take()?;
-            match self.next_of(&mut stream).await {
-                Next::Event(event) => {
-                    self.note_gap(&stream);
-                    stream.first_passed = true;
+            match self.read_next(&mut stream).await {
+                NextItem::Event(event) => {
+                    self.record_gap(&stream);
+                    stream.has_forwarded_event = true;
                     self.stream = Some(stream);
-                    if self.is_repeated(&event) {
+                    if self.is_already_forwarded(&event) {
                         continue;
                     }
-                    self.last_id = event.id.or(self.last_id);
+                    self.last_event_id = event.id.or(self.last_event_id);
                     return Some(Ok(event.bytes));
                 }
-                Next::End => self.complete(stream),
-                Next::Broken(reason) => {
+                NextItem::End => self.complete(stream),
+                NextItem::Broken(reason) => {
                     if let Err(error) = self
-                        .go_on_elsewhere(stream, reason, Some(Outcome::Broken))
+                        .resume_elsewhere(stream, reason, Some(Outcome::Broken))
                         .await
                     {
                         return Some(Err(error));
                     }
                 }
-                Next::WaitEnd(wait_end) => {
+                NextItem::WaitEnd(wait_end) => {
                     let (reason, outcome) = (wait_end.name(), wait_end.outcome());
-                    if let Err(error) = self.go_on_elsewhere(stream, reason, outcome).await {
+                    if let Err(error) = self.resume_elsewhere(stream, reason, outcome).await {
                         return Some(Err(error));
                     }
                 }
@@ -114,18 +116,18 @@
         None
     }
 
-    /// Notes the pause since the event before, if there was one.
-    fn note_gap(&mut self, stream: &OpenStream) {
+    /// Records the time since the previous event, if there is one.
+    fn record_gap(&mut self, stream: &OpenStream) {
         let now = now();
         let engine = &stream.back_end.id;
         let mut placement = self.pipeline.placement();
         placement.health.sign_of_life(engine, now);
-        if stream.first_passed
+        if stream.has_forwarded_event
             && let Some(before) = self.last_event
         {
             let gap = now.saturating_duration_since(before);
             self.pipeline.metrics.gap(gap);
-            // Where the engine was not known to read, the pause is what its streams alone bring about.
+            // Without a pending prefill at the engine, the gap is caused by its streams alone.
             if placement.load.outstanding(engine).prompt_tokens < 1.0 {
                 let service = &self.job.service.name;
                 placement.streams.paused_quietly(service, gap);
@@ -135,22 +137,22 @@
         self.last_event = Some(now);
     }
 
-    /// Whether the caller has this event already.
-    fn is_repeated(&self, event: &Event) -> bool {
-        matches!((event.id, self.last_id), (Some(id), Some(last)) if id <= last)
+    /// Whether the caller already has this event.
+    fn is_already_forwarded(&self, event: &Event) -> bool {
+        matches!((event.id, self.last_event_id), (Some(id), Some(last)) if id <= last)
     }
 
-    async fn next_of(&self, stream: &mut OpenStream) -> Next {
-        if let Some(event) = stream.first.take() {
-            return Next::Event(event);
+    async fn read_next(&self, stream: &mut OpenStream) -> NextItem {
+        if let Some(event) = stream.buffered_event.take() {
+            return NextItem::Event(event);
         }
         let wait_policy = self.wait_policy();
         loop {
             match stream.splitter.next_event() {
-                Ok(Some(event)) => return Next::Event(event),
-                Ok(None) if stream.ended => return Next::End,
+                Ok(Some(event)) => return NextItem::Event(event),
+                Ok(None) if stream.ended => return NextItem::End,
                 Ok(None) => {}
-                Err(_fault) => return Next::Broken("event_too_long"),
+                Err(_fault) => return NextItem::Broken("event_too_long"),
             }
             let waited = self
                 .pipeline
@@ -162,100 +164,103 @@
                 )
                 .await;
             match waited {
-                Err(wait_end) => return Next::WaitEnd(wait_end),
-                Ok(frame) => match take_frame(&mut stream.splitter, frame, "broke_off") {
-                    Ok(Flow::GoesOn) => {}
-                    Ok(Flow::Ended) => return Next::End,
-                    Err(reason) => return Next::Broken(reason),
+                Err(wait_end) => return NextItem::WaitEnd(wait_end),
+                Ok(frame) => match push_frame(&mut stream.splitter, frame, "broke_off") {
+                    Ok(BodyState::Continues) => {}
+                    Ok(BodyState::Ended) => return NextItem::End,
+                    Err(reason) => return NextItem::Broken(reason),
                 },
             }
         }
     }
 
-    /// An engine that is silent in mid-stream is left only where another may go on in its place, and the budget has a
-    /// place for that; its health is asked for first.
+    /// A silent engine is abandoned in mid-stream only if another engine may resume the stream and
+    /// the budget holds a retry. Its health is checked first.
     fn wait_policy(&self) -> WaitPolicy {
         let job = &self.job;
         let Some(gap) = job.route.target_gap else {
             return WaitPolicy::new(job, None, None);
         };
-        if !job.may_run_again() || !self.pipeline.has_repeat(job) {
+        if !job.may_run_again() || !self.pipeline.has_retry(job) {
             return WaitPolicy::new(job, None, None);
         }
-        let suspicious_after = (gap * GAP_FACTOR).max(LEAST_GAP_WAIT);
+        let health_check_after = (gap * GAP_CHECK_FACTOR).max(MIN_GAP_WAIT);
         WaitPolicy::new(
             job,
-            Some(LONGEST_GAP.max(suspicious_after)),
-            Some(suspicious_after),
+            Some(RESUME_TIMEOUT.max(health_check_after)),
+            Some(health_check_after),
         )
     }
 
     fn complete(&mut self, stream: OpenStream) {
-        self.note_end(&stream, "answered", Some(Outcome::Success));
+        self.record_end(&stream, "answered", Some(Outcome::Success));
         self.pipeline.note_good_run(&self.job);
-        let time = now().saturating_duration_since(stream.begun);
+        let time = now().saturating_duration_since(stream.started_at);
         let slots = stream.back_end.slots;
         let service = &self.job.service.name;
         self.pipeline
             .placement()
             .meter_stream(service, slots, time, now());
         stream.connection.return_to_pool(&stream.head.headers);
-        self.close(200, "served");
+        self.finish(200, "served");
     }
 
-    /// Leaves a failed engine: its connection closes first, which ends its work, then another goes on.
-    async fn go_on_elsewhere(
+    /// Resumes the stream on another engine. The connection to the failed engine must close first,
+    /// which cancels the work there.
+    async fn resume_elsewhere(
         &mut self,
         stream: OpenStream,
         reason: &'static str,
         outcome: Option<Outcome>,
     ) -> Result<(), BodyError> {
-        self.note_end(&stream, reason, outcome);
+        self.record_end(&stream, reason, outcome);
         self.pipeline
-            .run_was_cut(&self.job, &stream.back_end, outcome, stream.begun)
+            .check_lost_run(&self.job, &stream.back_end, outcome, stream.started_at)
             .await;
-        // Those that refused it when it began may have room by now.
+        // Back ends that refused the request at its start may have capacity by now.
         self.job.tried = vec![Arc::clone(&stream.back_end.id)];
         drop(stream);
         if !self.job.may_run_again() {
-            return Err(self.break_off(reason));
+            return Err(self.fail_stream(reason));
         }
-        let after = self.last_id;
-        self.job.trace.add(Step::Resumed { after, reason });
+        let after = self.last_event_id;
+        self.job
+            .trace
+            .add(TraceStep::StreamResumed { after, reason });
         self.pipeline.metrics.resumed();
         match self.pipeline.open_stream(&mut self.job, after).await {
             Ok(stream) => {
                 self.stream = Some(stream);
                 Ok(())
             }
-            Err(_not_opened) => Err(self.break_off(reason)),
+            Err(_not_opened) => Err(self.fail_stream(reason)),
         }
     }
 
-    fn note_end(&mut self, stream: &OpenStream, name: &'static str, outcome: Option<Outcome>) {
+    fn record_end(&mut self, stream: &OpenStream, name: &'static str, outcome: Option<Outcome>) {
         if let Some(outcome) = outcome {
             self.pipeline
                 .note_outcome(&stream.back_end, &self.job.service.health_path, outcome);
         }
         self.pipeline.attempt_ended(
             &mut self.job,
-            Step::Ended {
+            TraceStep::AttemptEnded {
                 purpose: "stream",
                 back_end: Arc::clone(&stream.back_end.id),
                 outcome: name,
                 status: Some(stream.head.status.as_u16()),
-                took: now().saturating_duration_since(stream.begun),
+                took: now().saturating_duration_since(stream.started_at),
             },
         );
     }
 
-    fn break_off(&mut self, reason: &'static str) -> BodyError {
-        self.close(200, "broken_off");
-        Box::new(BrokenOff(reason))
+    fn fail_stream(&mut self, reason: &'static str) -> BodyError {
+        self.finish(200, "broken_off");
+        Box::new(StreamBroken(reason))
     }
 
-    fn close(&mut self, status: u16, outcome: &'static str) {
-        self.is_closed = true;
-        self.pipeline.close(&mut self.job, status, outcome);
+    fn finish(&mut self, status: u16, outcome: &'static str) {
+        self.is_finished = true;
+        self.pipeline.finish(&mut self.job, status, outcome);
     }
 }
--- a/crates/serving/src/pipeline/retry_pool.rs
+++ b/crates/serving/src/pipeline/retry_pool.rs
@@ -1,4 +1,4 @@
-//! Retries that the daemons of a zone save up together, where one daemon alone cannot.
+//! The retry pool that the daemons of a zone share if a single daemon earns too few retries.
 
 use std::sync::{Arc, MutexGuard};
 use std::time::{Duration, Instant};
@@ -10,14 +10,16 @@
 use crate::peers;
 use crate::time::now;
 
-/// Time for the keeper's answer: some round trips within a zone, and its scheduling. A keeper that is gone costs a failed request
-/// no more than this.
-const KEEPER_LIMIT: Duration = Duration::from_millis(50);
-/// After the pool had nothing it is not asked again for this long: when all engines fail, every request would.
-const EMPTY_PAUSE: Duration = Duration::from_millis(250);
+/// Time limit for the pool owner's answer: a few round trips within a zone plus scheduling. It
+/// bounds the delay of a request if the pool owner is gone.
+const POOL_REQUEST_TIMEOUT: Duration = Duration::from_millis(50);
+/// Pause after the pool denied a retry. If all engines fail, every request would ask the pool
+/// otherwise.
+const POOL_EMPTY_PAUSE: Duration = Duration::from_millis(250);
 
 impl Pipeline {
-    /// What this daemon earned since the last call; nothing where it saves up itself.
+    /// Takes the retries that this daemon earned since the last call; empty if it keeps its own
+    /// budget.
     pub(crate) fn take_deposits(&self) -> Vec<(Arc<str>, f64)> {
         let mut budget = self.budget();
         if budget.is_pooled() {
@@ -27,57 +29,62 @@
         }
     }
 
-    /// A daemon of the zone puts in what it earned.
+    /// Adds the retries that a daemon of the zone earned to the pool.
     pub(crate) fn receive_deposits(&self, deposits: &Deposits) {
         let topology = self.state.topology();
-        let of_zone = topology.neighbours.len() + 1;
-        let most = pool_share(self.budget_settings, of_zone, topology.daemons);
-        self.retry_pool().deposit(deposits, most);
+        let zone_daemons = topology.neighbours.len() + 1;
+        let zone_share = pool_share(self.budget_settings, zone_daemons, topology.daemons);
+        self.retry_pool().deposit(deposits, zone_share);
     }
 
-    /// Takes a retry from the pool that this daemon keeps.
+    /// Takes a retry from the pool that this daemon owns.
     pub(crate) fn withdraw_from_pool(&self, service: u32) -> bool {
         self.retry_pool().withdraw(service)
     }
 
-    /// Asks the zone's pool for a retry.
+    /// Asks the pool of the zone for a retry.
     pub(super) async fn withdraw_retry(&self, service: &str) -> bool {
-        let Some(keeper) = self.state.topology().retry_pool_keeper() else {
+        let Some(pool_owner) = self.state.topology().retry_pool_keeper() else {
             return false;
         };
-        if !self.pool_may_have_one() {
+        if !self.pool_may_have_retry() {
             return false;
         }
         let service = hash(service);
-        let granted = if keeper == self.state.own().peer_address {
+        let granted = if pool_owner == self.state.own().peer_address {
             self.withdraw_from_pool(service)
         } else {
-            self.ask_keeper(keeper, service).await
+            self.request_retry_from_pool(pool_owner, service).await
         };
         if !granted {
-            *self.pool_was_empty() = Some(now());
+            *self.pool_last_empty() = Some(now());
         }
         granted
     }
 
-    async fn ask_keeper(&self, keeper: std::net::SocketAddr, service: u32) -> bool {
-        match peers::withdraw_retry(&self.runtime, keeper, service, KEEPER_LIMIT).await {
+    async fn request_retry_from_pool(
+        &self,
+        pool_owner: std::net::SocketAddr,
+        service: u32,
+    ) -> bool {
+        match peers::withdraw_retry(&self.runtime, pool_owner, service, POOL_REQUEST_TIMEOUT).await
+        {
             Ok(granted) => granted,
             Err(error) => {
-                tracing::info!(%keeper, %error, "retry_pool_unreachable");
+                tracing::info!(%pool_owner, %error, "retry_pool_unreachable");
                 false
             }
         }
     }
 
-    /// Whether the zone's pool is worth asking.
-    pub(super) fn pool_may_have_one(&self) -> bool {
-        let was_empty = *self.pool_was_empty();
-        was_empty.is_none_or(|last| now().saturating_duration_since(last) >= EMPTY_PAUSE)
+    /// Whether the pool may hold a retry, as far as this daemon knows.
+    pub(super) fn pool_may_have_retry(&self) -> bool {
+        let was_empty = *self.pool_last_empty();
+        was_empty.is_none_or(|last| now().saturating_duration_since(last) >= POOL_EMPTY_PAUSE)
     }
 
-    fn pool_was_empty(&self) -> MutexGuard<'_, Option<Instant>> {
-        self.pool_was_empty
+    fn pool_last_empty(&self) -> MutexGuard<'_, Option<Instant>> {
+        self.pool_last_empty
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
--- a/crates/serving/src/pipeline/send_gate.rs
+++ b/crates/serving/src/pipeline/send_gate.rs
@@ -1,7 +1,7 @@
-//! The last check before anything is sent to a back end.
+//! The final check before anything is sent to a back end.
 //!
-//! A request may have waited for a prompt to be read, for a retry or for its turn since its back end was chosen. Every send needs a
-//! [`SendPermit`], so that none leaves unchecked.
+//! After its back end was chosen, a request may have waited for a prefill, a retry or its turn.
+//! Every send requires a [`SendPermit`], so that none goes out unchecked.
 
 use ponddrift_fleet::announcements::Availability;
 use ponddrift_fleet::directory::BackEnd;
@@ -9,18 +9,19 @@
 use super::Pipeline;
 use crate::time::now;
 
-/// Leave to send one message to a back end.
+/// Permission to send one message.
 #[derive(Debug)]
 pub struct SendPermit {
-    _made_here: (),
+    _private: (),
 }
 
 impl SendPermit {
-    const GRANTED: Self = Self { _made_here: () };
+    const GRANTED: Self = Self { _private: () };
 
-    /// For calls that are no requests to a back end: those to the store and the provider, and at an engine an order of the leader with
-    /// the report before it, and freeing a handle. The latter are few and take no slot, and holding them up would hold up a change or
-    /// keep memory taken.
+    /// Permission for calls that need no check: those to the store and the provider, and the
+    /// leader's orders, status reports and releases of KV cache handles at engines. The calls to
+    /// engines are few and take no slot, and delaying them would delay a stage change or keep
+    /// memory in use.
     #[must_use]
     pub const fn control_call() -> Self {
         Self::GRANTED
@@ -28,8 +29,8 @@
 }
 
 impl Pipeline {
-    /// Leave to send a request that is to leave now, or why it must not. Takes a token where the back end limits the rate of its requests,
-    /// also where the send then fails.
+    /// Permission to send a request now, or the reason why it must not be sent. Takes a token if
+    /// the back end limits its request rate, even if the send fails afterwards.
     pub(super) fn permit_request(&self, back_end: &BackEnd) -> Result<SendPermit, &'static str> {
         if !self.state.takes_requests(&back_end.id, now()) {
             return Err("back_end_drains_or_is_gone");
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Leave to send a health check or to ask an engine what it keeps: these wait for a slot as requests do. None where the back end's rate limit
-    /// leaves no room.
+    /// Permission to send a health check or a cache query, which take a slot like requests. `None`
+    /// if the back end's rate limit does not allow it.
     pub(super) fn permit_check(&self, back_end: &BackEnd) -> Option<SendPermit> {
         let is_allowed = self.placement().rate_limits.take(back_end, now());
         is_allowed.then_some(SendPermit::GRANTED)
--- a/crates/serving/src/pipeline/wait_policy.rs
+++ b/crates/serving/src/pipeline/wait_policy.rs
@@ -1,8 +1,8 @@
 //! How long a request waits for a back end.
 //!
-//! An engine that takes long may be at work, or it may have died silently: the connection does not show which. Once the
-//! answer is overdue, the engine's health endpoint is queried while the request waits on. An engine that does not answer
-//! that either is abandoned.
+//! A slow engine may be busy, or it may have died silently; the connection does not show which.
+//! Once the answer is overdue, the engine's health endpoint is queried while the request keeps
+//! waiting. An engine that does not answer the health check either is abandoned.
 
 use std::future::Future;
 use std::pin::pin;
@@ -15,37 +15,39 @@
 
 use super::Pipeline;
 use super::job::Job;
-use super::probe::CheckEnd;
+use super::probe::HealthCheckResult;
 use crate::time::{self, now};
 
-/// A back end that has sent something within this time is alive: its health endpoint is not queried.
-const SIGN_OF_LIFE_LASTS: Duration = Duration::from_millis(250);
-/// Time between two health checks of an engine that is waited for.
-const SUSPICION_REPEAT: Duration = Duration::from_millis(500);
+/// A back end that has sent something within this time is alive, so its health endpoint is not
+/// queried.
+const RECENT_ACTIVITY_WINDOW: Duration = Duration::from_millis(250);
+/// Time between two health checks of an engine whose answer is awaited.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A wait shorter than this says nothing of the back end when it ends: callers that retry bring only what is left of
-/// their deadline.
-const LEAST_SILENCE: Duration = Duration::from_millis(400);
+/// A timeout after a shorter wait is no evidence against the back end, because callers that retry
+/// may have little time left.
+const MIN_CONCLUSIVE_WAIT: Duration = Duration::from_millis(400);
 
 /// Limits of one wait.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitPolicy {
-    /// When the wait ends in any case.
+    /// When the wait ends at the latest.
     pub(super) until: Instant,
-    /// When the health endpoint is queried; none where an early end would not help the request.
-    pub(super) suspicious_at: Option<Instant>,
-    /// Whether the request has a lower rank than others at the back end, which may then never reach it.
-    pub(super) is_behind: bool,
+    /// When the health endpoint is queried; `None` if ending the wait early would not help the
+    /// request.
+    pub(super) health_check_at: Option<Instant>,
+    /// Whether the request ranks below others at the back end, which then may never get to it.
+    pub(super) has_lower_rank: bool,
 }
 
 /// Why a wait ended without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WaitEnd {
-    /// The request had so little time that its end says nothing of the back end.
+    /// The request had too little time left for a conclusion about the back end.
     OutOfTime,
-    /// The back end was at work for others all its time.
+    /// The back end was busy with other requests all the time.
     NotReached,
-    /// Its time was over.
+    /// The back end did not answer in time.
     Silent,
     /// The back end did not answer its health check either.
     Unresponsive,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// What it says of the back end.
+    /// What the end of the wait tells about the health of the back end.
     pub(super) const fn outcome(self) -> Option<Outcome> {
         match self {
             Self::OutOfTime | Self::NotReached => None,
@@ -72,17 +74,18 @@
 }
 
 impl WaitPolicy {
-    /// Waits until the request's end, or for `limit` where another back end could be asked then.
+    /// Waits until the request's deadline, or at most for `limit` if another back end could be
+    /// tried then.
     pub(super) fn new(
         job: &Job,
         limit: Option<Duration>,
-        suspicious_after: Option<Duration>,
+        health_check_after: Option<Duration>,
     ) -> Self {
-        let begun = now();
+        let started_at = now();
         Self {
-            until: limit.map_or(job.end, |limit| (begun + limit).min(job.end)),
-            suspicious_at: suspicious_after.map(|after| begun + after),
-            is_behind: job.urgency == Urgency::Late,
+            until: limit.map_or(job.deadline, |limit| (started_at + limit).min(job.deadline)),
+            health_check_at: health_check_after.map(|after| started_at + after),
+            has_lower_rank: job.urgency == Urgency::Late,
         }
     }
 }
@@ -92,7 +95,7 @@
         self.placement().health.lives_since(&back_end.id, since)
     }
 
-    /// Waits for `answer` as long as `wait_policy` says.
+    /// Waits for `answer` within the limits of `wait_policy`.
     pub(super) async fn wait_for<T>(
         self: &Arc<Self>,
         answer: impl Future<Output = T>,
@@ -101,44 +104,46 @@
         wait_policy: WaitPolicy,
     ) -> Result<T, WaitEnd> {
         let mut answer = pin!(answer);
-        let begun = now();
-        let time = wait_policy.until.saturating_duration_since(begun);
-        let mut suspicious_at = wait_policy.suspicious_at;
+        let started_at = now();
+        let time = wait_policy.until.saturating_duration_since(started_at);
+        let mut health_check_at = wait_policy.health_check_at;
         loop {
-            let asks = suspicious_at.is_some_and(|at| at < wait_policy.until);
-            let next = suspicious_at.filter(|_| asks).unwrap_or(wait_policy.until);
+            let should_check = health_check_at.is_some_and(|at| at < wait_policy.until);
+            let next = health_check_at
+                .filter(|_| should_check)
+                .unwrap_or(wait_policy.until);
             let sleep = time::sleep_until(next);
             tokio::select! {
                 biased;
                 answer = &mut answer => return Ok(answer),
                 () = sleep => {}
             }
-            if !asks {
+            if !should_check {
                 self.connections.discard_idle(back_end.address);
-                return Err(if time < LEAST_SILENCE {
+                return Err(if time < MIN_CONCLUSIVE_WAIT {
                     WaitEnd::OutOfTime
-                } else if wait_policy.is_behind && self.lives_since(back_end, begun) {
+                } else if wait_policy.has_lower_rank && self.lives_since(back_end, started_at) {
                     WaitEnd::NotReached
                 } else {
                     WaitEnd::Silent
                 });
             }
-            // A full back end lets its health check wait, as it does requests.
-            if self.lives_since(back_end, now() - SIGN_OF_LIFE_LASTS) {
-                suspicious_at = Some(now() + SIGN_OF_LIFE_LASTS);
+            // A back end at capacity delays its health check as it delays requests.
+            if self.lives_since(back_end, now() - RECENT_ACTIVITY_WINDOW) {
+                health_check_at = Some(now() + RECENT_ACTIVITY_WINDOW);
                 continue;
             }
             tokio::select! {
                 biased;
                 answer = &mut answer => return Ok(answer),
                 check = self.check_health(back_end, health_path) => {
-                    if check == CheckEnd::Unwell {
+                    if check == HealthCheckResult::Unhealthy {
                         self.connections.discard_idle(back_end.address);
                         return Err(WaitEnd::Unresponsive);
                     }
                 }
             }
-            suspicious_at = Some(now() + SUSPICION_REPEAT);
+            health_check_at = Some(now() + HEALTH_CHECK_INTERVAL);
         }
     }
 }
--- a/crates/serving/src/request_trace.rs
+++ b/crates/serving/src/request_trace.rs
@@ -1,123 +1,124 @@
 //! Records the decisions taken for one request and logs them when the request ends.
 //!
-//! A request that was served in time leaves a single summary line. Any other leaves one line for each decision, in order,
-//! before its summary line.
+//! A request that was served in time is logged as a single summary line. For any other request, one
+//! line for each decision is logged in order before the summary line.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crate::time::now;
 
-/// Target of the line of a request that was served in time: where there is no room for all lines, these go first.
+/// Log target of requests that were served in time. The log drops these lines first when it is
+/// full.
 pub const SERVED_LOG_TARGET: &str = "served";
-/// Most decisions kept of one request.
+/// Maximum decisions recorded for one request.
 const MAXIMUM_STEPS: usize = 32;
 
 /// One decision.
 #[derive(Debug, Clone)]
-pub enum Step {
+pub enum TraceStep {
     /// A back end was chosen.
-    Placed {
-        /// What for.
+    BackEndChosen {
+        /// Step that the back end was chosen for.
         purpose: &'static str,
-        /// Which.
+        /// ID of the chosen back end.
         back_end: Arc<str>,
         /// Expected time to the first event, in milliseconds.
         expected_ms: f64,
-        /// Tokens expected to be read there.
+        /// Tokens that the back end is expected to prefill.
         tokens_to_read: f64,
-        /// Requests known to be there, of all daemons.
+        /// Requests known to be at the back end, from all daemons.
         requests_there: f64,
-        /// Back ends that were ready.
+        /// Number of back ends that were ready.
         ready: usize,
     },
     /// A send ended.
-    Ended {
-        /// What for.
+    AttemptEnded {
+        /// Step that the send was for.
         purpose: &'static str,
-        /// Where.
+        /// ID of the back end.
         back_end: Arc<str>,
-        /// How.
+        /// How the send ended.
         outcome: &'static str,
-        /// Status, where there was an answer.
+        /// HTTP status, if there was an answer.
         status: Option<u16>,
-        /// How long it took.
+        /// Duration of the send.
         took: Duration,
     },
-    /// Whether another send was made, and what was left of the budget.
-    Repeat {
-        /// Whether.
+    /// A retry was granted or denied.
+    Retry {
+        /// Whether the retry was granted.
         granted: bool,
-        /// Why.
+        /// Why a retry was needed.
         reason: &'static str,
-        /// Repeats left to this daemon.
+        /// Retries left in this daemon's budget.
         budget_left: f64,
-        /// Whether the zone saves up retries together, so that its pool was asked.
+        /// Whether the zone shares a retry pool, which was asked if the own budget was empty.
         is_pooled: bool,
     },
-    /// It waited until its prompt's head had been read for another request.
-    HeadAwaited {
-        /// How long.
+    /// The request waited for another request to prefill the shared prefix.
+    PrefixAwaited {
+        /// Duration of the wait.
         waited: Duration,
     },
-    /// It waited for its turn, since all back ends limit the rate of requests.
-    RateAwaited {
-        /// How long.
+    /// The request waited for its turn because all back ends limit their request rate.
+    RateLimitAwaited {
+        /// Duration of the wait.
         waited: Duration,
     },
-    /// A stream went on elsewhere.
-    Resumed {
-        /// After this event.
+    /// A stream was resumed on another engine.
+    StreamResumed {
+        /// ID of the last event that the caller had received.
         after: Option<u64>,
-        /// Why.
+        /// Why the stream had to be resumed.
         reason: &'static str,
     },
 }
 
-/// The decisions of one request.
+/// The decisions taken for one request.
 #[derive(Debug)]
 pub struct RequestTrace {
-    begun: Instant,
-    steps: Vec<(Duration, Step)>,
+    started_at: Instant,
+    steps: Vec<(Duration, TraceStep)>,
     dropped: u32,
 }
 
 impl RequestTrace {
-    /// A trace that begins at `begun`.
+    /// Creates a trace whose times count from `started_at`.
     #[must_use]
-    pub fn new(begun: Instant) -> Self {
+    pub fn new(started_at: Instant) -> Self {
         Self {
-            begun,
+            started_at,
             steps: Vec::new(),
             dropped: 0,
         }
     }
 
     /// Adds a decision.
-    pub fn add(&mut self, step: Step) {
+    pub fn add(&mut self, step: TraceStep) {
         if self.steps.len() >= MAXIMUM_STEPS {
             self.dropped += 1;
             return;
         }
-        let at = now().saturating_duration_since(self.begun);
+        let at = now().saturating_duration_since(self.started_at);
         self.steps.push((at, step));
     }
 
-    /// The back ends that the request was sent to, in order.
+    /// IDs of the back ends that the request was sent to, in order and separated by commas.
     #[must_use]
     pub fn back_ends(&self) -> String {
         let names: Vec<&str> = self
             .steps
             .iter()
             .filter_map(|(_at, step)| match step {
-                Step::Ended { back_end, .. } => Some(&**back_end),
+                TraceStep::AttemptEnded { back_end, .. } => Some(&**back_end),
                 _ => None,
             })
             .collect();
         names.join(",")
     }
 
-    /// Writes a line for each decision.
+    /// Logs one line for each decision.
     pub fn write(&self, request: &str) {
         for (at, step) in &self.steps {
             write_step(request, milliseconds(*at), step);
@@ -128,9 +129,9 @@
     }
 }
 
-fn write_step(request: &str, at_ms: f64, step: &Step) {
+fn write_step(request: &str, at_ms: f64, step: &TraceStep) {
     match step {
-        Step::Placed {
+        TraceStep::BackEndChosen {
             purpose,
             back_end,
             expected_ms,
@@ -148,7 +149,7 @@
             ready,
             "placed"
         ),
-        Step::Ended {
+        TraceStep::AttemptEnded {
             purpose,
             back_end,
             outcome,
@@ -164,7 +165,7 @@
             took_ms = milliseconds(*took),
             "attempt_ended"
         ),
-        Step::Repeat {
+        TraceStep::Retry {
             granted,
             reason,
             budget_left,
@@ -178,7 +179,7 @@
             is_pooled,
             "repeat_decided"
         ),
-        Step::HeadAwaited { waited } => {
+        TraceStep::PrefixAwaited { waited } => {
             tracing::info!(
                 request,
                 at_ms,
@@ -186,7 +187,7 @@
                 "head_awaited"
             );
         }
-        Step::RateAwaited { waited } => {
+        TraceStep::RateLimitAwaited { waited } => {
             tracing::info!(
                 request,
                 at_ms,
@@ -194,13 +195,13 @@
                 "rate_awaited"
             );
         }
-        Step::Resumed { after, reason } => {
+        TraceStep::StreamResumed { after, reason } => {
             tracing::info!(request, at_ms, after, reason, "stream_resumed");
         }
     }
 }
 
-/// Milliseconds with one decimal, as logs show them.
+/// Converts to milliseconds, rounded to one decimal for logs.
 #[must_use]
 pub fn milliseconds(time: Duration) -> f64 {
     rounded(time.as_secs_f64() * 1000.0)
