--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -9,7 +9,7 @@
 use ponddrift_fleet::budget::BudgetSettings;
 use ponddrift_fleet::capacity::CapacitySettings;
 use ponddrift_fleet::leadership::Fencing;
-use ponddrift_serving::pipeline::IntakeBounds;
+use ponddrift_serving::pipeline::IntakeLimits;
 use ponddrift_settings::{Fault, Faults, Reader};
 use toml::Table;
 
@@ -52,7 +52,7 @@
     /// Bounds of repeats.
     pub budget: BudgetSettings,
     /// Bounds of what is taken in at a time.
-    pub bounds: IntakeBounds,
+    pub bounds: IntakeLimits,
     /// Life of the lease under which one daemon leads.
     pub leader_lease: Duration,
     /// Whether receivers of the leader's calls check fencing tokens.
@@ -137,7 +137,7 @@
         ratio: reader.fraction("retry.budget_ratio", 0.2, 0.0..=10.0),
         slack: reader.fraction("retry.budget_slack", 10.0, 0.0..=100_000.0),
     };
-    let bounds = IntakeBounds {
+    let bounds = IntakeLimits {
         requests: count(reader.number("limits.requests_in_progress", 2_000, 1..=1_000_000)),
         body_bytes: count(reader.number("limits.held_body_bytes", 64 << 20, 1 << 16..=1 << 40)),
     };
--- a/crates/serving/src/connections.rs
+++ b/crates/serving/src/connections.rs
@@ -40,7 +40,7 @@
 
 /// Whether an exchange may use an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reuse {
+pub enum ConnectionReuse {
     /// Use an idle connection if there is one.
     Idle,
     /// Open a new connection, because an idle one may have died silently.
@@ -108,10 +108,10 @@
         _permit: SendPermit,
         address: SocketAddr,
         max_connections: u32,
-        reuse: Reuse,
+        reuse: ConnectionReuse,
         request: Request<Body>,
     ) -> Result<Reply, ExchangeError> {
-        if reuse == Reuse::Never {
+        if reuse == ConnectionReuse::Never {
             self.discard_idle(address);
         }
         let mut request = request;
@@ -173,7 +173,13 @@
     ) -> Option<Response<Bytes>> {
         let exchange = async {
             let reply = self
-                .exchange(permit, address, max_connections, Reuse::Idle, request)
+                .exchange(
+                    permit,
+                    address,
+                    max_connections,
+                    ConnectionReuse::Idle,
+                    request,
+                )
                 .await
                 .ok()?;
             let (head, incoming) = reply.response.into_parts();
--- a/crates/serving/src/dialect.rs
+++ b/crates/serving/src/dialect.rs
@@ -55,7 +55,7 @@
     /// Only prefill its prompt.
     Prefill,
     /// Answer it with the KV cache that another engine holds.
-    Continue {
+    Decode {
         /// Address of the engine that holds the KV cache.
         source: SocketAddr,
         /// Handle of the KV cache at that engine.
--- a/crates/serving/src/peers/receive.rs
+++ b/crates/serving/src/peers/receive.rs
@@ -80,7 +80,7 @@
             }
         }
         for back_end in digest.unwell.iter().filter_map(|hash| known.find(*hash)) {
-            self.pipeline.check_on_hint(back_end);
+            self.pipeline.check_reported_back_end(back_end);
         }
         if is_neighbour && let Some(silence_ms) = digest.store_silence_ms {
             let silence = Duration::from_millis(u64::from(silence_ms));
--- a/crates/serving/src/pipeline.rs
+++ b/crates/serving/src/pipeline.rs
@@ -67,14 +67,14 @@
     /// Limits on retries.
     pub budget: BudgetSettings,
     /// Limits on the requests held at a time.
-    pub bounds: IntakeBounds,
+    pub bounds: IntakeLimits,
     /// Counts the usage of tenants; `None` if usage is not reported.
     pub usage: Option<Arc<UsageRecorder>>,
 }
 
 /// Limits on the requests held at a time. Requests beyond them are refused before any processing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct IntakeBounds {
+pub struct IntakeLimits {
     /// Maximum requests in progress.
     pub requests: usize,
     /// Maximum total bytes of request bodies.
@@ -111,7 +111,7 @@
     rates_changed: Notify,
     rate_queues: RateQueues,
     held_bytes: AtomicUsize,
-    bounds: IntakeBounds,
+    bounds: IntakeLimits,
     usage: Option<Arc<UsageRecorder>>,
 }
 
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -14,7 +14,7 @@
 use super::announcements::AnswerOrigin;
 use super::job::Job;
 use super::wait_policy::WaitPolicy;
-use crate::connections::{ExchangeError, NotSent, Reply, Reuse};
+use crate::connections::{ConnectionReuse, ExchangeError, NotSent, Reply};
 use crate::dialect::{SendMetadata, SendStep};
 use crate::request_trace::{TraceStep, milliseconds};
 use crate::time::now;
@@ -116,9 +116,9 @@
         let started_at = now();
         self.placement().link.sends(job.body.len(), started_at);
         let reuse = if job.had_timeout {
-            Reuse::Never
+            ConnectionReuse::Never
         } else {
-            Reuse::Idle
+            ConnectionReuse::Idle
         };
         let exchange =
             self.connections
@@ -357,7 +357,7 @@
     match step {
         SendStep::Prefill => priority.saturating_add(penalty),
         SendStep::Serve => GENERATING_RANK + penalty,
-        SendStep::Continue { .. } => GENERATING_RANK,
+        SendStep::Decode { .. } => GENERATING_RANK,
     }
 }
 
@@ -375,7 +375,7 @@
     match step {
         SendStep::Serve => "serve",
         SendStep::Prefill => "prefill",
-        SendStep::Continue { .. } => "decode",
+        SendStep::Decode { .. } => "decode",
     }
 }
 
--- a/crates/serving/src/pipeline/generate.rs
+++ b/crates/serving/src/pipeline/generate.rs
@@ -349,7 +349,7 @@
         let load = LoadGuard::new(self, &decode, tokens, job.urgency);
         let wait_policy = self.first_event_wait_policy(job, plan);
         let step = match &handle {
-            Some(held) => SendStep::Continue {
+            Some(held) => SendStep::Decode {
                 source: held.source,
                 handle: &held.handle,
             },
--- a/crates/serving/src/pipeline/probe.rs
+++ b/crates/serving/src/pipeline/probe.rs
@@ -92,7 +92,7 @@
     }
 
     /// Checks a back end that a peer found unhealthy, before a request is sent to it.
-    pub fn check_on_hint(self: &Arc<Self>, back_end: &Arc<BackEnd>) {
+    pub fn check_reported_back_end(self: &Arc<Self>, back_end: &Arc<BackEnd>) {
         let Some(path) = self.health_path(back_end) else {
             return;
         };
