--- a/crates/serve/src/daemon.rs
+++ b/crates/serve/src/daemon.rs
@@ -10,10 +10,10 @@
 use ponddrift_http::Server;
 use ponddrift_platform_adapter::{PlatformDialect, PlatformProvider, PlatformStore};
 use ponddrift_runtime::Runtime;
-use ponddrift_serving::capacity::CapacityParts;
+use ponddrift_serving::capacity::CapacityDependencies;
 use ponddrift_serving::dialect::Dialect;
 use ponddrift_serving::fleet_state::{FleetState, daemon_identity};
-use ponddrift_serving::follow::Following;
+use ponddrift_serving::follow::FollowStatus;
 use ponddrift_serving::leader::{LeaderSettings, Leadership};
 use ponddrift_serving::metrics::{GaugeValues, Metrics};
 use ponddrift_serving::peers::PeerSettings;
@@ -21,7 +21,7 @@
 use ponddrift_serving::provider::Provider;
 use ponddrift_serving::store::FleetStore;
 use ponddrift_serving::usage::UsageRecorder;
-use ponddrift_serving::usage::report::{self, ReportSettings, Reporting};
+use ponddrift_serving::usage::report::{self, ReportDependencies, ReportSettings};
 use ponddrift_serving::{capacity, follow, front, leader, orders, peers, quarantine};
 use tokio::time::Instant;
 
@@ -88,7 +88,7 @@
         let callers = front::serve_callers(runtime, settings.callers, &pipeline)
             .await
             .wrap_err("listen.callers cannot be bound: is another process there?")?;
-        let (following, unpublished) = Following::new();
+        let (following, unpublished) = FollowStatus::new();
         follow::start(
             runtime,
             &store,
@@ -243,7 +243,7 @@
             holder: Arc::clone(&settings.name),
             due: usage.due,
         };
-        let reporting = Reporting {
+        let reporting = ReportDependencies {
             recorder: Arc::clone(recorder),
             store: Arc::clone(&parts.store),
             state: Arc::clone(&parts.state),
@@ -254,7 +254,7 @@
         report::start(runtime, report_settings, reporting);
     }
     if let Some(capacity_settings) = settings.capacity {
-        let capacity_parts = CapacityParts {
+        let capacity_parts = CapacityDependencies {
             holder: Arc::clone(&settings.name),
             settings: capacity_settings,
             state: Arc::clone(&parts.state),
--- a/crates/serve/src/main.rs
+++ b/crates/serve/src/main.rs
@@ -71,7 +71,7 @@
 }
 
 async fn run(path: &Path, settings: Settings, log: &Log) -> Result<()> {
-    ponddrift_serving::time::follow_system_clock();
+    ponddrift_serving::time::use_system_clock();
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let seed = SysRng
--- a/crates/serve/tests/suspension.rs
+++ b/crates/serve/tests/suspension.rs
@@ -10,7 +10,7 @@
 use futures::future::join;
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Behaviour, ClientRequest, TenantText, with_tenants};
-use ponddrift_serving::time::{self, notice_suspension, simulate_suspension};
+use ponddrift_serving::time::{self, detect_suspension, simulate_suspension};
 use support::{Fleet, Size, configuration, routes, until};
 use tokio::time::{Instant, sleep};
 
@@ -30,7 +30,7 @@
     let suspended = async {
         sleep(Duration::from_secs(1)).await;
         simulate_suspension(SUSPENSION);
-        notice_suspension();
+        detect_suspension();
     };
     join(time::sleep_until(end), suspended).await;
     assert_eq!(begun.elapsed(), Duration::from_secs(1));
@@ -39,7 +39,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_wait_after_a_suspension_is_no_longer_than_asked() {
     simulate_suspension(SUSPENSION);
-    notice_suspension();
+    detect_suspension();
     let begun = Instant::now();
     time::sleep(Duration::from_secs(2)).await;
     assert_eq!(begun.elapsed(), Duration::from_secs(2));
@@ -73,7 +73,7 @@
         let suspended = async {
             until(|| records.iter().any(|engine| !engine.runs().is_empty())).await;
             simulate_suspension(SUSPENSION);
-            notice_suspension();
+            detect_suspension();
             Instant::now()
         };
         let ((answer, answered), suspended) = join(asking, suspended).await;
--- a/crates/serving/src/capacity.rs
+++ b/crates/serving/src/capacity.rs
@@ -30,7 +30,7 @@
 const REFUSED_PAUSE: Duration = Duration::from_secs(2);
 
 /// What capacity is planned with.
-pub struct CapacityParts {
+pub struct CapacityDependencies {
     /// Name of this daemon.
     pub holder: Arc<str>,
     /// Settings of the planner.
@@ -46,7 +46,7 @@
 }
 
 /// Starts to observe the load, and to order while this daemon leads.
-pub fn start(runtime: &Runtime, parts: CapacityParts) {
+pub fn start(runtime: &Runtime, parts: CapacityDependencies) {
     let desk = CapacityDesk {
         parts,
         planners: HashMap::new(),
@@ -71,7 +71,7 @@
 }
 
 struct CapacityDesk {
-    parts: CapacityParts,
+    parts: CapacityDependencies,
     planners: HashMap<Arc<str>, CapacityPlanner>,
     orders: HashMap<Subject, LastOrder>,
 }
--- a/crates/serving/src/changed.rs
+++ b/crates/serving/src/changed.rs
@@ -7,12 +7,12 @@
 
 /// Gathers what changed until a task takes it.
 #[derive(Debug)]
-pub(crate) struct Changed<T> {
+pub(crate) struct PendingSet<T> {
     waiting: Mutex<BTreeSet<T>>,
     added: Notify,
 }
 
-impl<T> Default for Changed<T> {
+impl<T> Default for PendingSet<T> {
     fn default() -> Self {
         Self {
             waiting: Mutex::default(),
@@ -21,7 +21,7 @@
     }
 }
 
-impl<T: Ord> Changed<T> {
+impl<T: Ord> PendingSet<T> {
     pub(crate) fn add(&self, thing: T) {
         self.lock().insert(thing);
         self.added.notify_one();
--- a/crates/serving/src/fleet_state.rs
+++ b/crates/serving/src/fleet_state.rs
@@ -32,7 +32,7 @@
 
 /// A configuration in force.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ConfigurationInForce {
     /// The configuration.
     pub configuration: Configuration,
     /// Its routes.
@@ -126,7 +126,7 @@
 
     /// The configuration in force; none before the first was seen.
     #[must_use]
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
+    pub fn in_force(&self) -> Option<Arc<ConfigurationInForce>> {
         self.lock().in_force.clone()
     }
 
@@ -370,10 +370,10 @@
             return;
         }
         match self.store.decode(&item) {
-            Ok(Decoded::Quarantined(fingerprint)) => {
+            Ok(Decoded::QuarantineFiled(fingerprint)) => {
                 self.quarantine_filed(fingerprint, &item, source, now);
             }
-            Ok(Decoded::Released(fingerprint)) => {
+            Ok(Decoded::QuarantineRemoved(fingerprint)) => {
                 self.quarantine_released(fingerprint, &item, source, now);
             }
             Ok(decoded) => self.lock().apply(decoded, &item, source, now),
--- a/crates/serving/src/fleet_state/fleet_view.rs
+++ b/crates/serving/src/fleet_state/fleet_view.rs
@@ -13,7 +13,7 @@
 use ponddrift_fleet::topology::{Member, Topology};
 
 use super::retained::Retained;
-use super::{InForce, Source, daemon_identity};
+use super::{ConfigurationInForce, Source, daemon_identity};
 use crate::back_end_index::BackEndIndex;
 use crate::follow::MISSING_KEY_GRACE;
 use crate::store::{Decoded, Item};
@@ -35,7 +35,7 @@
 
 #[derive(Default)]
 pub(super) struct FleetView {
-    pub(super) in_force: Option<Arc<InForce>>,
+    pub(super) in_force: Option<Arc<ConfigurationInForce>>,
     pub(super) directory: Directory,
     /// Shared with whoever reads a message just now; copied only if it changes in that moment.
     pub(super) index: Arc<BackEndIndex>,
@@ -126,12 +126,12 @@
                 }
                 self.apply_configuration(*configuration, revision, source, now);
             }
-            Decoded::ConfigurationGone => self.retain_known(item, now),
+            Decoded::ConfigurationRemoved => self.retain_known(item, now),
             Decoded::BackEnd(mut back_end, warmth) => {
                 back_end.cold_start = self.cold_start(&back_end, warmth, revision, now);
                 self.apply_back_end(back_end, item, source, now);
             }
-            Decoded::BackEndGone(id) => {
+            Decoded::BackEndRemoved(id) => {
                 if !self.is_of_era_before(item) {
                     self.retained.remove(&item.key);
                 }
@@ -150,22 +150,22 @@
                 self.daemons.insert(Arc::clone(&daemon.name), daemon);
                 self.daemons_changed = true;
             }
-            Decoded::DaemonGone(name) if self.is_of_era_before(item) => {
+            Decoded::DaemonRemoved(name) if self.is_of_era_before(item) => {
                 // Its key went with the store's return; the daemon itself writes it again.
                 tracing::info!(daemon = %name, %revision, "daemon_key_missing");
                 self.missing_daemons.insert(name, now);
             }
-            Decoded::DaemonGone(name) => self.remove_daemon(&name),
+            Decoded::DaemonRemoved(name) => self.remove_daemon(&name),
             Decoded::Leader(leader) => {
                 let fence = revision.as_token();
                 tracing::info!(%leader, %revision, fence, source = source.as_str(), "leader");
                 self.note_leader(leader);
             }
-            Decoded::LeaderGone => {
+            Decoded::LeaderRemoved => {
                 tracing::info!(%revision, source = source.as_str(), "leader_gone");
                 self.leader = None;
             }
-            Decoded::Quarantined(_) | Decoded::Released(_) | Decoded::Other => {}
+            Decoded::QuarantineFiled(_) | Decoded::QuarantineRemoved(_) | Decoded::Other => {}
         }
     }
 
@@ -251,7 +251,7 @@
             "configuration_in_force"
         );
         let routes = RouteTable::new(&configuration);
-        self.in_force = Some(Arc::new(InForce {
+        self.in_force = Some(Arc::new(ConfigurationInForce {
             configuration,
             routes,
             tenants,
--- a/crates/serving/src/fleet_state/retained.rs
+++ b/crates/serving/src/fleet_state/retained.rs
@@ -69,7 +69,7 @@
                 self.apply_configuration(*configuration, item.revision, super::Source::Peer, now)
             }
             Decoded::BackEnd(back_end, _warmth) => self.directory.put_over_copy(back_end),
-            Decoded::BackEndGone(id) => self.remove_over_copy(&id, now),
+            Decoded::BackEndRemoved(id) => self.remove_over_copy(&id, now),
             _ => false,
         };
         if is_news {
--- a/crates/serving/src/follow.rs
+++ b/crates/serving/src/follow.rs
@@ -24,7 +24,7 @@
 use crate::metrics::Metrics;
 use crate::store::{Changes, Consistency, FleetStore, StoreError};
 use crate::time::{self, now};
-use crate::whole_read::WholeRead;
+use crate::full_read::FullRead;
 use announcer::Announcer;
 pub(crate) use announcer::MISSING_KEY_GRACE;
 use distributor_list::DistributorList;
@@ -45,7 +45,7 @@
 const UNPUBLISHED_CHANGES: usize = 64;
 
 /// What is shared between following the store and telling peers.
-pub struct Following {
+pub struct FollowStatus {
     followers: Mutex<FollowerTable>,
     last_answer: Mutex<Option<Instant>>,
     /// Wakes a daemon that relies on its neighbours when it no longer can.
@@ -57,7 +57,7 @@
     ahead: Mutex<Option<SocketAddr>>,
 }
 
-impl Following {
+impl FollowStatus {
     /// No neighbour has reported yet. The receiver gets changes to publish to neighbours.
     #[must_use]
     pub fn new() -> (Arc<Self>, mpsc::Receiver<Changes>) {
@@ -141,7 +141,7 @@
     runtime: &Runtime,
     store: &Arc<dyn FleetStore>,
     state: &Arc<FleetState>,
-    following: &Arc<Following>,
+    following: &Arc<FollowStatus>,
     reads_per_second: f64,
     metrics: &Arc<Metrics>,
 ) {
@@ -156,7 +156,7 @@
         pause: FIRST_PAUSE,
         history_was_gone: false,
         gone_after: None,
-        whole_read: None,
+        full_read: None,
         relies_on_neighbours: false,
     };
     runtime.spawner.spawn(Box::pin(follower.run()));
@@ -169,7 +169,7 @@
 }
 
 /// Whichever call of this daemon first gets an answer of a new era, everything is read anew.
-async fn note_eras(store: Arc<dyn FleetStore>, state: Arc<FleetState>, following: Arc<Following>) {
+async fn note_eras(store: Arc<dyn FleetStore>, state: Arc<FleetState>, following: Arc<FollowStatus>) {
     let mut era = store.era();
     loop {
         let named = *era.borrow_and_update();
@@ -185,7 +185,7 @@
     runtime: Runtime,
     store: Arc<dyn FleetStore>,
     state: Arc<FleetState>,
-    following: Arc<Following>,
+    following: Arc<FollowStatus>,
     reads_per_second: f64,
     metrics: Arc<Metrics>,
     random: Pcg64Mcg,
@@ -196,7 +196,7 @@
     /// on as fast as it answers.
     gone_after: Option<Revision>,
     /// A reading of everything that a failed page interrupted.
-    whole_read: Option<WholeRead>,
+    full_read: Option<FullRead>,
     relies_on_neighbours: bool,
 }
 
@@ -223,11 +223,11 @@
                     self.state.store_answered(at);
                     self.pause = FIRST_PAUSE;
                 }
-                Err(error @ (StoreError::HistoryGone | StoreError::OtherEra)) => {
+                Err(error @ (StoreError::HistoryCompacted | StoreError::EraMismatch)) => {
                     let position = self.state.position();
                     tracing::info!(position = position.map(display), %error, "store_history_gone");
                     self.history_was_gone = true;
-                    self.whole_read = None;
+                    self.full_read = None;
                     if position.is_some() && self.gone_after == position {
                         self.pause_after_failure().await;
                     }
@@ -318,7 +318,7 @@
         let newer = era.wait_for(|newest| *newest > after.era());
         tokio::select! {
             biased;
-            _era = newer => Err(StoreError::OtherEra),
+            _era = newer => Err(StoreError::EraMismatch),
             changes = self.store.changes(after, wait) => changes,
         }
     }
@@ -333,9 +333,9 @@
             Consistency::Stale
         };
         let mut reading = self
-            .whole_read
+            .full_read
             .take()
-            .unwrap_or_else(|| WholeRead::new(consistency));
+            .unwrap_or_else(|| FullRead::new(consistency));
         if self.read_peers(&mut reading).await {
             self.history_was_gone = false;
             return Ok(Progress::ByPeers);
@@ -348,8 +348,8 @@
                 self.state.store_was_read(at, now());
                 self.publish_era(era_before, at);
             }
-            Err(StoreError::OtherEra) => {}
-            Err(_) => self.whole_read = Some(reading),
+            Err(StoreError::EraMismatch) => {}
+            Err(_) => self.full_read = Some(reading),
         }
         ended.map(Progress::ByStore)
     }
@@ -370,7 +370,7 @@
     }
 
     /// Reads everything from peers. Returns false where there are none to read from, or where they do not bring what is missing.
-    async fn read_peers(&self, reading: &mut WholeRead) -> bool {
+    async fn read_peers(&self, reading: &mut FullRead) -> bool {
         let own = self.state.own();
         let spread = daemon_identity(&own.name);
         let mut plan = ReadingPlan::of(own.peer_address, &self.distributors().await, spread);
@@ -390,7 +390,7 @@
         };
         if Some(at) <= known {
             // They know no more than this daemon: the store does.
-            *reading = WholeRead::new(Consistency::Linearizable);
+            *reading = FullRead::new(Consistency::Linearizable);
             return false;
         }
         // One call less for every daemon, just when all of them start.
@@ -446,8 +446,8 @@
         Ok(_) => "answered",
         Err(StoreError::Silent(_)) => "silent",
         Err(StoreError::Refused(_)) => "refused",
-        Err(StoreError::HistoryGone) => "history_gone",
-        Err(StoreError::OtherEra | StoreError::Outdated) => "other_era",
+        Err(StoreError::HistoryCompacted) => "history_gone",
+        Err(StoreError::EraMismatch | StoreError::Outdated) => "other_era",
         Err(_) => "unusable",
     }
 }
--- a/crates/serving/src/follow/announcer.rs
+++ b/crates/serving/src/follow/announcer.rs
@@ -79,7 +79,7 @@
             };
             match step {
                 Ok(kept) => held = Some(kept),
-                Err(StoreError::LeaseOver) => {
+                Err(StoreError::LeaseExpired) => {
                     held = None;
                     continue;
                 }
@@ -102,8 +102,8 @@
 
     /// Goes on with the lease under which the key stands, if it does: that of a former life, or of the copy that the store came back from.
     async fn take_over(&self) -> Result<Held, StoreError> {
-        let found = self.store.announced_under(self.state.own()).await?;
-        let lease = found.ok_or(StoreError::LeaseOver)?;
+        let found = self.store.find_announcement_lease(self.state.own()).await?;
+        let lease = found.ok_or(StoreError::LeaseExpired)?;
         self.store.renew(lease).await?;
         tracing::info!("announcement_taken_over");
         Ok(Held {
@@ -135,7 +135,7 @@
     async fn write(&self, lease: Lease) -> Result<Held, StoreError> {
         let key = match self.store.announce(self.state.own(), lease).await {
             Ok(()) => KeyState::Written,
-            Err(StoreError::LeaseOver) => return Err(StoreError::LeaseOver),
+            Err(StoreError::LeaseExpired) => return Err(StoreError::LeaseExpired),
             Err(error) => {
                 tracing::debug!(%error, "announcement_failed");
                 KeyState::Unwritten
@@ -151,7 +151,7 @@
         }
         if key == KeyState::Unproved && self.state.position().is_some() {
             // The key stood under another lease after all, and went with it.
-            return Err(StoreError::LeaseOver);
+            return Err(StoreError::LeaseExpired);
         }
         let begun = now();
         self.store.renew(held.lease).await?;
--- a/crates/serving/src/whole_read.rs
+++ b/crates/serving/src/full_read.rs
@@ -25,7 +25,7 @@
 
 /// A reading of everything that has begun.
 #[derive(Debug)]
-pub(crate) struct WholeRead {
+pub(crate) struct FullRead {
     consistency: Consistency,
     begun: Instant,
     pages: usize,
@@ -47,19 +47,19 @@
     )]
     NoProgress,
     #[error("a page is of another era of the store than those before it; all are read anew")]
-    OtherEra,
+    EraMismatch,
 }
 
 impl From<Misfit> for StoreError {
     fn from(misfit: Misfit) -> Self {
         match misfit {
             Misfit::NoProgress => Self::Unreadable(misfit.to_string()),
-            Misfit::OtherEra => Self::OtherEra,
+            Misfit::EraMismatch => Self::EraMismatch,
         }
     }
 }
 
-impl WholeRead {
+impl FullRead {
     /// Nothing read yet.
     pub(crate) fn new(consistency: Consistency) -> Self {
         Self {
@@ -156,7 +156,7 @@
             }
             let end = match self.take(page, Source::Peer, state) {
                 Ok(end) => end,
-                Err(Misfit::OtherEra) => {
+                Err(Misfit::EraMismatch) => {
                     self.begin_anew();
                     continue;
                 }
@@ -180,7 +180,7 @@
             .oldest_at
             .is_some_and(|oldest| oldest.era() != page.at.era())
         {
-            return Err(Misfit::OtherEra);
+            return Err(Misfit::EraMismatch);
         }
         if !self.is_followed_by(&page) {
             return Err(Misfit::NoProgress);
--- a/crates/serving/src/leader.rs
+++ b/crates/serving/src/leader.rs
@@ -182,11 +182,11 @@
     async fn take(&self) -> Result<(Lease, Tenure), StoreError> {
         let asked = now();
         let lease = self.store.grant(self.settings.lease).await?;
-        let taken = self.store.take_lead(&self.settings.holder, lease).await;
+        let taken = self.store.acquire_leadership(&self.settings.holder, lease).await;
         let fencing_token = match taken {
             Ok(revision) => revision.as_token(),
             Err(error) => {
-                self.end(lease).await;
+                self.revoke(lease).await;
                 return Err(error);
             }
         };
@@ -223,7 +223,7 @@
         tracing::info!(fence, reason, "leader_lease_over");
         // Calls on their way arrive before another daemon can lead.
         tokio::time::sleep(CALL_LIMIT).await;
-        self.end(lease).await;
+        self.revoke(lease).await;
     }
 
     /// Returns why the time as the leader is over.
@@ -238,7 +238,7 @@
                     tenure = tenure.renewed(asked);
                     self.published.send_replace(Some(tenure));
                 }
-                Err(StoreError::LeaseOver) => return "lapsed",
+                Err(StoreError::LeaseExpired) => return "lapsed",
                 Err(_trouble) if !tenure.may_be_over(now()) => {}
                 Err(error) => {
                     tracing::warn!(%error, "leader_lease_not_renewed");
@@ -267,8 +267,8 @@
         None
     }
 
-    async fn end(&self, lease: Lease) {
-        if let Err(error) = self.store.end(lease).await {
+    async fn revoke(&self, lease: Lease) {
+        if let Err(error) = self.store.revoke(lease).await {
             // Left alone, it lapses.
             tracing::debug!(%error, "lease_not_ended");
         }
--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -25,7 +25,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::fleet_state::FleetState;
-use crate::follow::Following;
+use crate::follow::FollowStatus;
 use crate::pipeline::Pipeline;
 use crate::store::Changes;
 use crate::time::now;
@@ -53,7 +53,7 @@
     settings: PeerSettings,
     state: &Arc<FleetState>,
     pipeline: &Arc<Pipeline>,
-    following: &Arc<Following>,
+    following: &Arc<FollowStatus>,
     unpublished: mpsc::Receiver<Changes>,
 ) -> std::io::Result<()> {
     let own = state.own();
@@ -103,7 +103,7 @@
     socket: Arc<BoxedDatagram>,
     state: Arc<FleetState>,
     pipeline: Arc<Pipeline>,
-    following: Arc<Following>,
+    following: Arc<FollowStatus>,
     to_forward: Mutex<Forwarded>,
     has_to_forward: Notify,
     is_catching_up: AtomicBool,
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -60,7 +60,7 @@
             let begun = now();
             let spread = random.random_range(0.9..1.1);
             let reason = self.next_reason(last_interval, spread).await;
-            time::notice_suspension();
+            time::detect_suspension();
             if reason == Reason::Interval {
                 last_interval = now();
             }
--- a/crates/serving/src/peers/receive.rs
+++ b/crates/serving/src/peers/receive.rs
@@ -19,7 +19,7 @@
 use crate::fleet_state::{News, Source};
 use crate::store::{Changes, Consistency};
 use crate::time::now;
-use crate::whole_read::WholeRead;
+use crate::full_read::FullRead;
 
 /// Pause after the socket failed.
 const FAILURE_PAUSE: Duration = Duration::from_millis(500);
@@ -211,7 +211,7 @@
             providers: vec![peer],
             patience: PROVIDER_PATIENCE,
         };
-        let mut reading = WholeRead::new(Consistency::Stale);
+        let mut reading = FullRead::new(Consistency::Stale);
         // What it brings shows in the position.
         reading.read_peers(&self.runtime, &plan, &self.state).await;
     }
--- a/crates/serving/src/pipeline.rs
+++ b/crates/serving/src/pipeline.rs
@@ -46,7 +46,7 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Notify;
 
-use crate::changed::Changed;
+use crate::changed::PendingSet;
 use crate::connections::Connections;
 use crate::dialect::Dialect;
 use crate::fleet_state::FleetState;
@@ -88,9 +88,9 @@
     connections: Arc<Connections>,
     engine_ends: EngineEnds,
     /// Requests of which this daemon knows something new that is to be published.
-    changed_suspects: Changed<RequestFingerprint>,
+    changed_suspects: PendingSet<RequestFingerprint>,
     /// Back ends of whose rate limits it does.
-    changed_rate_limits: Changed<Arc<str>>,
+    changed_rate_limits: PendingSet<Arc<str>>,
     metrics: Arc<Metrics>,
     placement: Mutex<Placement>,
     budget: Mutex<RetryBudget>,
@@ -132,8 +132,8 @@
             state,
             connections: Connections::new(runtime.clone()),
             engine_ends: EngineEnds::default(),
-            changed_suspects: Changed::default(),
-            changed_rate_limits: Changed::default(),
+            changed_suspects: PendingSet::default(),
+            changed_rate_limits: PendingSet::default(),
             metrics,
             placement: Mutex::new(placement),
             budget: Mutex::new(RetryBudget::new(settings.budget)),
@@ -195,13 +195,13 @@
 
     /// Requests of which peers are to be told.
     #[must_use]
-    pub(crate) const fn changed_suspects(&self) -> &Changed<RequestFingerprint> {
+    pub(crate) const fn changed_suspects(&self) -> &PendingSet<RequestFingerprint> {
         &self.changed_suspects
     }
 
     /// Back ends whose rate limits are to be published.
     #[must_use]
-    pub(crate) const fn changed_rate_limits(&self) -> &Changed<Arc<str>> {
+    pub(crate) const fn changed_rate_limits(&self) -> &PendingSet<Arc<str>> {
         &self.changed_rate_limits
     }
 
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -266,7 +266,7 @@
     /// Counts a request that began to run for its tenant.
     pub(super) fn note_run(&self, job: &Job) {
         if let (Some(usage), Some(tenant)) = (&self.usage, &job.tenant) {
-            usage.began(&tenant.name);
+            usage.record_request(&tenant.name);
         }
     }
 
--- a/crates/serving/src/pipeline/intake.rs
+++ b/crates/serving/src/pipeline/intake.rs
@@ -17,7 +17,7 @@
 use super::guards::{HeldBytes, InProgress};
 use super::job::Job;
 use crate::dialect::RequestFacts;
-use crate::fleet_state::InForce;
+use crate::fleet_state::ConfigurationInForce;
 use crate::request_trace::{RequestTrace, SERVED_TARGET, milliseconds};
 use crate::time::{self, now};
 
@@ -80,7 +80,7 @@
 impl Pipeline {
     /// Serves one request of a caller.
     pub async fn serve(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        time::notice_suspension();
+        time::detect_suspension();
         let arrived = now();
         let in_progress = InProgress::new(&self);
         let (head, body) = request.into_parts();
@@ -239,7 +239,7 @@
 
 /// Whose request it is. A route that needs no key still counts a valid one for its tenant.
 fn authenticate(
-    in_force: &InForce,
+    in_force: &ConfigurationInForce,
     route: &Route,
     credential: &Credential,
 ) -> Result<Option<Arc<Tenant>>, Failure> {
@@ -264,7 +264,7 @@
     lines.sum::<usize>() + head.uri.to_string().len()
 }
 
-fn find_route(in_force: &InForce, head: &request::Parts) -> Option<Arc<Route>> {
+fn find_route(in_force: &ConfigurationInForce, head: &request::Parts) -> Option<Arc<Route>> {
     let host = head
         .headers
         .get(header::HOST)
@@ -283,7 +283,7 @@
 
 async fn read_body(
     body: &mut Incoming,
-    in_force: &InForce,
+    in_force: &ConfigurationInForce,
     end: std::time::Instant,
 ) -> Result<Bytes, Failure> {
     let limit = in_force.configuration.limits.body_bytes;
--- a/crates/serving/src/store.rs
+++ b/crates/serving/src/store.rs
@@ -62,23 +62,23 @@
     /// The operators' configuration.
     Configuration(Box<Configuration>),
     /// The operators' configuration is not there.
-    ConfigurationGone,
+    ConfigurationRemoved,
     /// A back end, and what it says of its slow start.
     BackEnd(BackEnd, Warmth),
     /// A back end whose entry was removed.
-    BackEndGone(Arc<str>),
+    BackEndRemoved(Arc<str>),
     /// A daemon.
     Daemon(Member),
     /// A daemon whose lease ended.
-    DaemonGone(Arc<str>),
+    DaemonRemoved(Arc<str>),
     /// The daemon that leads.
     Leader(Arc<str>),
     /// Nobody leads.
-    LeaderGone,
+    LeaderRemoved,
     /// A request that is not run any more.
-    Quarantined(RequestFingerprint),
+    QuarantineFiled(RequestFingerprint),
     /// The quarantine of a request that ended.
-    Released(RequestFingerprint),
+    QuarantineRemoved(RequestFingerprint),
     /// Something that does not concern us.
     Other,
 }
@@ -108,12 +108,12 @@
     Refused(u16),
     /// Changes after that revision are no longer known.
     #[error("the store has dropped its history; everything is read anew")]
-    HistoryGone,
+    HistoryCompacted,
     /// The store has come back from an older copy since that revision.
     #[error(
         "the store has come back from an older copy: its revisions begin anew; everything is read anew"
     )]
-    OtherEra,
+    EraMismatch,
     /// The answer left the store before it came back from an older copy.
     #[error(
         "an answer from before the store's return from an older copy came late; it is asked again"
@@ -121,7 +121,7 @@
     Outdated,
     /// The lease is over.
     #[error("the lease is over; another is taken")]
-    LeaseOver,
+    LeaseExpired,
     /// The condition did not hold.
     #[error("the condition did not hold; the key is read again")]
     Conflict,
@@ -151,7 +151,7 @@
         after: Option<&str>,
         consistency: Consistency,
     ) -> BoxFuture<'_, Result<Page, StoreError>>;
-    /// Waits for changes after a revision, at most `wait`. [`StoreError::OtherEra`] where that revision is of another era.
+    /// Waits for changes after a revision, at most `wait`. [`StoreError::EraMismatch`] where that revision is of another era.
     fn changes(
         &self,
         after: Revision,
@@ -159,13 +159,13 @@
     ) -> BoxFuture<'_, Result<Changes, StoreError>>;
     /// Takes a lease.
     fn grant(&self, life: Duration) -> BoxFuture<'_, Result<Lease, StoreError>>;
-    /// Renews a lease. [`StoreError::LeaseOver`] also where it is of an era before.
+    /// Renews a lease. [`StoreError::LeaseExpired`] also where it is of an era before.
     fn renew(&self, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
     /// Ends a lease with its keys; one of an era before has ended.
-    fn end(&self, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
+    fn revoke(&self, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
     /// The lease under which the daemon's key stands just as it would be written now; none where it does not. It may be some
     /// seconds old.
-    fn announced_under(&self, daemon: &Member) -> BoxFuture<'_, Result<Option<Lease>, StoreError>>;
+    fn find_announcement_lease(&self, daemon: &Member) -> BoxFuture<'_, Result<Option<Lease>, StoreError>>;
     /// Writes the daemon's key under its lease.
     fn announce(&self, daemon: &Member, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
     /// Reads which daemons of a zone hand on everything that the store holds; none where nobody has written it. It may be
@@ -179,7 +179,7 @@
         distributors: &'a [SocketAddr],
     ) -> BoxFuture<'a, Result<(), StoreError>>;
     /// Writes the leader under its lease, where there is none. Returns the revision, which rises with each leader.
-    fn take_lead(&self, holder: &str, lease: Lease) -> BoxFuture<'_, Result<Revision, StoreError>>;
+    fn acquire_leadership(&self, holder: &str, lease: Lease) -> BoxFuture<'_, Result<Revision, StoreError>>;
     /// Writes what is to be reported of a window, once: where figures of it stand already, these are returned and stay.
     /// [`StoreError::Conflict`] where the window is so old that a later one has taken its place.
     fn settle_usage<'a>(
--- a/crates/serving/src/time.rs
+++ b/crates/serving/src/time.rs
@@ -36,7 +36,7 @@
 
 /// From now on [`now`] is the system's clock that counts suspension (`CLOCK_BOOTTIME`); before, and in simulations, it is
 /// tokio's clock.
-pub fn follow_system_clock() {
+pub fn use_system_clock() {
     SYSTEM_CLOCK.get_or_init(|| Base {
         steady: steady(),
         counting: counting(),
@@ -59,7 +59,7 @@
 
 /// Compares the clocks. Where the machine was suspended since the last look, this is logged and everything that waits is
 /// looked at anew.
-pub fn notice_suspension() {
+pub fn detect_suspension() {
     let suspended = now().saturating_duration_since(steady());
     let since_last_look = suspended.saturating_sub(NOTICED.get());
     if since_last_look < LEAST_SUSPENSION {
@@ -85,7 +85,7 @@
         tokio::select! {
             biased;
             () = &mut noticed => {}
-            () = tokio::time::sleep(left) => notice_suspension(),
+            () = tokio::time::sleep(left) => detect_suspension(),
         }
     }
 }
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -87,7 +87,7 @@
     }
 
     /// A request of `tenant` began to run at a back end.
-    pub fn began(&self, tenant: &Arc<str>) {
+    pub fn record_request(&self, tenant: &Arc<str>) {
         let mut inner = self.lock();
         let window = self.roll(&mut inner);
         inner.ledger.count(self.life, window, tenant);
--- a/crates/serving/src/usage/report.rs
+++ b/crates/serving/src/usage/report.rs
@@ -50,7 +50,7 @@
 }
 
 /// What reports are made of and where they go.
-pub struct Reporting {
+pub struct ReportDependencies {
     /// This daemon's counts and copies of others'.
     pub recorder: Arc<UsageRecorder>,
     /// Where a window's figures are settled.
@@ -66,7 +66,7 @@
 }
 
 /// Starts to report while this daemon leads.
-pub fn start(runtime: &Runtime, settings: ReportSettings, reporting: Reporting) {
+pub fn start(runtime: &Runtime, settings: ReportSettings, reporting: ReportDependencies) {
     let reporter = Reporter {
         runtime: runtime.clone(),
         settings,
@@ -80,7 +80,7 @@
 struct Reporter {
     runtime: Runtime,
     settings: ReportSettings,
-    reporting: Reporting,
+    reporting: ReportDependencies,
     /// Windows that have ended and are not reported yet.
     open: BTreeMap<WindowNumber, Progress>,
     /// First window that has not been looked at.
