--- a/crates/serving/src/changed.rs
+++ b/crates/serving/src/changed.rs
@@ -1,33 +1,33 @@
-//! Things that changed and that a task is to publish.
+//! A set of changed items that wait to be published by a task.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, MutexGuard};
 
 use tokio::sync::Notify;
 
-/// Gathers what changed until a task takes it.
+/// Collects changed items until a task takes them all.
 #[derive(Debug)]
 pub(crate) struct PendingSet<T> {
-    waiting: Mutex<BTreeSet<T>>,
+    pending: Mutex<BTreeSet<T>>,
     added: Notify,
 }
 
 impl<T> Default for PendingSet<T> {
     fn default() -> Self {
         Self {
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
             added: Notify::new(),
         }
     }
 }
 
 impl<T: Ord> PendingSet<T> {
-    pub(crate) fn add(&self, thing: T) {
-        self.lock().insert(thing);
+    pub(crate) fn add(&self, item: T) {
+        self.lock().insert(item);
         self.added.notify_one();
     }
 
-    /// Waits until there are some.
+    /// Waits until an item was added since the last wait.
     pub(crate) async fn wait(&self) {
         self.added.notified().await;
     }
@@ -37,7 +37,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeSet<T>> {
-        self.waiting
+        self.pending
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
--- a/crates/serving/src/fleet_state/known_era.rs
+++ b/crates/serving/src/fleet_state/known_era.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Default)]
 struct Times {
-    risen: Option<Instant>,
+    raised_at: Option<Instant>,
     refuted: Option<Instant>,
 }
 
@@ -38,8 +38,8 @@
 
     /// When this daemon learned that the store had come back; none where it has not since this daemon knows what it holds.
     #[must_use]
-    pub fn risen(&self) -> Option<Instant> {
-        self.times().risen
+    pub fn raised_at(&self) -> Option<Instant> {
+        self.times().raised_at
     }
 
     /// An answer of the store named an era, before this daemon has read anything: it is the one that it meets first.
@@ -65,7 +65,7 @@
         let before = self.newest();
         let has_risen = self.newest.send_if_modified(|newest| raise_to(newest, era));
         if has_risen {
-            self.times().risen = Some(now);
+            self.times().raised_at = Some(now);
             tracing::warn!(%before, %era, source, "store_restored");
         }
     }
--- a/crates/serving/src/leader.rs
+++ b/crates/serving/src/leader.rs
@@ -1,7 +1,9 @@
-//! Leader election: one daemon at a time does what is done once for all, under a lease in the store.
+//! Leader election under a lease in the store. The leader performs the duties that only one daemon
+//! of the fleet may perform at a time.
 //!
-//! The revision of the leader's key is the fencing token of its calls. What the leader does runs as tasks of their own, each
-//! of which asks its [`Leadership`] before every call; see [`ponddrift_fleet::leadership`] for when a call may leave.
+//! The revision of the leader's key is the fencing token of its calls. The leader's duties run as
+//! separate tasks, each of which asks its [`Leadership`] before every call. See
+//! [`ponddrift_fleet::leadership`] for when a call may be sent.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -18,34 +20,35 @@
 use crate::store::{FleetStore, Lease, StoreError};
 use crate::time::{self, now};
 
-/// Renewals in the life of a lease: two may be lost.
-const RENEWALS_IN_A_LIFE: u32 = 3;
-/// Daemons that see no leader try after a random time up to this, so that few ask at once.
-const CANDIDACY_SPREAD: Duration = Duration::from_millis(1_500);
-/// Least part of that time.
-const LEAST_SPREAD: f64 = 0.3;
-/// Daemons that do not follow the store themselves try this much later: those that do see first that the leader is gone, and
-/// have the faster links.
-const CANDIDACY_DELAY: Duration = Duration::from_secs(2);
-/// Time between two looks at whether a planned stop has begun.
-const STOP_LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// Renewals per lease lifetime: two in a row may be lost.
+const RENEWALS_PER_LEASE: u32 = 3;
+/// Daemons that see no leader wait a random time up to this before they become candidates, so that
+/// few ask the store at once.
+const MAX_CANDIDACY_DELAY: Duration = Duration::from_millis(1_500);
+/// Lower bound of that random time, as a fraction of the maximum.
+const MIN_CANDIDACY_DELAY_FRACTION: f64 = 0.3;
+/// Additional delay for daemons that do not follow the store themselves. Those that do notice the
+/// loss of the leader first and have the faster links.
+const NON_FOLLOWER_EXTRA_DELAY: Duration = Duration::from_secs(2);
+/// Interval at which the leader checks whether a planned stop has begun.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Settings of the election.
+/// Settings of the leader election.
 #[derive(Debug, Clone)]
 pub struct LeaderSettings {
-    /// Name of this daemon.
+    /// Name of this daemon, written as the holder of the leadership.
     pub holder: Arc<str>,
-    /// Life of the leader's lease.
+    /// Time to live of the leader's lease.
     pub lease: Duration,
     /// Whether receivers of the leader's calls check fencing tokens.
     pub fencing: Fencing,
-    /// Whether no daemon of this fleet has run before, so that none can have led.
+    /// Whether no daemon of this fleet has run before, so that no earlier leader can exist.
     pub is_first_start: bool,
-    /// Whether there is anything to lead where no model engines are.
+    /// Whether a leader is needed even if the fleet has no model engines.
     pub leads_without_engines: bool,
 }
 
-/// What the leader's tasks see of the election.
+/// Handle through which the leader's tasks ask whether they may act.
 #[derive(Clone)]
 pub struct Leadership {
     shared: Arc<Shared>,
@@ -66,7 +69,7 @@
 }
 
 impl Leadership {
-    /// Whether a call may leave now.
+    /// Whether a call may be sent now.
     #[must_use]
     pub fn may_call(&self) -> bool {
         self.tenure
@@ -74,8 +77,9 @@
             .is_some_and(|tenure| tenure.covers_a_call(now()))
     }
 
-    /// The fencing token of a call that leaves now; none where this daemon may not make one. To be asked right before each
-    /// call: time has passed since the last look.
+    /// Returns the fencing token for a call that is sent now, or `None` if this daemon must not
+    /// send one. Must be called immediately before each call, because the lease may have run out
+    /// since an earlier check.
     #[must_use]
     pub fn begin_call(&self) -> Option<u64> {
         let tenure = (*self.tenure.borrow())?;
@@ -87,8 +91,8 @@
         Some(tenure.fencing_token)
     }
 
-    /// A receiver has seen a higher token than `fencing_token`: another daemon leads.
-    pub fn was_fenced_off(&self, fencing_token: u64) {
+    /// Reports that a receiver has seen a higher token than `fencing_token`: another daemon leads.
+    pub fn report_fenced_off(&self, fencing_token: u64) {
         let tenure = *self.tenure.borrow();
         if tenure.is_some_and(|tenure| tenure.fencing_token == fencing_token) {
             self.shared.fenced_off.notify_one();
@@ -105,9 +109,9 @@
     state: &Arc<FleetState>,
     pipeline: &Arc<Pipeline>,
 ) -> Leadership {
-    let (published, tenure) = watch::channel(None);
+    let (tenure_sender, tenure) = watch::channel(None);
     let shared = Arc::new(Shared {
-        last_call: Mutex::new(earliest_last_call(&settings)),
+        last_call: Mutex::new(assumed_last_call(&settings)),
         fenced_off: Notify::new(),
     });
     let candidate = Candidate {
@@ -116,22 +120,22 @@
         state: Arc::clone(state),
         pipeline: Arc::clone(pipeline),
         shared: Arc::clone(&shared),
-        published,
+        tenure_sender,
         random: Pcg64Mcg::seed_from_u64(runtime.seed.rotate_left(17)),
     };
     runtime.spawner.spawn(Box::pin(candidate.run()));
     Leadership { shared, tenure }
 }
 
-/// When another process of this machine may have made a call as the leader.
-fn earliest_last_call(settings: &LeaderSettings) -> Instant {
+/// The latest time at which another process on this machine may have sent a call as the leader.
+fn assumed_last_call(settings: &LeaderSettings) -> Instant {
     let now = now();
     if !settings.is_first_start {
         return now;
     }
-    let lease_ago = now.checked_sub(settings.lease + CALL_LIMIT);
-    // A machine that has not been up for that long has not led either.
-    lease_ago.unwrap_or(now)
+    let before_lease = now.checked_sub(settings.lease + CALL_LIMIT);
+    // If the machine has not been up for that long, no process on it can have led earlier.
+    before_lease.unwrap_or(now)
 }
 
 struct Candidate {
@@ -140,37 +144,38 @@
     state: Arc<FleetState>,
     pipeline: Arc<Pipeline>,
     shared: Arc<Shared>,
-    published: watch::Sender<Option<Tenure>>,
+    tenure_sender: watch::Sender<Option<Tenure>>,
     random: Pcg64Mcg,
 }
 
 impl Candidate {
     async fn run(mut self) {
         while !self.pipeline.is_stopping() {
-            if !self.is_wanted().await {
+            if !self.wait_for_candidacy().await {
                 continue;
             }
-            match self.take().await {
+            match self.acquire_lease().await {
                 Ok((lease, tenure)) => self.lead(lease, tenure).await,
                 Err(error) => tracing::debug!(%error, "leader_lease_not_taken"),
             }
         }
     }
 
-    /// Waits a while. Returns whether this daemon should try to lead then.
-    async fn is_wanted(&mut self) -> bool {
-        let spread = CANDIDACY_SPREAD.mul_f64(self.random.random_range(LEAST_SPREAD..1.0));
-        tokio::time::sleep(spread).await;
-        if !self.has_no_leader() {
+    /// Waits for the candidacy delay. Returns whether this daemon should then try to become the
+    /// leader.
+    async fn wait_for_candidacy(&mut self) -> bool {
+        let delay = MAX_CANDIDACY_DELAY.mul_f64(self.random.random_range(MIN_CANDIDACY_DELAY_FRACTION..1.0));
+        tokio::time::sleep(delay).await;
+        if !self.needs_leader() {
             return false;
         }
         if !self.state.topology().follows_store {
-            tokio::time::sleep(CANDIDACY_DELAY).await;
+            tokio::time::sleep(NON_FOLLOWER_EXTRA_DELAY).await;
         }
-        self.has_no_leader()
+        self.needs_leader()
     }
 
-    fn has_no_leader(&self) -> bool {
+    fn needs_leader(&self) -> bool {
         self.state.leader().is_none() && (self.settings.leads_without_engines || self.has_engines())
     }
 
@@ -179,11 +184,11 @@
         back_ends.iter().any(|back_end| back_end.stage.is_some())
     }
 
-    async fn take(&self) -> Result<(Lease, Tenure), StoreError> {
+    async fn acquire_lease(&self) -> Result<(Lease, Tenure), StoreError> {
         let asked = now();
         let lease = self.store.grant(self.settings.lease).await?;
-        let taken = self.store.acquire_leadership(&self.settings.holder, lease).await;
-        let fencing_token = match taken {
+        let acquired = self.store.acquire_leadership(&self.settings.holder, lease).await;
+        let fencing_token = match acquired {
             Ok(revision) => revision.as_token(),
             Err(error) => {
                 self.revoke(lease).await;
@@ -200,43 +205,43 @@
         Ok((lease, Tenure::new(&grant, self.settings.fencing)))
     }
 
-    /// When a call may last have left, of this daemon or of a leader that had not seen yet that the store came back from an older
-    /// copy, where its key was not there any more.
+    /// The latest time at which an earlier leader may have sent a call: this daemon, or a leader
+    /// that had not yet noticed that the store was restored from a backup without its key.
     fn last_call(&self) -> Instant {
         let own = *self.shared.last_call();
-        let of_era_before = self.state.era().risen();
-        of_era_before.map_or(own, |risen| risen.max(own))
+        let by_earlier_era_leader = self.state.era().raised_at();
+        by_earlier_era_leader.map_or(own, |raised_at| raised_at.max(own))
     }
 
-    /// Renews the lease for as long as it can, then ends it.
+    /// Renews the lease for as long as possible, then revokes it.
     async fn lead(&mut self, lease: Lease, tenure: Tenure) {
         let fence = tenure.fencing_token;
         tracing::info!(fence, "leader_lease_taken");
-        // What a receiver said of an earlier lease does not end this one.
-        let is_of_earlier_lease = self.shared.fenced_off.notified().now_or_never().is_some();
-        if is_of_earlier_lease {
+        // A fencing report that concerns an earlier lease must not end this one.
+        let concerns_earlier_lease = self.shared.fenced_off.notified().now_or_never().is_some();
+        if concerns_earlier_lease {
             tracing::debug!(fence, "fencing_of_earlier_lease_ignored");
         }
-        self.published.send_replace(Some(tenure));
-        let reason = self.renew_until_over(lease, tenure).await;
-        self.published.send_replace(None);
+        self.tenure_sender.send_replace(Some(tenure));
+        let reason = self.renew_until_ended(lease, tenure).await;
+        self.tenure_sender.send_replace(None);
         tracing::info!(fence, reason, "leader_lease_over");
-        // Calls on their way arrive before another daemon can lead.
+        // Calls in flight must arrive before another daemon can become the leader.
         tokio::time::sleep(CALL_LIMIT).await;
         self.revoke(lease).await;
     }
 
-    /// Returns why the time as the leader is over.
-    async fn renew_until_over(&self, lease: Lease, mut tenure: Tenure) -> &'static str {
+    /// Returns why the leadership ended.
+    async fn renew_until_ended(&self, lease: Lease, mut tenure: Tenure) -> &'static str {
         loop {
-            if let Some(reason) = self.await_renewal(lease).await {
+            if let Some(reason) = self.wait_for_renewal(lease).await {
                 return reason;
             }
             let asked = now();
             match self.store.renew(lease).await {
                 Ok(()) => {
                     tenure = tenure.renewed(asked);
-                    self.published.send_replace(Some(tenure));
+                    self.tenure_sender.send_replace(Some(tenure));
                 }
                 Err(StoreError::LeaseExpired) => return "lapsed",
                 Err(_trouble) if !tenure.may_be_over(now()) => {}
@@ -248,20 +253,20 @@
         }
     }
 
-    /// Waits until the lease is to be renewed; returns why it is not.
-    async fn await_renewal(&self, lease: Lease) -> Option<&'static str> {
-        let renew_at = now() + lease.life / RENEWALS_IN_A_LIFE;
+    /// Waits until the next renewal is due. Returns the reason if the lease is not to be renewed.
+    async fn wait_for_renewal(&self, lease: Lease) -> Option<&'static str> {
+        let renew_at = now() + lease.life / RENEWALS_PER_LEASE;
         let mut era = self.state.era().subscribe();
         while now() < renew_at {
             if self.pipeline.is_stopping() {
                 return Some("stopping");
             }
-            let look = renew_at.min(now() + STOP_LOOK_INTERVAL);
+            let next_check = renew_at.min(now() + STOP_CHECK_INTERVAL);
             tokio::select! {
                 biased;
                 () = self.shared.fenced_off.notified() => return Some("fenced_off"),
                 _era = era.wait_for(|newest| *newest > lease.era) => return Some("store_restored"),
-                () = time::sleep_until(look) => {}
+                () = time::sleep_until(next_check) => {}
             }
         }
         None
@@ -269,7 +274,7 @@
 
     async fn revoke(&self, lease: Lease) {
         if let Err(error) = self.store.revoke(lease).await {
-            // Left alone, it lapses.
+            // The lease expires on its own.
             tracing::debug!(%error, "lease_not_ended");
         }
     }
--- a/crates/serving/src/provider.rs
+++ b/crates/serving/src/provider.rs
@@ -1,4 +1,5 @@
-//! What an adapter brings from whoever provides the machines and bills the tenants.
+//! The interface to the provider, which supplies the machines and bills the tenants. An adapter
+//! implements [`Provider`].
 
 use std::sync::Arc;
 
@@ -6,33 +7,33 @@
 use ponddrift_fleet::capacity::Contract;
 use ponddrift_fleet::usage::{TenantCounts, WindowNumber};
 
-/// On whose behalf a call is made.
+/// The leader on whose behalf a call is made.
 #[derive(Debug, Clone)]
 pub struct Caller {
-    /// The leader's name.
+    /// Name of the leading daemon.
     pub holder: Arc<str>,
-    /// Its fencing token.
+    /// Fencing token of its leadership.
     pub fencing_token: u64,
 }
 
-/// A call to the provider that was not accepted.
+/// Why a call to the provider was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProviderError {
-    /// A higher fencing token was seen.
-    #[error("a call with a higher fencing token was seen: another daemon leads, this one stops")]
+    /// The provider has seen a higher fencing token.
+    #[error("the provider has seen a higher fencing token: another daemon leads, this one stops")]
     Fenced,
-    /// There are no such engines to be had there now.
-    #[error("no such engines are to be had now; the order is repeated with pauses")]
+    /// The provider has no such engines available now.
+    #[error("the provider has no such engines available now; the order is retried with pauses")]
     Unavailable,
-    /// Too many calls in a second, or none taken now.
-    #[error("the provider takes no calls now (status {0}); the call is repeated with pauses")]
+    /// The provider rejected the call, for example because of a rate limit. Holds the HTTP status.
+    #[error("the provider rejects calls now (status {0}); the call is retried with pauses")]
     Refused(u16),
-    /// No answer: it may be carried out, also later.
-    #[error("the provider did not answer: {0}; the same call is repeated with pauses")]
+    /// No answer arrived; the call may still take effect, possibly later.
+    #[error("the provider did not answer: {0}; the same call is retried with pauses")]
     Silent(String),
 }
 
-/// The name of a call's result in metrics.
+/// The label value of a call's result in metrics.
 pub(crate) const fn result_name(ended: &Result<(), ProviderError>) -> &'static str {
     match ended {
         Ok(()) => "taken",
@@ -43,22 +44,23 @@
     }
 }
 
-/// How many engines of a kind a service is to have in a zone.
+/// The number of engines of one contract that a service is to have in a zone.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineOrder<'a> {
-    /// Service.
+    /// Service that the engines run.
     pub service: &'a str,
-    /// Zone.
+    /// Zone in which the engines run.
     pub zone: &'a str,
-    /// How long they stay.
+    /// Contract, which determines how long the engines stay.
     pub contract: Contract,
-    /// How many there are to be, those that are there among them.
+    /// Desired total number of engines, including those that exist already.
     pub count: u32,
 }
 
-/// The provider.
+/// Access to the provider.
 pub trait Provider: Send + Sync + 'static {
-    /// Reports how many requests of each tenant began to run in a window. The same report may be sent again.
+    /// Reports how many requests of each tenant started to run in a window. Sending the same report
+    /// again is harmless.
     fn report_usage<'a>(
         &'a self,
         caller: &'a Caller,
@@ -66,7 +68,7 @@
         counts: &'a TenantCounts,
     ) -> BoxFuture<'a, Result<(), ProviderError>>;
 
-    /// Orders engines, or gives them back.
+    /// Sets the desired number of engines; a lower number than before releases engines.
     fn order_engines<'a>(
         &'a self,
         caller: &'a Caller,
--- a/crates/serving/src/store.rs
+++ b/crates/serving/src/store.rs
@@ -1,4 +1,5 @@
-//! What an adapter brings from the store.
+//! The interface to the store that holds the fleet's configuration, back-end directory and leases.
+//! An adapter implements [`FleetStore`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,192 +15,200 @@
 use ponddrift_fleet::usage::{TenantCounts, WindowNumber};
 use tokio::sync::watch;
 
-/// One key of the store at one revision, as raw as it lies there: daemons hand it on to each other so.
+/// One key of the store at one revision. The value is kept undecoded, so that daemons can relay it
+/// to each other unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Item {
-    /// Key.
+    /// Key in the store.
     pub key: String,
-    /// Revision of the write, or of the removal.
+    /// Revision at which the key was written or removed.
     pub revision: Revision,
-    /// Value; none where the key was removed.
+    /// Raw value; `None` if the key was removed.
     pub value: Option<Vec<u8>>,
 }
 
-/// How new an answer of the store has to be.
+/// Required freshness of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// As the store holds it now.
+    /// The current state of the store.
     Linearizable,
-    /// It may be some seconds old; cheaper, and not throttled.
+    /// May be a few seconds out of date. Cheaper, and exempt from the store's rate limit.
     Stale,
 }
 
-/// One page of everything of interest, in the order of keys.
+/// One page of a full read of the relevant keys, in key order.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Page {
-    /// Keys that are there.
+    /// Existing keys; removed keys are not listed.
     pub items: Vec<Item>,
-    /// Revision of the store up to which this page shows every change; pages are no snapshot, so later ones may be newer or older.
+    /// Revision up to which this page includes every change. Pages are not a snapshot: the revision
+    /// of a later page may be higher or lower.
     pub at: Revision,
-    /// Last key of this page, after which the next one begins; none where this is the last.
+    /// Last key of this page, after which the next page begins; `None` on the last page.
     pub next_after: Option<String>,
 }
 
-/// What changed after a revision.
+/// The changes between two revisions.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Changes {
-    /// Revision after which these changes are all.
+    /// Revision after which the changes are complete.
     pub after: Revision,
-    /// In the order of their revisions.
+    /// Changed keys, ordered by revision.
     pub items: Vec<Item>,
-    /// Revision up to which this tells everything.
+    /// Revision up to which the changes are complete.
     pub at: Revision,
 }
 
-/// What a key means.
+/// The decoded meaning of an [`Item`].
 #[derive(Debug, Clone)]
 pub enum Decoded {
     /// The operators' configuration.
     Configuration(Box<Configuration>),
-    /// The operators' configuration is not there.
+    /// The operators' configuration was removed.
     ConfigurationRemoved,
-    /// A back end, and what it says of its slow start.
+    /// A back end, and its reported cold-start state.
     BackEnd(BackEnd, Warmth),
     /// A back end whose entry was removed.
     BackEndRemoved(Arc<str>),
     /// A daemon.
     Daemon(Member),
-    /// A daemon whose lease ended.
+    /// A daemon whose key was removed because its lease ended.
     DaemonRemoved(Arc<str>),
-    /// The daemon that leads.
+    /// The daemon that holds the leadership.
     Leader(Arc<str>),
-    /// Nobody leads.
+    /// The leader's key was removed.
     LeaderRemoved,
-    /// A request that is not run any more.
+    /// A request that must no longer be run.
     QuarantineFiled(RequestFingerprint),
-    /// The quarantine of a request that ended.
+    /// The quarantine of a request was removed.
     QuarantineRemoved(RequestFingerprint),
-    /// Something that does not concern us.
+    /// A key that this crate does not use.
     Other,
 }
 
-/// A value that cannot be read.
+/// A value in the store that cannot be decoded.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error(
-    "the value of {key} at revision {revision} cannot be read: {problem}; the last good one stays in force"
+    "the value of {key} at revision {revision} cannot be decoded: {problem}; the last valid one stays in force"
 )]
 pub struct Unreadable {
-    /// Key.
+    /// Key in the store.
     pub key: String,
-    /// Revision.
+    /// Revision at which the key was written.
     pub revision: Revision,
-    /// What is wrong.
+    /// Why the value cannot be decoded.
     pub problem: String,
 }
 
-/// A call to the store that brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// No answer: it may have been done.
-    #[error("the store did not answer: {0}; the last known state stays in force until it does")]
+    /// No answer arrived; the call may have taken effect.
+    #[error("the store did not answer: {0}; the last known state stays in use until it does")]
     Silent(String),
-    /// It says that it does nothing now.
-    #[error("the store refuses calls now (status {0}); calls are repeated with pauses")]
+    /// The store rejected the call, for example because it is overloaded. Holds the HTTP status.
+    #[error("the store rejects calls now (status {0}); calls are retried with pauses")]
     Refused(u16),
-    /// Changes after that revision are no longer known.
-    #[error("the store has dropped its history; everything is read anew")]
+    /// The changes after the requested revision are no longer available.
+    #[error("the store has compacted its history; all keys are read again")]
     HistoryCompacted,
-    /// The store has come back from an older copy since that revision.
+    /// The store was restored from a backup after the requested revision.
     #[error(
-        "the store has come back from an older copy: its revisions begin anew; everything is read anew"
+        "the store was restored from a backup and its revisions start again; all keys are read again"
     )]
     EraMismatch,
-    /// The answer left the store before it came back from an older copy.
+    /// The store was restored from a backup after it sent this answer.
     #[error(
-        "an answer from before the store's return from an older copy came late; it is asked again"
+        "the answer was sent before the store was restored from a backup; the call is repeated"
     )]
     Outdated,
-    /// The lease is over.
-    #[error("the lease is over; another is taken")]
+    /// The lease has expired.
+    #[error("the lease has expired; a new one is requested")]
     LeaseExpired,
-    /// The condition did not hold.
-    #[error("the condition did not hold; the key is read again")]
+    /// The condition of a conditional write did not hold.
+    #[error("the condition of the write did not hold; the key is read again")]
     Conflict,
-    /// An answer that cannot be read.
-    #[error("the store's answer cannot be read: {0}; check that the address is the store's")]
+    /// The store's answer cannot be decoded.
+    #[error("the store's answer cannot be decoded: {0}; check that the address is the store's")]
     Unreadable(String),
 }
 
-/// A lease as the store granted it.
+/// A lease granted by the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
-    /// Identity.
+    /// Identifier assigned by the store.
     pub id: u64,
-    /// Time it lives after each renewal.
+    /// Time to live after the grant and after each renewal.
     pub life: Duration,
-    /// In which era it was granted: in the next its number may be another's.
+    /// Era in which it was granted. In a later era the same identifier may belong to another lease.
     pub era: Era,
 }
 
-/// The store.
+/// Access to the store.
 pub trait FleetStore: Send + Sync + 'static {
-    /// The newest era that any answer of the store has named. Rises only.
+    /// The newest era named by any answer of the store. It never decreases.
     fn era(&self) -> watch::Receiver<Era>;
-    /// Reads one page of everything of interest: the first, or the one that follows the key `after`.
+    /// Reads one page of the relevant keys: the first page, or the page that begins after the key
+    /// `after`.
     fn read_page(
         &self,
         after: Option<&str>,
         consistency: Consistency,
     ) -> BoxFuture<'_, Result<Page, StoreError>>;
-    /// Waits for changes after a revision, at most `wait`. [`StoreError::EraMismatch`] where that revision is of another era.
+    /// Long-polls for changes after a revision for at most `wait`. Fails with
+    /// [`StoreError::EraMismatch`] if the revision belongs to another era.
     fn changes(
         &self,
         after: Revision,
         wait: Duration,
     ) -> BoxFuture<'_, Result<Changes, StoreError>>;
-    /// Takes a lease.
+    /// Requests a lease with the time to live `life`.
     fn grant(&self, life: Duration) -> BoxFuture<'_, Result<Lease, StoreError>>;
-    /// Renews a lease. [`StoreError::LeaseExpired`] also where it is of an era before.
+    /// Renews a lease. Fails with [`StoreError::LeaseExpired`] also if it belongs to an earlier
+    /// era.
     fn renew(&self, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
-    /// Ends a lease with its keys; one of an era before has ended.
+    /// Revokes a lease and removes its keys. A lease of an earlier era counts as revoked already.
     fn revoke(&self, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
-    /// The lease under which the daemon's key stands just as it would be written now; none where it does not. It may be some
-    /// seconds old.
+    /// Finds the lease under which the store holds this daemon's key with exactly the current
+    /// value. Returns `None` if there is none. The answer may be a few seconds out of date.
     fn find_announcement_lease(&self, daemon: &Member) -> BoxFuture<'_, Result<Option<Lease>, StoreError>>;
     /// Writes the daemon's key under its lease.
     fn announce(&self, daemon: &Member, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
-    /// Reads which daemons of a zone hand on everything that the store holds; none where nobody has written it. It may be
-    /// some seconds old.
+    /// Reads which daemons of a zone serve the full contents of the store to others; empty if no
+    /// list was written. The answer may be a few seconds out of date.
     fn read_distributors(&self, zone: &str) -> BoxFuture<'_, Result<Vec<SocketAddr>, StoreError>>;
-    /// Writes which daemons of a zone hand on everything that the store holds. No lease ends it: it is read when all
-    /// daemons were lost.
+    /// Writes which daemons of a zone serve the full contents of the store to others. The list is
+    /// not bound to a lease, because daemons need it after all daemons of the zone were lost.
     fn write_distributors<'a>(
         &'a self,
         zone: &'a str,
         distributors: &'a [SocketAddr],
     ) -> BoxFuture<'a, Result<(), StoreError>>;
-    /// Writes the leader under its lease, where there is none. Returns the revision, which rises with each leader.
+    /// Writes the leader's key under its lease if no leader exists. Returns the revision of the
+    /// write, which increases with each leader.
     fn acquire_leadership(&self, holder: &str, lease: Lease) -> BoxFuture<'_, Result<Revision, StoreError>>;
-    /// Writes what is to be reported of a window, once: where figures of it stand already, these are returned and stay.
-    /// [`StoreError::Conflict`] where the window is so old that a later one has taken its place.
+    /// Writes the usage figures of a window once. If figures were written before, they are left
+    /// unchanged and returned. Fails with [`StoreError::Conflict`] if the window is so old that its
+    /// place in the store was reused for a later one.
     fn settle_usage<'a>(
         &'a self,
         window: WindowNumber,
         counts: &'a TenantCounts,
     ) -> BoxFuture<'a, Result<TenantCounts, StoreError>>;
-    /// Writes the quarantine of a request under a lease of `life`, where the store does not hold it yet; `engines` ended
-    /// under it. Done as well where the store holds it already.
+    /// Writes the quarantine of a request under a lease with the time to live `life`. `engines` are
+    /// the engines that ended while they ran the request. Succeeds without a write if the store
+    /// holds the quarantine already.
     fn file_quarantine<'a>(
         &'a self,
         fingerprint: RequestFingerprint,
         engines: &'a [Arc<str>],
         life: Duration,
     ) -> BoxFuture<'a, Result<(), StoreError>>;
-    /// Takes the quarantine of a request away.
+    /// Removes the quarantine of a request.
     fn release(&self, fingerprint: RequestFingerprint) -> BoxFuture<'_, Result<(), StoreError>>;
-    /// What an item means.
+    /// Decodes an item.
     ///
     /// # Errors
-    /// [`Unreadable`].
+    /// [`Unreadable`] if the value cannot be decoded.
     fn decode(&self, item: &Item) -> Result<Decoded, Unreadable>;
 }
--- a/crates/serving/src/usage/report.rs
+++ b/crates/serving/src/usage/report.rs
@@ -342,7 +342,7 @@
         self.reporting.metrics.usage_report(result_name(&ended));
         match ended {
             Ok(()) => return StepEnd::Reported,
-            Err(ProviderError::Fenced) => self.reporting.leadership.was_fenced_off(fencing_token),
+            Err(ProviderError::Fenced) => self.reporting.leadership.report_fenced_off(fencing_token),
             Err(_trouble) => {}
         }
         progress.pause_after_failure();
