--- a/crates/serving/src/follow.rs
+++ b/crates/serving/src/follow.rs
@@ -1,5 +1,5 @@
-//! Keeps the state new: a few daemons of each neighbourhood follow the store and publish its changes to the
-//! others.
+//! Keeps this daemon's state up to date. A few daemons of each neighbourhood follow the store and
+//! publish its changes to the others.
 
 mod announcer;
 mod distributor_list;
@@ -29,91 +29,93 @@
 pub(crate) use announcer::MISSING_KEY_GRACE;
 use distributor_list::DistributorList;
 
-/// How long one call of a daemon waits for changes that follows the store only for itself.
-const OWN_WAIT: Duration = Duration::from_secs(2);
-/// Pauses after a failed call grow from here,
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// to here,
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// and to here where neighbours follow the store: they publish when it answers again, and calls to a store that is
-/// away are paid for too.
-const LONGEST_PAUSE_BEHIND_FOLLOWERS: Duration = Duration::from_millis(1_400);
-/// How long a daemon that starts waits to be told who hands on everything; then it begins to read the store itself. The answer is
-/// some hundred bytes, so that even 2,000 daemons that ask at the same time get it within a tenth of that, where all is well.
-const DISTRIBUTORS_LIMIT: Duration = Duration::from_millis(150);
-/// Changes that wait to be published to neighbours, at most; what does not fit they fetch.
-const UNPUBLISHED_CHANGES: usize = 64;
-
-/// What is shared between following the store and telling peers.
+/// Long-poll timeout of a daemon that follows the store only for itself.
+const OWN_POLL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay after the first failed call to the store; doubles with each further failure.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Upper bound of the retry delay of a daemon that follows the store for its neighbours.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
+/// Upper bound of the retry delay of other daemons. Their neighbours tell them when the store
+/// answers again, and the platform charges for failed calls as well.
+const MAX_RETRY_DELAY_BEHIND_FOLLOWERS: Duration = Duration::from_millis(1_400);
+/// How long a starting daemon waits to learn which daemons serve the full contents of the store.
+/// After that it reads the store itself.
+const DISTRIBUTOR_LIST_TIMEOUT: Duration = Duration::from_millis(150);
+/// Capacity of the queue of changes to publish to neighbours. Neighbours fetch what does not fit.
+const MAX_UNPUBLISHED_CHANGES: usize = 64;
+
+/// State shared between the task that follows the store and the communication with peers.
 pub struct FollowStatus {
     followers: Mutex<FollowerTable>,
     last_answer: Mutex<Option<Instant>>,
-    /// Wakes a daemon that relies on its neighbours when it no longer can.
-    disappointed: Notify,
-    /// Wakes a daemon that waits to ask the store again when a neighbour reports an answer of the store.
-    relieved: Notify,
+    /// Wakes a daemon that relies on its neighbours when it may no longer do so.
+    reliance_changed: Notify,
+    /// Wakes a daemon that waits to retry when a neighbour reports contact with the store.
+    neighbour_has_contact: Notify,
     unpublished: mpsc::Sender<Changes>,
-    /// The peer that last said that it has read an era of the store that is new here.
-    ahead: Mutex<Option<SocketAddr>>,
+    /// The peer that last reported that it has read an era that this daemon has not.
+    peer_ahead: Mutex<Option<SocketAddr>>,
 }
 
 impl FollowStatus {
-    /// No neighbour has reported yet. The receiver gets changes to publish to neighbours.
+    /// Creates the status without any known followers. The receiver yields changes to publish to
+    /// neighbours.
     #[must_use]
     pub fn new() -> (Arc<Self>, mpsc::Receiver<Changes>) {
-        let (unpublished, to_publish) = mpsc::channel(UNPUBLISHED_CHANGES);
+        let (unpublished, to_publish) = mpsc::channel(MAX_UNPUBLISHED_CHANGES);
         let following = Self {
             followers: Mutex::default(),
             last_answer: Mutex::default(),
-            disappointed: Notify::new(),
-            relieved: Notify::new(),
+            reliance_changed: Notify::new(),
+            neighbour_has_contact: Notify::new(),
             unpublished,
-            ahead: Mutex::default(),
+            peer_ahead: Mutex::default(),
         };
         (Arc::new(following), to_publish)
     }
 
-    /// A neighbour says how long ago the store answered it.
+    /// Records how long ago the store answered a neighbour.
     pub fn follower_reported(&self, peer: SocketAddr, store_silence: Duration) {
         let mut followers = lock(&self.followers);
         followers.receive(peer, store_silence, now());
         if followers.relied_on_until(now()).is_some() {
-            self.relieved.notify_waiters();
+            self.neighbour_has_contact.notify_waiters();
         }
     }
 
-    /// A neighbour did not hand on what it has.
+    /// Stops relying on a neighbour that failed to provide the changes it announced.
     pub fn distrust(&self, peer: SocketAddr) {
         lock(&self.followers).distrust(peer);
-        self.disappointed.notify_one();
+        self.reliance_changed.notify_one();
     }
 
-    /// A peer has read an era of the store that is new here.
+    /// Records that a peer has read an era of the store that this daemon has not.
     pub fn peer_is_ahead(&self, peer: SocketAddr) {
-        *lock(&self.ahead) = Some(peer);
-        self.wake();
-        self.relieved.notify_waiters();
+        *lock(&self.peer_ahead) = Some(peer);
+        self.recheck_reliance();
+        self.neighbour_has_contact.notify_waiters();
     }
 
-    /// What neighbours are relied on for has to be looked at anew.
-    fn wake(&self) {
-        self.disappointed.notify_one();
+    /// Makes the follower check again whether it may rely on its neighbours.
+    fn recheck_reliance(&self) {
+        self.reliance_changed.notify_one();
     }
 
-    /// How long ago the store answered this daemon; none where its last call failed, or it does not follow.
+    /// Time since the store last answered this daemon; `None` if its last call failed or it does
+    /// not follow the store.
     #[must_use]
     pub fn store_silence(&self) -> Option<Duration> {
         let last = *lock(&self.last_answer);
         last.map(|last| now().saturating_duration_since(last))
     }
 
-    /// Whether this daemon asks the store itself.
+    /// Whether this daemon itself follows the store.
     #[must_use]
     pub fn is_following(&self) -> bool {
         lock(&self.last_answer).is_some()
     }
 
-    /// Whether the store answered this daemon, or a neighbour whose reports arrive, a moment ago.
+    /// Whether the store recently answered this daemon, or a neighbour whose reports still arrive.
     #[must_use]
     pub fn has_store_contact(&self) -> bool {
         let own = self.store_silence();
@@ -125,7 +127,7 @@
         lock(&self.followers).relied_on_until(now())
     }
 
-    fn note_answer(&self, answer: Option<Instant>) {
+    fn set_last_answer(&self, answer: Option<Instant>) {
         *lock(&self.last_answer) = answer;
     }
 }
@@ -136,7 +138,8 @@
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Starts following the store.
+/// Starts the tasks that follow the store, announce this daemon, and maintain its zone's
+/// distributor list.
 pub fn start(
     runtime: &Runtime,
     store: &Arc<dyn FleetStore>,
@@ -153,28 +156,29 @@
         reads_per_second,
         metrics: Arc::clone(metrics),
         random: Pcg64Mcg::seed_from_u64(runtime.seed.rotate_left(31)),
-        pause: FIRST_PAUSE,
-        history_was_gone: false,
-        gone_after: None,
+        retry_delay: INITIAL_RETRY_DELAY,
+        history_was_compacted: false,
+        compacted_after: None,
         full_read: None,
         relies_on_neighbours: false,
     };
     runtime.spawner.spawn(Box::pin(follower.run()));
     let announcer = Announcer::new(store, state, metrics, runtime.seed);
     runtime.spawner.spawn(Box::pin(announcer.run()));
-    let noting = note_eras(Arc::clone(store), Arc::clone(state), Arc::clone(following));
-    runtime.spawner.spawn(Box::pin(noting));
+    let era_watcher = watch_store_era(Arc::clone(store), Arc::clone(state), Arc::clone(following));
+    runtime.spawner.spawn(Box::pin(era_watcher));
     let distributor_list = DistributorList::new(store, state);
     runtime.spawner.spawn(Box::pin(distributor_list.run()));
 }
 
-/// Whichever call of this daemon first gets an answer of a new era, everything is read anew.
-async fn note_eras(store: Arc<dyn FleetStore>, state: Arc<FleetState>, following: Arc<FollowStatus>) {
+/// Passes each new era that any answer of the store names to the state, so that all keys are read
+/// again.
+async fn watch_store_era(store: Arc<dyn FleetStore>, state: Arc<FleetState>, following: Arc<FollowStatus>) {
     let mut era = store.era();
     loop {
-        let named = *era.borrow_and_update();
-        state.store_named_era(named, now());
-        following.wake();
+        let era_seen = *era.borrow_and_update();
+        state.store_named_era(era_seen, now());
+        following.recheck_reliance();
         if era.changed().await.is_err() {
             return;
         }
@@ -189,13 +193,14 @@
     reads_per_second: f64,
     metrics: Arc<Metrics>,
     random: Pcg64Mcg,
-    pause: Duration,
-    /// The store forgot what followed on the position; everything is read as it is now.
-    history_was_gone: bool,
-    /// The position after which the store last had no history. Asked again from there, it has none either: without a pause, that would go
-    /// on as fast as it answers.
-    gone_after: Option<Revision>,
-    /// A reading of everything that a failed page interrupted.
+    retry_delay: Duration,
+    /// The store has compacted the history after the current position, so all keys must be read
+    /// again.
+    history_was_compacted: bool,
+    /// The position after which the store last reported a compacted history. If it reports the same
+    /// position again, the follower pauses; without a pause it would retry in a tight loop.
+    compacted_after: Option<Revision>,
+    /// A full read that was interrupted by a failed page.
     full_read: Option<FullRead>,
     relies_on_neighbours: bool,
 }
@@ -203,13 +208,13 @@
 impl Follower {
     async fn run(mut self) {
         loop {
-            let relied_on_until = self.may_rely_on_neighbours();
-            self.note_way(relied_on_until.is_some());
+            let relied_on_until = self.may_rely_on_neighbours_until();
+            self.log_reliance_change(relied_on_until.is_some());
             if let Some(until) = relied_on_until {
-                self.following.note_answer(None);
-                let disappointed = self.following.disappointed.notified();
-                // Either way it is looked at anew.
-                time::timeout_at(until, disappointed).await;
+                self.following.set_last_answer(None);
+                let reliance_changed = self.following.reliance_changed.notified();
+                // Check again both after a timeout and after a notification.
+                time::timeout_at(until, reliance_changed).await;
                 continue;
             }
             let ended = self.step().await;
@@ -217,54 +222,55 @@
                 self.metrics.store_call(result_name(&ended));
             }
             match ended {
-                Ok(Progress::ByPeers) => self.following.note_answer(None),
+                Ok(Progress::ByPeers) => self.following.set_last_answer(None),
                 Ok(Progress::ByStore(at)) => {
-                    self.following.note_answer(Some(now()));
+                    self.following.set_last_answer(Some(now()));
                     self.state.store_answered(at);
-                    self.pause = FIRST_PAUSE;
+                    self.retry_delay = INITIAL_RETRY_DELAY;
                 }
                 Err(error @ (StoreError::HistoryCompacted | StoreError::EraMismatch)) => {
                     let position = self.state.position();
                     tracing::info!(position = position.map(display), %error, "store_history_gone");
-                    self.history_was_gone = true;
+                    self.history_was_compacted = true;
                     self.full_read = None;
-                    if position.is_some() && self.gone_after == position {
-                        self.pause_after_failure().await;
+                    if position.is_some() && self.compacted_after == position {
+                        self.wait_to_retry().await;
                     }
-                    self.gone_after = position;
+                    self.compacted_after = position;
                 }
                 Err(error) => {
-                    self.following.note_answer(None);
+                    self.following.set_last_answer(None);
                     self.state.store_failed(&error, now());
-                    self.pause_after_failure().await;
+                    self.wait_to_retry().await;
                 }
             }
         }
     }
 
-    /// Waits, longer after each failure, or until neighbours can be relied on.
-    async fn pause_after_failure(&mut self) {
-        let spread = self.random.random_range(0.6..1.4);
-        let pause = self.pause.mul_f64(spread);
-        let longest = if self.state.topology().follows_store {
-            LONGEST_PAUSE
+    /// Waits for the retry delay, which grows with each failure, or until a neighbour reports
+    /// contact with the store.
+    async fn wait_to_retry(&mut self) {
+        let jitter = self.random.random_range(0.6..1.4);
+        let retry_delay = self.retry_delay.mul_f64(jitter);
+        let maximum = if self.state.topology().follows_store {
+            MAX_RETRY_DELAY
         } else {
-            LONGEST_PAUSE_BEHIND_FOLLOWERS
+            MAX_RETRY_DELAY_BEHIND_FOLLOWERS
         };
-        self.pause = (self.pause * 2).min(longest);
-        // Either way it is looked at anew.
-        drop(tokio::time::timeout(pause, self.following.relieved.notified()).await);
+        self.retry_delay = (self.retry_delay * 2).min(maximum);
+        // Retry both after the delay and after a notification.
+        drop(tokio::time::timeout(retry_delay, self.following.neighbour_has_contact.notified()).await);
     }
 
-    /// Logs when this daemon begins or ends to rely on its neighbours.
-    fn note_way(&mut self, relies_on_neighbours: bool) {
+    /// Logs when this daemon starts or stops relying on its neighbours.
+    fn log_reliance_change(&mut self, relies_on_neighbours: bool) {
         if self.relies_on_neighbours == relies_on_neighbours {
             return;
         }
         self.relies_on_neighbours = relies_on_neighbours;
         let position = self.state.position();
         if relies_on_neighbours {
-            tracing::info!(position = position.map(display), "store_left_to_neighbours");
+            tracing::info!(position = position.map(display), "store_followed_by_neighbours");
         } else {
             let follows_for_others = self.state.topology().follows_store;
             tracing::info!(
@@ -275,8 +281,9 @@
         }
     }
 
-    /// Until when neighbours follow the store for this daemon; none where it has to itself.
-    fn may_rely_on_neighbours(&self) -> Option<Instant> {
+    /// Until when this daemon may rely on its neighbours to follow the store; `None` if it must
+    /// follow the store itself.
+    fn may_rely_on_neighbours_until(&self) -> Option<Instant> {
         let lacks_everything = self.state.position().is_none() || self.state.is_of_era_before();
         if self.state.topology().follows_store || lacks_everything {
             return None;
@@ -284,35 +291,37 @@
         self.following.relied_on_until()
     }
 
-    /// Reads everything, or waits for what changed.
+    /// Performs a full read if necessary, or else waits for changes.
     async fn step(&mut self) -> Result<Progress, StoreError> {
         let position = self.state.position();
-        let Some(after) = position.filter(|_| !self.history_was_gone) else {
+        let Some(after) = position.filter(|_| !self.history_was_compacted) else {
             return self.read_everything().await;
         };
         let follows_for_others = self.state.topology().follows_store;
         let wait = if follows_for_others {
             FOLLOWER_WAIT
         } else {
-            OWN_WAIT
+            OWN_POLL_TIMEOUT
         };
         let changes = self.await_changes(after, wait).await?;
         let at = changes.at.max(after);
-        let has_news = !changes.items.is_empty();
-        if has_news && follows_for_others {
-            // Where too many wait already, neighbours fetch them.
+        let has_changes = !changes.items.is_empty();
+        if has_changes && follows_for_others {
+            // If the queue is full, neighbours fetch the changes.
             drop(self.following.unpublished.try_send(changes.clone()));
         }
-        // They follow on the position, which never goes back.
+        // The changes begin at the current position, which never goes back, so they are always
+        // applied.
         self.state.take_changes(changes, Source::Store, now());
-        if has_news {
-            self.following.note_answer(Some(now()));
-            tokio::time::sleep(self.gathering(follows_for_others)).await;
+        if has_changes {
+            self.following.set_last_answer(Some(now()));
+            tokio::time::sleep(self.batching_delay(follows_for_others)).await;
         }
         Ok(Progress::ByStore(at))
     }
 
-    /// Waits for changes; no longer once the store is known to have come back from an older copy.
+    /// Waits for changes. Stops early once this daemon learns that the store was restored from a
+    /// backup.
     async fn await_changes(&self, after: Revision, wait: Duration) -> Result<Changes, StoreError> {
         let mut era = self.state.era().subscribe();
         let newer = era.wait_for(|newest| *newest > after.era());
@@ -323,11 +332,13 @@
         }
     }
 
-    /// Reads everything, or goes on where a page failed: from peers where the fleet is large, else from the store. A read that
-    /// may be old is enough, since changes are followed from its own revision on; not where the store has forgotten what
-    /// follows on that.
+    /// Reads all keys, or continues a read that was interrupted by a failed page: from peers in a
+    /// large fleet, else from the store.
+    ///
+    /// A stale read is sufficient, because changes are followed from the revision of the read. It
+    /// is not sufficient after the store has compacted its history.
     async fn read_everything(&mut self) -> Result<Progress, StoreError> {
-        let consistency = if self.history_was_gone {
+        let consistency = if self.history_was_compacted {
             Consistency::Linearizable
         } else {
             Consistency::Stale
@@ -337,14 +348,14 @@
             .take()
             .unwrap_or_else(|| FullRead::new(consistency));
         if self.read_peers(&mut reading).await {
-            self.history_was_gone = false;
+            self.history_was_compacted = false;
             return Ok(Progress::ByPeers);
         }
         let era_before = self.state.position().map(Revision::era);
         let ended = reading.read_store(&*self.store, &self.state).await;
         match ended {
             Ok(at) => {
-                self.history_was_gone = false;
+                self.history_was_compacted = false;
                 self.state.store_was_read(at, now());
                 self.publish_era(era_before, at);
             }
@@ -354,61 +365,65 @@
         ended.map(Progress::ByStore)
     }
 
-    /// Neighbours learn at once that the store has come back from an older copy: changes that follow on a position in an era
-    /// that they do not know tell them.
+    /// Tells neighbours at once that the store was restored from a backup, by publishing empty
+    /// changes that begin in the new era.
     fn publish_era(&self, before: Option<Era>, at: Revision) {
         if before.is_none_or(|before| before >= at.era()) {
             return;
         }
-        let nothing_yet = Changes {
+        let empty_changes = Changes {
             after: at,
             items: Vec::new(),
             at,
         };
-        // Where too many wait already, the next digest tells them.
-        drop(self.following.unpublished.try_send(nothing_yet));
+        // If the queue is full, the next digest tells them.
+        drop(self.following.unpublished.try_send(empty_changes));
     }
 
-    /// Reads everything from peers. Returns false where there are none to read from, or where they do not bring what is missing.
+    /// Reads all keys from peers. Returns false if there are no peers to read from, or if they do
+    /// not provide what is missing.
     async fn read_peers(&self, reading: &mut FullRead) -> bool {
         let own = self.state.own();
-        let spread = daemon_identity(&own.name);
-        let mut plan = ReadingPlan::of(own.peer_address, &self.distributors().await, spread);
+        let identity = daemon_identity(&own.name);
+        let mut plan = ReadingPlan::of(own.peer_address, &self.distributors().await, identity);
         let known = self.state.position();
         if known.is_some() {
             plan.patience = REREAD_PATIENCE;
         }
         if known.is_some() && plan.providers.is_empty() {
-            // Who told of the new era has read it. The store may refuse this machine, whether or not it follows for others.
-            plan.providers.extend(lock(&self.following.ahead).take());
+            // The peer that announced the new era has read it, while the store may reject this
+            // machine's calls, whether or not this daemon follows it for others.
+            plan.providers.extend(lock(&self.following.peer_ahead).take());
             plan.patience = DISTRIBUTOR_PATIENCE;
         }
-        reading.only_newer_than(known);
+        reading.require_newer_than(known);
         let read = reading.read_peers(&self.runtime, &plan, &self.state);
         let Some(at) = read.await else {
             return false;
         };
         if Some(at) <= known {
-            // They know no more than this daemon: the store does.
+            // The peers know no more than this daemon, so it must ask the store.
             *reading = FullRead::new(Consistency::Linearizable);
             return false;
         }
-        // One call less for every daemon, just when all of them start.
-        let relieved = self.following.relieved.notified();
+        // Wait for a follower to report, so that not every daemon calls the store when all of them
+        // start.
+        let neighbour_has_contact = self.following.neighbour_has_contact.notified();
         if !self.state.topology().follows_store && self.following.relied_on_until().is_none() {
-            // Whichever comes first, the store is asked only where no follower has reported.
-            drop(tokio::time::timeout(FOLLOWER_PATIENCE, relieved).await);
+            // On a timeout, the main loop asks the store.
+            drop(tokio::time::timeout(FOLLOWER_PATIENCE, neighbour_has_contact).await);
         }
         true
     }
 
-    /// Who hands on everything: by what this daemon knows of its peers, or by what the store says of its zone.
+    /// The daemons that serve the full contents of the store: from the known topology, or at the
+    /// start from the list that the store holds for this zone.
     async fn distributors(&self) -> Vec<SocketAddr> {
         if self.state.position().is_some() {
             return self.state.topology().distributors.clone();
         }
         let reading = self.store.read_distributors(&self.state.own().zone);
-        match tokio::time::timeout(DISTRIBUTORS_LIMIT, reading).await {
+        match tokio::time::timeout(DISTRIBUTOR_LIST_TIMEOUT, reading).await {
             Ok(Ok(distributors)) => distributors,
             Ok(Err(error)) => {
                 tracing::info!(%error, "distributors_unknown");
@@ -421,8 +436,8 @@
         }
     }
 
-    /// How long it gathers changes before it asks again.
-    fn gathering(&self, follows_for_others: bool) -> Duration {
+    /// How long to batch changes before the next call.
+    fn batching_delay(&self, follows_for_others: bool) -> Duration {
         let topology = self.state.topology();
         if follows_for_others {
             gathering_for_others(topology.followers, self.reads_per_second)
@@ -432,12 +447,13 @@
     }
 }
 
-/// What a step of following the store brought.
+/// The result of one step of following the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// The store answered; changes follow on this revision.
+    /// The store answered; the next changes begin after this revision.
     ByStore(Revision),
-    /// Peers brought everything. It says nothing of the store, and must not be told to neighbours as its answer.
+    /// All keys were read from peers. This proves no contact with the store and must not be
+    /// reported to neighbours as an answer of the store.
     ByPeers,
 }
 
--- a/crates/serving/src/follow/announcer.rs
+++ b/crates/serving/src/follow/announcer.rs
@@ -1,8 +1,8 @@
-//! Keeps the daemon's own key in the store, so that others find it.
+//! Keeps the daemon's own key in the store, so that other daemons can find it.
 //!
-//! A daemon that is restarted finds its key there, under the lease of its former life, and goes on renewing that lease: after a
-//! loss of all daemons none of the keys changes, and no daemon has to be told of any other. It is the same where the store comes back
-//! from an older copy that has the key.
+//! A restarted daemon that finds its key in the store takes over the lease of its previous run.
+//! After a restart of all daemons, no key changes and no daemon has to be informed about any other.
+//! The same applies if the store is restored from a backup that contains the key.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,15 +15,16 @@
 use crate::store::{FleetStore, Lease, StoreError};
 use crate::time::{self, now};
 
-/// Life of the lease under which a daemon's key stands.
-const DAEMON_LEASE: Duration = Duration::from_secs(10);
-/// Time between two renewals.
-const RENEWAL: Duration = Duration::from_secs(3);
-/// The next try of a daemon whose key is not written comes after the time between two renewals, times any of these.
-const RETRY_SPREAD: std::ops::Range<f64> = 0.2..0.8;
-/// A daemon whose key the store lacks since it came back from an older copy is there for so long all the same. All of them write a lease
-/// and a key again, and the store takes only so many writes a second.
-pub(crate) const MISSING_KEY_GRACE: Duration = DAEMON_LEASE.saturating_mul(2);
+/// Time to live of the lease to which the daemon's key is bound.
+const DAEMON_LEASE_TTL: Duration = Duration::from_secs(10);
+/// Interval between renewals of the lease.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
+/// Random factor that is applied to the renewal interval to get the retry delay of a daemon whose
+/// key is not written.
+const RETRY_DELAY_FACTORS: std::ops::Range<f64> = 0.2..0.8;
+/// How long a daemon counts as present although the store lost its key when it was restored from a
+/// backup. All daemons then write a lease and a key again, and the store limits the rate of writes.
+pub(crate) const MISSING_KEY_GRACE: Duration = DAEMON_LEASE_TTL.saturating_mul(2);
 
 pub(super) struct Announcer {
     store: Arc<dyn FleetStore>,
@@ -34,20 +35,21 @@
 
 /// The lease of the daemon's key.
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct HeldLease {
     lease: Lease,
     key: KeyState,
 }
 
-/// What is known of the key under a lease.
+/// What is known about the daemon's key under a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum KeyState {
-    /// It has not been written yet.
+    /// The key has not been written under this lease.
     Unwritten,
-    /// It stood under this lease in a former life, or in the copy that the store came back from, and has not been seen since: what was
-    /// read of it may have been old.
-    Unproved,
-    /// It stands there.
+    /// The key existed under this lease in a previous run of the daemon or in the backup from which
+    /// the store was restored. This has not been confirmed, because the read may have been out of
+    /// date.
+    Unconfirmed,
+    /// The key exists under this lease.
     Written,
 }
 
@@ -68,61 +70,63 @@
 
     pub(super) async fn run(mut self) {
         let mut held = None;
-        let mut looked_in = None;
+        let mut takeover_tried_in = None;
         loop {
             let era = self.state.era().newest();
-            let step = if held.is_none() && looked_in != Some(era) {
-                looked_in = Some(era);
+            let step = if held.is_none() && takeover_tried_in != Some(era) {
+                takeover_tried_in = Some(era);
                 self.take_over().await
             } else {
                 self.step(held).await
             };
             match step {
-                Ok(kept) => held = Some(kept),
+                Ok(updated) => held = Some(updated),
                 Err(StoreError::LeaseExpired) => {
                     held = None;
                     continue;
                 }
                 Err(error) => tracing::debug!(%error, "announcement_failed"),
             }
-            time::sleep(self.pause(held)).await;
+            time::sleep(self.next_delay(held)).await;
         }
     }
 
-    /// Daemons whose keys are missing all write at the same time, and the store takes only so many writes a second: their next tries are
-    /// spread.
-    fn pause(&mut self, held: Option<Held>) -> Duration {
+    /// Delay until the next step. Daemons whose keys are missing all write at the same time and the
+    /// store limits the rate of writes, so their retries are randomized.
+    fn next_delay(&mut self, held: Option<HeldLease>) -> Duration {
         let is_written = held.is_some_and(|held| held.key != KeyState::Unwritten);
         if is_written {
-            RENEWAL
+            RENEWAL_INTERVAL
         } else {
-            RENEWAL.mul_f64(self.random.random_range(RETRY_SPREAD))
+            RENEWAL_INTERVAL.mul_f64(self.random.random_range(RETRY_DELAY_FACTORS))
         }
     }
 
-    /// Goes on with the lease under which the key stands, if it does: that of a former life, or of the copy that the store came back from.
-    async fn take_over(&self) -> Result<Held, StoreError> {
+    /// Continues to use the lease under which the store already holds the key, if there is one:
+    /// that of a previous run of the daemon, or of the backup from which the store was restored.
+    async fn take_over(&self) -> Result<HeldLease, StoreError> {
         let found = self.store.find_announcement_lease(self.state.own()).await?;
         let lease = found.ok_or(StoreError::LeaseExpired)?;
         self.store.renew(lease).await?;
         tracing::info!("announcement_taken_over");
-        Ok(Held {
+        Ok(HeldLease {
             lease,
-            key: KeyState::Unproved,
+            key: KeyState::Unconfirmed,
         })
     }
 
-    async fn step(&self, held: Option<Held>) -> Result<Held, StoreError> {
+    async fn step(&self, held: Option<HeldLease>) -> Result<HeldLease, StoreError> {
         match held {
             None => {
-                let lease = self.store.grant(DAEMON_LEASE).await?;
+                let lease = self.store.grant(DAEMON_LEASE_TTL).await?;
                 self.write(lease).await
             }
-            Some(Held {
+            Some(HeldLease {
                 lease,
                 key: KeyState::Unwritten,
             }) => {
-                // Renewals are not among the writes that the store bounds; the lease must not lapse before its key is taken.
+                // Renewals do not count towards the store's limit on writes. The lease must not
+                // expire before the key is written.
                 self.store.renew(lease).await?;
                 self.write(lease).await
             }
@@ -130,9 +134,9 @@
         }
     }
 
-    /// Writes the key. A lease whose key the store did not take is kept for the next try: to ask for another each time would take half of
-    /// the writes.
-    async fn write(&self, lease: Lease) -> Result<Held, StoreError> {
+    /// Writes the key. If the store rejects the write, the lease is kept for the next attempt: to
+    /// request another lease each time would use half of the permitted writes.
+    async fn write(&self, lease: Lease) -> Result<HeldLease, StoreError> {
         let key = match self.store.announce(self.state.own(), lease).await {
             Ok(()) => KeyState::Written,
             Err(StoreError::LeaseExpired) => return Err(StoreError::LeaseExpired),
@@ -141,22 +145,22 @@
                 KeyState::Unwritten
             }
         };
-        Ok(Held { lease, key })
+        Ok(HeldLease { lease, key })
     }
 
-    async fn renew(&self, held: Held) -> Result<Held, StoreError> {
+    async fn renew(&self, held: HeldLease) -> Result<HeldLease, StoreError> {
         let mut key = held.key;
-        if key == KeyState::Unproved && self.state.knows_own_key() {
+        if key == KeyState::Unconfirmed && self.state.knows_own_key() {
             key = KeyState::Written;
         }
-        if key == KeyState::Unproved && self.state.position().is_some() {
-            // The key stood under another lease after all, and went with it.
+        if key == KeyState::Unconfirmed && self.state.position().is_some() {
+            // The key was bound to another lease and was removed with it.
             return Err(StoreError::LeaseExpired);
         }
-        let begun = now();
+        let started = now();
         self.store.renew(held.lease).await?;
-        let took = now().saturating_duration_since(begun);
+        let took = now().saturating_duration_since(started);
         self.metrics.store_answered(took);
-        Ok(Held { key, ..held })
+        Ok(HeldLease { key, ..held })
     }
 }
--- a/crates/serving/src/follow/distributor_list.rs
+++ b/crates/serving/src/follow/distributor_list.rs
@@ -1,4 +1,5 @@
-//! Keeps the list of a zone's distributors in the store, for daemons that start and know nobody.
+//! Maintains the list of a zone's distributors in the store, for starting daemons that know no
+//! peers yet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,15 +10,16 @@
 use crate::fleet_state::FleetState;
 use crate::store::{FleetStore, StoreError};
 
-/// Time between two looks. Daemons that come or go together do so within this time; the list is written where it was the same
-/// at two looks.
-const LOOK_INTERVAL: Duration = Duration::from_secs(4);
+/// Interval between checks of the list. The list is written only if it was the same in two
+/// consecutive checks, so that daemons that join or leave together cause a single write.
+const CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
-/// The list as this daemon would write it. Only the first distributor of a zone writes.
+/// Writes the list of distributors of this daemon's zone. Only the first distributor of a zone
+/// writes.
 pub(super) struct DistributorList {
     store: Arc<dyn FleetStore>,
     state: Arc<FleetState>,
-    /// What the store holds, where it is known, and since which era.
+    /// The era and the list that the store is known to hold; `None` if that is unknown.
     written: Option<(Era, Vec<SocketAddr>)>,
 }
 
@@ -31,26 +33,26 @@
     }
 
     pub(super) async fn run(mut self) {
-        let mut seen = Vec::new();
+        let mut previous = Vec::new();
         loop {
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             let distributors = self.state.topology().distributors.clone();
-            let is_settled = distributors == seen;
-            seen = distributors;
-            if !is_settled || seen.first() != Some(&self.state.own().peer_address) {
+            let is_settled = distributors == previous;
+            previous = distributors;
+            if !is_settled || previous.first() != Some(&self.state.own().peer_address) {
                 continue;
             }
-            if let Err(error) = self.bring_up_to_date(&seen).await {
+            if let Err(error) = self.update_store(&previous).await {
                 tracing::info!(%error, "distributors_not_written");
             }
         }
     }
 
-    async fn bring_up_to_date(&mut self, distributors: &[SocketAddr]) -> Result<(), StoreError> {
+    async fn update_store(&mut self, distributors: &[SocketAddr]) -> Result<(), StoreError> {
         let zone = &self.state.own().zone;
         let era = self.state.era().newest();
-        // What was written may have gone when the store came back from an older copy.
-        let mut written = self.written.take_if(|(since, _list)| *since == era);
+        // A list that was written may be lost if the store was restored from a backup.
+        let mut written = self.written.take_if(|(written_in, _list)| *written_in == era);
         if written.is_none() {
             written = Some((era, self.store.read_distributors(zone).await?));
         }
@@ -61,7 +63,7 @@
             self.written = written;
             return Ok(());
         }
-        // Whatever comes of the call, what the store holds is not known for sure.
+        // Unless the write succeeds, the list that the store holds is unknown.
         self.written = None;
         self.store.write_distributors(zone, distributors).await?;
         tracing::info!(distributors = distributors.len(), "distributors_written");
--- a/crates/serving/src/full_read.rs
+++ b/crates/serving/src/full_read.rs
@@ -1,10 +1,11 @@
-//! Reads everything that the store holds, page by page, from the store or from peers.
+//! Reads all keys of the store page by page, from the store or from peers.
 //!
-//! After a loss of all machines every daemon reads everything at the same time, and the store's link is what they wait
-//! for: 1,000 daemons with 10,000 back ends would share 1 Gbit/s for half a minute. So a few read the store, and the others
-//! read from those while they still read. Each page takes effect as it comes: the first ones hold the configuration and
-//! enough back ends to serve with. A page that fails is read again, from whoever has it, never those before it: all hand out
-//! keys in the same order.
+//! After a restart of all machines, every daemon reads everything at the same time and the store's
+//! network link is the bottleneck. Therefore only a few daemons read the store, and the others read
+//! from these while they are still reading. Each page takes effect as soon as it arrives: the first
+//! pages contain the configuration and enough back ends to serve requests. After a failed page,
+//! only that page is read again, possibly from another source: all sources return the keys in the
+//! same order.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -20,53 +21,53 @@
 use crate::store::{Consistency, FleetStore, Page, StoreError};
 use crate::time::now;
 
-/// Pause before the next provider is asked, where one has nothing or fails.
-const PROVIDER_PAUSE: Duration = Duration::from_millis(30);
+/// Delay before the next provider is asked if one has nothing to offer or fails.
+const PROVIDER_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// A reading of everything that has begun.
+/// A full read in progress.
 #[derive(Debug)]
 pub(crate) struct FullRead {
     consistency: Consistency,
-    begun: Instant,
+    started: Instant,
     pages: usize,
-    pages_of_peers: usize,
+    pages_from_peers: usize,
     keys: HashSet<String>,
-    /// Lowest revision of any page. Pages are no snapshot, and one that may be old can be older than those before it:
-    /// what changed since then may be missing from some of them.
+    /// Lowest revision of any page. Pages are not a snapshot, and a stale page can be older than
+    /// those before it. Changes after this revision may be missing from some of the pages.
     oldest_at: Option<Revision>,
     next_after: Option<String>,
-    /// A page of a peer counts only if it is newer than this.
+    /// Pages of peers are accepted only if their revision is higher than this.
     newer_than: Option<Revision>,
 }
 
-/// A page that does not follow on those before it.
+/// Why a page cannot be appended to the pages before it.
 #[derive(Debug, thiserror::Error)]
-enum Misfit {
+enum PageMismatch {
     #[error(
-        "a page does not go on behind the key that it was asked for; another peer, or the store, is read"
+        "a page does not begin after the requested key; another peer, or the store, is read"
     )]
-    NoProgress,
-    #[error("a page is of another era of the store than those before it; all are read anew")]
+    OutOfOrder,
+    #[error("a page belongs to another era of the store than those before it; all pages are read again")]
     EraMismatch,
 }
 
-impl From<Misfit> for StoreError {
-    fn from(misfit: Misfit) -> Self {
-        match misfit {
-            Misfit::NoProgress => Self::Unreadable(misfit.to_string()),
-            Misfit::EraMismatch => Self::EraMismatch,
+impl From<PageMismatch> for StoreError {
+    fn from(mismatch: PageMismatch) -> Self {
+        match mismatch {
+            PageMismatch::OutOfOrder => Self::Unreadable(mismatch.to_string()),
+            PageMismatch::EraMismatch => Self::EraMismatch,
         }
     }
 }
 
 impl FullRead {
-    /// Nothing read yet.
+    /// Starts a full read without any pages.
     pub(crate) fn new(consistency: Consistency) -> Self {
         Self {
             consistency,
-            begun: now(),
+            started: now(),
             pages: 0,
-            pages_of_peers: 0,
+            pages_from_peers: 0,
             keys: HashSet::new(),
             oldest_at: None,
             next_after: None,
@@ -74,24 +75,26 @@
         }
     }
 
-    /// From now on pages of peers that show no more than the revision `known` are not taken: whoever sent them has not read what is
-    /// missing yet, and is asked again. When the store forgets its history, all daemons miss the same.
-    pub(crate) fn only_newer_than(&mut self, known: Option<Revision>) {
+    /// From now on, rejects pages of peers whose revision is not higher than `known`. Such a peer
+    /// has not read the missing changes yet and is asked again. When the store compacts its
+    /// history, all daemons miss the same changes.
+    pub(crate) fn require_newer_than(&mut self, known: Option<Revision>) {
         self.newer_than = known;
     }
 
-    /// Pages of two eras of the store make no whole.
-    fn begin_anew(&mut self) {
+    /// Restarts the read, because pages of different eras of the store must not be combined.
+    fn restart(&mut self) {
         *self = Self {
             newer_than: self.newer_than,
             ..Self::new(self.consistency)
         };
     }
 
-    /// Reads the pages that are left from the store. Returns the revision after which changes follow.
+    /// Reads the remaining pages from the store. Returns the revision after which changes are to be
+    /// followed.
     ///
     /// # Errors
-    /// What the store answered to a page; called again, it goes on with that page.
+    /// The store's error for a page. A later call continues with that page.
     pub(crate) async fn read_store(
         &mut self,
         store: &dyn FleetStore,
@@ -100,15 +103,15 @@
         loop {
             let after = self.next_after.as_deref();
             let page = store.read_page(after, self.consistency).await?;
-            let end = self.take(page, Source::Store, state);
+            let end = self.apply_page(page, Source::Store, state);
             if let Some(at) = end? {
                 return Ok(at);
             }
         }
     }
 
-    /// Reads the pages that are left from peers. Returns the revision after which changes follow; none where no peer brought
-    /// more for as long as the plan has patience.
+    /// Reads the remaining pages from peers. Returns the revision after which changes are to be
+    /// followed, or `None` if no peer provided another page within the plan's patience.
     pub(crate) async fn read_peers(
         &mut self,
         runtime: &Runtime,
@@ -122,45 +125,45 @@
                 .await
             {
                 Ok(end) => return end,
-                Err(Unhelpful::NothingYet) => {}
-                Err(Unhelpful::Failed(error)) => {
+                Err(NoPage::NotReadYet) => {}
+                Err(NoPage::Failed(error)) => {
                     tracing::info!(%provider, pages = self.pages, error, "page_not_read");
                 }
             }
             if now().saturating_duration_since(last_page) > plan.patience {
-                tracing::info!(pages = self.pages, "pages_left_to_store");
+                tracing::info!(pages = self.pages, "peer_pages_timed_out");
                 return None;
             }
-            tokio::time::sleep(PROVIDER_PAUSE).await;
+            tokio::time::sleep(PROVIDER_RETRY_DELAY).await;
         }
         None
     }
 
-    /// Reads pages from one peer for as long as it has any.
+    /// Reads pages from one peer for as long as it provides any.
     async fn read_peer(
         &mut self,
         runtime: &Runtime,
         provider: SocketAddr,
         state: &FleetState,
         last_page: &mut Instant,
-    ) -> Result<Option<Revision>, Unhelpful> {
+    ) -> Result<Option<Revision>, NoPage> {
         loop {
-            let asked = peers::fetch_page(runtime, provider, self.next_after.as_deref()).await;
-            let page = asked.map_err(|error| Unhelpful::Failed(error.to_string()))?;
-            let page = page.ok_or(Unhelpful::NothingYet)?;
-            let is_of_era_before = self
+            let answer = peers::fetch_page(runtime, provider, self.next_after.as_deref()).await;
+            let page = answer.map_err(|error| NoPage::Failed(error.to_string()))?;
+            let page = page.ok_or(NoPage::NotReadYet)?;
+            let is_of_earlier_era = self
                 .oldest_at
                 .is_some_and(|oldest| page.at.era() < oldest.era());
-            if is_of_era_before || Some(page.at) <= self.newer_than {
-                return Err(Unhelpful::NothingYet);
+            if is_of_earlier_era || Some(page.at) <= self.newer_than {
+                return Err(NoPage::NotReadYet);
             }
-            let end = match self.take(page, Source::Peer, state) {
+            let end = match self.apply_page(page, Source::Peer, state) {
                 Ok(end) => end,
-                Err(Misfit::EraMismatch) => {
-                    self.begin_anew();
+                Err(PageMismatch::EraMismatch) => {
+                    self.restart();
                     continue;
                 }
-                Err(misfit) => return Err(Unhelpful::Failed(misfit.to_string())),
+                Err(mismatch) => return Err(NoPage::Failed(mismatch.to_string())),
             };
             *last_page = now();
             if end.is_some() {
@@ -169,25 +172,26 @@
         }
     }
 
-    /// Puts a page into effect. Returns the revision after which changes follow, where it was the last.
-    fn take(
+    /// Applies a page. Returns the revision after which changes are to be followed if it was the
+    /// last page.
+    fn apply_page(
         &mut self,
         page: Page,
         source: Source,
         state: &FleetState,
-    ) -> Result<Option<Revision>, Misfit> {
+    ) -> Result<Option<Revision>, PageMismatch> {
         if self
             .oldest_at
             .is_some_and(|oldest| oldest.era() != page.at.era())
         {
-            return Err(Misfit::EraMismatch);
+            return Err(PageMismatch::EraMismatch);
         }
-        if !self.is_followed_by(&page) {
-            return Err(Misfit::NoProgress);
+        if !self.continues_with(&page) {
+            return Err(PageMismatch::OutOfOrder);
         }
         self.pages += 1;
         if source == Source::Peer {
-            self.pages_of_peers += 1;
+            self.pages_from_peers += 1;
         }
         let at = self.oldest_at.map_or(page.at, |oldest| oldest.min(page.at));
         self.oldest_at = Some(at);
@@ -202,29 +206,29 @@
         state.whole_is_known(&self.keys, at, source, now());
         tracing::info!(
             pages = self.pages,
-            pages_of_peers = self.pages_of_peers,
+            pages_of_peers = self.pages_from_peers,
             keys = self.keys.len(),
             %at,
-            took_ms = milliseconds(now().saturating_duration_since(self.begun)),
+            took_ms = milliseconds(now().saturating_duration_since(self.started)),
             "store_read"
         );
         Ok(Some(at))
     }
 
-    fn is_followed_by(&self, page: &Page) -> bool {
-        let goes_on = page
+    fn continues_with(&self, page: &Page) -> bool {
+        let advances = page
             .next_after
             .as_ref()
             .is_none_or(|next_after| Some(next_after) > self.next_after.as_ref());
         let first = page.items.first().map(|item| &item.key);
-        goes_on && first.is_none_or(|first| Some(first) > self.next_after.as_ref())
+        advances && first.is_none_or(|first| Some(first) > self.next_after.as_ref())
     }
 }
 
-/// Why a peer brought no page.
-enum Unhelpful {
-    /// It has not read so far itself.
-    NothingYet,
-    /// It cannot be reached, or what it sent is no page.
+/// Why a peer provided no page.
+enum NoPage {
+    /// The peer has not read that far yet.
+    NotReadYet,
+    /// The peer cannot be reached, or its answer is not a valid page.
     Failed(String),
 }
