--- a/crates/serving/src/fleet_state.rs
+++ b/crates/serving/src/fleet_state.rs
@@ -1,8 +1,8 @@
-//! The newest configuration, directory and daemons that this daemon has seen.
+//! The newest configuration, back-end directory and set of daemons known to this daemon.
 
 mod fleet_view;
-mod handing_on;
 mod known_era;
+mod peer_answers;
 mod quarantines;
 mod retained;
 
@@ -24,39 +24,39 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-use fleet_view::{FleetView, PartlyRead};
+use fleet_view::{FleetView, PartialRead};
 pub use known_era::KnownEra;
 
 use crate::back_end_index::BackEndIndex;
 use crate::store::{Changes, Decoded, FleetStore, Item, Page};
 
-/// A configuration in force.
+/// A configuration in force, with the tables that are derived from it.
 #[derive(Debug)]
 pub struct ConfigurationInForce {
-    /// The configuration.
+    /// The configuration as the operators wrote it.
     pub configuration: Configuration,
-    /// Its routes.
+    /// Routes of the configuration, indexed for lookup.
     pub routes: RouteTable,
-    /// Its tenants by key; none where requests are not authenticated.
+    /// Tenants by API key; `None` if requests are not authenticated.
     pub tenants: Option<TenantTable>,
-    /// Revision of its key.
+    /// Revision of the configuration's key in the store.
     pub revision: Revision,
-    /// Since when it has been in force here.
+    /// When it came into force on this daemon.
     pub since: Instant,
 }
 
-/// A daemon's identity in messages, the same in all its lives.
+/// A daemon's identity in messages. It is derived from the name and survives restarts.
 #[must_use]
 pub fn daemon_identity(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Where news came from.
+/// The source of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// The store itself.
     Store,
-    /// Another daemon, which had it from the store.
+    /// Another daemon, which received the update from the store.
     Peer,
 }
 
@@ -69,13 +69,13 @@
     }
 }
 
-/// What a peer is told that asks for everything after a revision.
+/// The answer to a peer that asks for all changes after a revision.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum News {
-    /// What changed since then, or the first part of it.
+pub enum ChangesAnswer {
+    /// The changes, or the first part of them.
     Changes(Changes),
-    /// What was removed since then is no longer known here: everything is to be read anew.
-    TooLongAgo,
+    /// Removals after that revision have been forgotten here, so the peer must read all keys again.
+    HistoryForgotten,
 }
 
 /// This daemon's view of the fleet, shared by its tasks.
@@ -85,12 +85,12 @@
     inner: Mutex<FleetView>,
     quarantine: Mutex<Quarantine>,
     quarantine_changed: Notify,
-    more_is_known: Notify,
+    read_progressed: Notify,
     era: KnownEra,
 }
 
 impl FleetState {
-    /// Nothing known yet. `own` is this daemon.
+    /// Creates an empty view. `own` is this daemon.
     #[must_use]
     pub fn new(store: Arc<dyn FleetStore>, own: Member) -> Self {
         let inner = Mutex::new(FleetView::of(&own));
@@ -100,55 +100,55 @@
             inner,
             quarantine: Mutex::default(),
             quarantine_changed: Notify::new(),
-            more_is_known: Notify::new(),
+            read_progressed: Notify::new(),
             era: KnownEra::default(),
         }
     }
 
-    /// What is known of requests under which engines ended.
+    /// Locks the records of requests during which engines ended.
     pub fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         self.quarantine
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Wakes who files quarantines in the store when there may be a new one.
+    /// Notified when there may be a new quarantine to write to the store.
     #[must_use]
     pub const fn quarantine_changed(&self) -> &Notify {
         &self.quarantine_changed
     }
 
-    /// This daemon.
+    /// This daemon, as it announces itself.
     #[must_use]
     pub const fn own(&self) -> &Member {
         &self.own
     }
 
-    /// The configuration in force; none before the first was seen.
+    /// The configuration in force; `None` before the first one was received.
     #[must_use]
     pub fn in_force(&self) -> Option<Arc<ConfigurationInForce>> {
         self.lock().in_force.clone()
     }
 
-    /// Back ends of `service` that take requests.
+    /// Back ends of `service` that accept requests.
     #[must_use]
     pub fn ready(&self, service: &str, now: Instant) -> Vec<Arc<BackEnd>> {
         self.lock().directory.ready(service, now)
     }
 
-    /// The back ends among which one request's are chosen.
+    /// The back ends among which the target of one request is chosen.
     #[must_use]
     pub fn candidates(&self, query: &CandidateQuery<'_>, now: Instant) -> Candidates {
         self.lock().directory.candidates(query, now)
     }
 
-    /// Those of these back ends that belong to `service` and take requests.
+    /// Those of the given back ends that belong to `service` and accept requests.
     #[must_use]
     pub fn ready_among(&self, service: &str, ids: &[Arc<str>]) -> Vec<Arc<BackEnd>> {
         self.lock().directory.ready_among(service, ids)
     }
 
-    /// Whether the back end's entry still says that it takes requests.
+    /// Whether the back end's entry still says that it is ready.
     #[must_use]
     pub fn is_ready(&self, id: &str) -> bool {
         self.lock()
@@ -157,7 +157,7 @@
             .is_some_and(|back_end| back_end.lifecycle == Lifecycle::Ready)
     }
 
-    /// Whether the back end may get a new request, as far as its entry tells.
+    /// Whether the back end may get a new request, according to its entry.
     #[must_use]
     pub fn takes_requests(&self, id: &str, now: Instant) -> bool {
         self.lock().directory.takes_requests(id, now)
@@ -169,13 +169,13 @@
         self.lock().directory.present().cloned().collect()
     }
 
-    /// Every back end that has an entry, to be found by hash.
+    /// Every back end that has an entry, indexed by hash.
     #[must_use]
     pub fn back_end_index(&self) -> Arc<BackEndIndex> {
         Arc::clone(&self.lock().index)
     }
 
-    /// This daemon's place among those that have a key.
+    /// This daemon's place among the daemons that have a key.
     #[must_use]
     pub fn topology(&self) -> Arc<Topology> {
         Arc::clone(&self.lock().topology)
@@ -187,13 +187,13 @@
         Arc::clone(&self.lock().members)
     }
 
-    /// The daemon that leads, as far as is known.
+    /// The current leader, as far as this daemon knows.
     #[must_use]
     pub fn leader(&self) -> Option<Arc<str>> {
         self.lock().leader.clone()
     }
 
-    /// Addresses of the other daemons that led lately, the newest first.
+    /// Addresses of the other daemons that led recently, newest first.
     #[must_use]
     pub fn other_recent_leaders(&self) -> Vec<SocketAddr> {
         let inner = self.lock();
@@ -205,13 +205,13 @@
             .collect()
     }
 
-    /// Whether the store holds this daemon's key, as far as is known.
+    /// Whether the store holds this daemon's key, as far as this daemon knows.
     #[must_use]
     pub fn knows_own_key(&self) -> bool {
         self.lock().has_key_of(&self.own.name)
     }
 
-    /// All daemons that have a key, by identity.
+    /// Peer addresses of all daemons that have a key, by identity.
     #[must_use]
     pub fn daemon_addresses(&self) -> BTreeMap<u64, SocketAddr> {
         let inner = self.lock();
@@ -221,114 +221,115 @@
             .collect()
     }
 
-    /// Newest revision of any item.
+    /// Highest revision of any item received.
     #[must_use]
     pub fn newest_revision(&self) -> Revision {
         self.lock().newest
     }
 
-    /// Revision up to which everything is known; none before the first reading.
+    /// Revision up to which this daemon's state is complete; `None` before the first full read.
     #[must_use]
     pub fn position(&self) -> Option<Revision> {
         self.lock().position
     }
 
-    /// The newest era of the store, as far as is known.
+    /// The newest era of the store, as far as this daemon knows.
     #[must_use]
     pub const fn era(&self) -> &KnownEra {
         &self.era
     }
 
-    /// Whether the store has come back from an older copy since everything was read.
+    /// Whether the store was restored from a backup after the last full read.
     #[must_use]
-    pub fn is_of_era_before(&self) -> bool {
+    pub fn is_of_earlier_era(&self) -> bool {
         let position = self.position();
         position.is_some_and(|position| position.era() < self.era.newest())
     }
 
-    /// An answer of the store named an era.
-    pub fn store_named_era(&self, era: Era, now: Instant) {
+    /// Records an era that an answer of the store named.
+    pub fn observe_store_era(&self, era: Era, now: Instant) {
         if self.position().is_some() {
-            self.era.note_of_store(era, now);
+            self.era.observe_from_store(era, now);
         } else {
-            self.era.meet(era);
+            self.era.observe_before_first_read(era);
         }
     }
 
-    /// A peer that has read everything named an era.
-    pub fn peer_named_era(&self, era: Era, now: Instant) {
-        self.era.note_of_peer(era, now);
+    /// Records an era that a peer named after it performed a full read.
+    pub fn observe_peer_era(&self, era: Era, now: Instant) {
+        self.era.observe_from_peer(era, now);
     }
 
-    /// Everything was read from the store itself just now, as of `at`.
-    pub fn store_was_read(&self, at: Revision, now: Instant) {
-        self.era.refute_newer_than(at.era(), now);
+    /// Records a full read from the store itself, as of the revision `at`.
+    pub fn confirm_store_era(&self, at: Revision, now: Instant) {
+        self.era.lower_to(at.era(), now);
     }
 
-    /// What a peer lacks that knows everything up to `after`, or the first part of it.
+    /// The changes after the revision `after`, or the first part of them, for a peer that asks.
     #[must_use]
-    pub fn news_after(&self, after: Revision) -> News {
-        self.lock().news_after(after)
+    pub fn changes_after(&self, after: Revision) -> ChangesAnswer {
+        self.lock().changes_after(after)
     }
 
-    /// Everything behind the key `after`, or the first part of it; none where nothing behind it is known yet.
+    /// The keys after `after`, or the first part of them. Returns `None` if no keys beyond `after`
+    /// have been read yet.
     #[must_use]
     pub fn page_after(&self, after: Option<&str>) -> Option<Page> {
         self.lock().page_after(after)
     }
 
-    /// Wakes whoever waits to hand on more, as soon as more is known.
+    /// Notified whenever more keys can be served to peers.
     #[must_use]
-    pub const fn more_is_known(&self) -> &Notify {
-        &self.more_is_known
+    pub const fn read_progressed(&self) -> &Notify {
+        &self.read_progressed
     }
 
-    /// A first reading of everything has come to the key `up_to`, as of the revision `at`.
-    pub fn note_part_read(&self, up_to: &str, at: Revision) {
+    /// Records that the first full read has reached the key `up_to`, as of the revision `at`.
+    pub fn record_partial_read(&self, up_to: &str, at: Revision) {
         let up_to = up_to.to_owned();
-        self.lock().partly_read = Some(PartlyRead { up_to, at });
-        self.more_is_known.notify_waiters();
+        self.lock().partial_read = Some(PartialRead { up_to, at });
+        self.read_progressed.notify_waiters();
     }
 
-    /// All keys that were there at a revision have been taken: what is missing from them was removed, and changes follow
-    /// on that revision.
-    pub fn whole_is_known(
+    /// Completes a full read: `keys` are all keys that existed at the revision `at`. Known keys
+    /// that are missing from them were removed. Changes are followed from that revision on.
+    pub fn finish_full_read(
         &self,
         keys: &HashSet<String>,
         at: Revision,
         source: Source,
         now: Instant,
     ) {
-        self.doubt_what_a_copy_lacks(at, now);
-        let removed = self.missing_from(keys, at);
-        self.take_items(removed, source, now);
+        self.mark_removals_doubtful(at, now);
+        let removed = self.removals_of_missing(keys, at);
+        self.apply_items(removed, source, now);
         let mut inner = self.lock();
         if inner.position.is_none_or(|position| position < at) {
             inner.position = Some(at);
             inner.removals_since = at;
         }
-        inner.partly_read = None;
+        inner.partial_read = None;
         drop(inner);
-        self.more_is_known.notify_waiters();
+        self.read_progressed.notify_waiters();
     }
 
-    /// Takes changes that follow on what is known. Returns false where something may lie between; nothing is taken
-    /// then.
-    pub fn take_changes(&self, changes: Changes, source: Source, now: Instant) -> bool {
+    /// Applies changes that continue the known state. Returns false, and applies nothing, if there
+    /// may be a gap before them.
+    pub fn apply_changes(&self, changes: Changes, source: Source, now: Instant) -> bool {
         let follow_on = self
             .position()
             .is_some_and(|position| changes.after <= position);
         if !follow_on {
             return false;
         }
-        self.take_items(changes.items, source, now);
+        self.apply_items(changes.items, source, now);
         let mut inner = self.lock();
         inner.position = inner.position.max(Some(changes.at));
         true
     }
 
-    /// What a store lacks that has come back from an older copy may be written again.
-    fn doubt_what_a_copy_lacks(&self, at: Revision, now: Instant) {
+    /// After a restore of the store, puts removals in doubt: a missing key may be written again.
+    fn mark_removals_doubtful(&self, at: Revision, now: Instant) {
         let mut inner = self.lock();
         if inner
             .position
@@ -338,8 +339,9 @@
         }
     }
 
-    /// What is held as present, is no newer than `at`, and is not among `keys`.
-    fn missing_from(&self, keys: &HashSet<String>, at: Revision) -> Vec<Item> {
+    /// Removals, at the revision `at`, of the present items that are no newer than `at` and not in
+    /// `keys`.
+    fn removals_of_missing(&self, keys: &HashSet<String>, at: Revision) -> Vec<Item> {
         let inner = self.lock();
         inner
             .items
@@ -354,27 +356,27 @@
             .collect()
     }
 
-    /// Takes items, each only if it is newer than what is known of its key. What is missing from them says nothing; of
-    /// everything see [`Self::whole_is_known`].
-    pub fn take_items(&self, items: Vec<Item>, source: Source, now: Instant) {
+    /// Applies items, each only if it is newer than the known item of the same key. Does not treat
+    /// missing keys as removed; for that see [`Self::finish_full_read`].
+    pub fn apply_items(&self, items: Vec<Item>, source: Source, now: Instant) {
         for item in items {
-            self.take_item(item, source, now);
+            self.apply_item(item, source, now);
         }
-        // Once for all of them: a reading of everything names every daemon.
-        self.lock().place_where_daemons_changed(&self.own);
+        // Once for all items, because a full read contains every daemon.
+        self.lock().update_topology(&self.own);
     }
 
-    fn take_item(&self, item: Item, source: Source, now: Instant) {
+    fn apply_item(&self, item: Item, source: Source, now: Instant) {
         if self.is_stale(&item) {
-            self.log_passed_over(&item, source);
+            self.log_ignored_conflict(&item, source);
             return;
         }
         match self.store.decode(&item) {
             Ok(Decoded::QuarantineFiled(fingerprint)) => {
-                self.quarantine_filed(fingerprint, &item, source, now);
+                self.apply_quarantine_filed(fingerprint, &item, source, now);
             }
             Ok(Decoded::QuarantineRemoved(fingerprint)) => {
-                self.quarantine_released(fingerprint, &item, source, now);
+                self.apply_quarantine_removed(fingerprint, &item, source, now);
             }
             Ok(decoded) => self.lock().apply(decoded, &item, source, now),
             Err(unreadable) => tracing::warn!(
@@ -389,8 +391,9 @@
         inner.items.insert(item.key.clone(), item);
     }
 
-    /// An item that is no newer by its revision, and yet says something else, is worth a line: the two cannot both be right.
-    fn log_passed_over(&self, item: &Item, source: Source) {
+    /// Logs an ignored item that is not newer than the known one but has a different value, which
+    /// indicates an inconsistency.
+    fn log_ignored_conflict(&self, item: &Item, source: Source) {
         let inner = self.lock();
         let Some(known) = inner.items.get(&item.key) else {
             return;
@@ -401,7 +404,7 @@
                 revision = %item.revision,
                 known_revision = %known.revision,
                 source = source.as_str(),
-                "item_passed_over"
+                "conflicting_item_ignored"
             );
         }
     }
@@ -413,13 +416,13 @@
             .is_some_and(|known| known.revision >= item.revision)
     }
 
-    /// Back ends whose entries held no usable time of their slow start, so far.
+    /// Number of back-end entries with an unusable cold-start time so far.
     #[must_use]
     pub fn unusable_cold_times(&self) -> u64 {
         self.lock().unusable_cold_times
     }
 
-    /// A call to the store failed.
+    /// Records a failed call to the store.
     pub fn store_failed(&self, error: &dyn std::fmt::Display, now: Instant) {
         let mut inner = self.lock();
         inner.last_store_failure = Some(now);
@@ -429,18 +432,18 @@
         }
     }
 
-    /// Whether entries that vanish now may have lapsed because the store was away.
+    /// Whether keys that disappear now may have expired only because the store was unavailable.
     #[must_use]
     pub fn is_in_doubt(&self, now: Instant) -> bool {
         self.lock().is_in_doubt(now)
     }
 
-    /// A peer that follows the store is in doubt.
-    pub fn note_doubt(&self, now: Instant) {
+    /// Records that a peer which follows the store reports its removals as doubtful.
+    pub fn record_peer_doubt(&self, now: Instant) {
         self.lock().last_store_failure = Some(now);
     }
 
-    /// A call to the store succeeded.
+    /// Records a successful call to the store.
     pub fn store_answered(&self, at: Revision) {
         let mut inner = self.lock();
         if !inner.store_reached {
@@ -449,17 +452,17 @@
         }
     }
 
-    /// Forgets what is long past.
+    /// Forgets records that are no longer needed.
     pub fn forget_old(&self, now: Instant) {
-        /// Removed keys are handed on to peers for about this many revisions.
-        const REMOVED_KEPT: u64 = 10_000;
+        /// Number of revisions for which removed keys are kept, so that peers can be told of them.
+        const REMOVALS_KEPT_REVISIONS: u64 = 10_000;
         let mut inner = self.lock();
         inner.forget_removals(now);
-        inner.remove_departed(now);
+        inner.remove_missing_daemons(now);
         inner.forget_retained(now);
-        inner.place_where_daemons_changed(&self.own);
+        inner.update_topology(&self.own);
         self.quarantine().forget_old(now);
-        let oldest_removal = inner.newest.back_by(REMOVED_KEPT);
+        let oldest_removal = inner.newest.back_by(REMOVALS_KEPT_REVISIONS);
         inner
             .items
             .retain(|_key, item| item.value.is_some() || item.revision > oldest_removal);
--- a/crates/serving/src/fleet_state/fleet_view.rs
+++ b/crates/serving/src/fleet_state/fleet_view.rs
@@ -1,4 +1,4 @@
-//! This daemon's view of the fleet and how updates change it. Each change that matters is logged.
+//! This daemon's view of the fleet, and how updates change it. Relevant changes are logged.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -18,18 +18,20 @@
 use crate::follow::MISSING_KEY_GRACE;
 use crate::store::{Decoded, Item};
 
-/// For this long after a failed call to the store, an entry that vanishes may have lapsed because the store was away.
-const DOUBT_AFTER_FAILURE: Duration = Duration::from_secs(5);
+/// For this long after a failed call to the store, a key that disappears may have expired only
+/// because the store was unavailable.
+const DOUBT_PERIOD_AFTER_FAILURE: Duration = Duration::from_secs(5);
 
-/// Daemons that led before and are still known: within the windows of usage that are reported hardly more lead.
-const LEADERS_REMEMBERED: usize = 4;
+/// Number of recent leaders to remember. Few more can lead within the usage windows that are
+/// reported.
+const MAX_RECENT_LEADERS: usize = 4;
 
-/// How far a first reading of everything has come.
+/// Progress of the first full read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct PartlyRead {
-    /// Every key up to this one has been read.
+pub(super) struct PartialRead {
+    /// All keys up to and including this one have been read.
     pub(super) up_to: String,
-    /// Revision up to which those keys show every change.
+    /// Revision up to which these keys include every change.
     pub(super) at: Revision,
 }
 
@@ -37,39 +39,39 @@
 pub(super) struct FleetView {
     pub(super) in_force: Option<Arc<ConfigurationInForce>>,
     pub(super) directory: Directory,
-    /// Shared with whoever reads a message just now; copied only if it changes in that moment.
+    /// Shared with readers; copied on write only while a reader holds it.
     pub(super) index: Arc<BackEndIndex>,
     pub(super) daemons: HashMap<Arc<str>, Member>,
     pub(super) topology: Arc<Topology>,
-    /// The daemons, for sharing out what back ends take from all together.
+    /// The daemons that share the rate limits of back ends.
     pub(super) members: Arc<Members>,
-    /// Daemons have come or gone since the topology was worked out.
+    /// Whether daemons have joined or left since the topology was computed.
     daemons_changed: bool,
     pub(super) leader: Option<Arc<str>>,
-    /// The last daemons that led, the newest last.
+    /// Daemons that led recently, newest last.
     pub(super) recent_leaders: VecDeque<Arc<str>>,
-    /// Raw items by key, as they are handed on to peers page by page.
+    /// Raw items by key, as they are sent to peers.
     pub(super) items: BTreeMap<String, Item>,
-    /// What was known before the store came back from an older copy, where that shows less: it stays in force until it is written
-    /// again.
+    /// Items known from before the store was restored from a backup whose contents are older. They
+    /// stay in force until they are written to the store again.
     pub(super) retained: BTreeMap<String, Retained>,
-    /// Daemons whose keys the store lacks since it came back, and since when.
-    missing_daemons: HashMap<Arc<str>, Instant>,
-    /// A first reading of everything that is under way; none before its first page, or once everything is known.
-    pub(super) partly_read: Option<PartlyRead>,
+    /// Daemons whose keys are missing since the store was restored, and since when.
+    daemons_missing_keys: HashMap<Arc<str>, Instant>,
+    /// Progress of the first full read; `None` before its first page and after its end.
+    pub(super) partial_read: Option<PartialRead>,
     pub(super) newest: Revision,
-    /// Everything up to this revision is known; none before the first reading.
+    /// Revision up to which the state is complete; `None` before the first full read.
     pub(super) position: Option<Revision>,
-    /// Removals are known from this revision on.
+    /// Revision after which all removals are known.
     pub(super) removals_since: Revision,
-    /// Back ends whose entries held no usable time of their slow start.
+    /// Number of back-end entries with an unusable cold-start time.
     pub(super) unusable_cold_times: u64,
     pub(super) last_store_failure: Option<Instant>,
     pub(super) store_reached: bool,
 }
 
 impl FleetView {
-    /// Nothing known yet but this daemon.
+    /// Creates a view that contains only this daemon.
     pub(super) fn of(own: &Member) -> Self {
         Self {
             topology: Arc::new(Topology::of(own, &[])),
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Works out the daemon's place among its peers anew, where they are others than before.
-    pub(super) fn place_where_daemons_changed(&mut self, own: &Member) {
+    /// Recomputes this daemon's place among its peers if daemons have joined or left.
+    pub(super) fn update_topology(&mut self, own: &Member) {
         if !std::mem::take(&mut self.daemons_changed) {
             return;
         }
@@ -103,23 +105,23 @@
         });
     }
 
-    /// Whether nothing has been known for long enough that an entry could be a change. A start writes one line for everything
-    /// that it reads: a line for each entry took a quarter of a second of a small machine before 10,000 back ends.
+    /// Whether the first full read has not finished. Until then single entries are not logged as
+    /// changes, because logging all entries would slow down the start of a large fleet.
     fn is_first_reading(&self) -> bool {
         self.position.is_none()
     }
 
     pub(super) fn is_in_doubt(&self, now: Instant) -> bool {
         self.last_store_failure
-            .is_some_and(|last| now.saturating_duration_since(last) < DOUBT_AFTER_FAILURE)
+            .is_some_and(|last| now.saturating_duration_since(last) < DOUBT_PERIOD_AFTER_FAILURE)
     }
 
-    /// Applies what an item means that is newer than what is known of its key.
+    /// Applies a decoded item that is newer than the known item of the same key.
     pub(super) fn apply(&mut self, decoded: Decoded, item: &Item, source: Source, now: Instant) {
         let revision = item.revision;
         match decoded {
             Decoded::Configuration(configuration) => {
-                if self.knows_newer_than(configuration.version) {
+                if self.has_newer_configuration(configuration.version) {
                     self.retain_known(item, now);
                 } else {
                     self.retained.remove(&item.key);
@@ -132,7 +134,7 @@
                 self.apply_back_end(back_end, item, source, now);
             }
             Decoded::BackEndRemoved(id) => {
-                if !self.is_of_era_before(item) {
+                if !self.is_of_earlier_era(item) {
                     self.retained.remove(&item.key);
                 }
                 self.remove_back_end(&id, revision, source, now);
@@ -146,20 +148,20 @@
                         "daemon_joined"
                     );
                 }
-                self.missing_daemons.remove(&daemon.name);
+                self.daemons_missing_keys.remove(&daemon.name);
                 self.daemons.insert(Arc::clone(&daemon.name), daemon);
                 self.daemons_changed = true;
             }
-            Decoded::DaemonRemoved(name) if self.is_of_era_before(item) => {
-                // Its key went with the store's return; the daemon itself writes it again.
+            Decoded::DaemonRemoved(name) if self.is_of_earlier_era(item) => {
+                // The key was lost when the store was restored; the daemon writes it again.
                 tracing::info!(daemon = %name, %revision, "daemon_key_missing");
-                self.missing_daemons.insert(name, now);
+                self.daemons_missing_keys.insert(name, now);
             }
             Decoded::DaemonRemoved(name) => self.remove_daemon(&name),
             Decoded::Leader(leader) => {
                 let fence = revision.as_token();
                 tracing::info!(%leader, %revision, fence, source = source.as_str(), "leader");
-                self.note_leader(leader);
+                self.record_leader(leader);
             }
             Decoded::LeaderRemoved => {
                 tracing::info!(%revision, source = source.as_str(), "leader_gone");
@@ -170,50 +172,51 @@
     }
 
     /// Whether a newer configuration is in force.
-    fn knows_newer_than(&self, version: u64) -> bool {
+    fn has_newer_configuration(&self, version: u64) -> bool {
         let in_force = self.in_force.as_ref();
         in_force.is_some_and(|in_force| in_force.configuration.version > version)
     }
 
-    /// Whether what is known of an item's key is of an era before the item's: the item may be no news, but what the store held when
-    /// its copy was made.
-    fn is_of_era_before(&self, item: &Item) -> bool {
+    /// Whether the known item of the same key belongs to an earlier era. In that case the item may
+    /// show an old state from the backup rather than a change.
+    fn is_of_earlier_era(&self, item: &Item) -> bool {
         let known = self.items.get(&item.key);
         known.is_some_and(|known| known.revision.era() < item.revision.era())
     }
 
-    fn note_leader(&mut self, leader: Arc<str>) {
+    fn record_leader(&mut self, leader: Arc<str>) {
         self.recent_leaders.retain(|known| *known != leader);
-        if self.recent_leaders.len() == LEADERS_REMEMBERED {
+        if self.recent_leaders.len() == MAX_RECENT_LEADERS {
             self.recent_leaders.pop_front();
         }
         self.recent_leaders.push_back(Arc::clone(&leader));
         self.leader = Some(leader);
     }
 
-    /// Whether the store holds the key of this daemon, as far as is known.
+    /// Whether the store holds the key of the given daemon, as far as this daemon knows.
     pub(super) fn has_key_of(&self, daemon: &str) -> bool {
-        self.daemons.contains_key(daemon) && !self.missing_daemons.contains_key(daemon)
+        self.daemons.contains_key(daemon) && !self.daemons_missing_keys.contains_key(daemon)
     }
 
     fn remove_daemon(&mut self, name: &str) {
         tracing::info!(daemon = name, "daemon_left");
-        self.missing_daemons.remove(name);
+        self.daemons_missing_keys.remove(name);
         self.daemons.remove(name);
         self.daemons_changed = true;
     }
 
     pub(super) fn forget_removals(&mut self, now: Instant) {
         for back_end in self.directory.forget_removals(now) {
-            tracing::info!(back_end = %back_end.id, "back_end_shown_by_copy_lives");
+            tracing::info!(back_end = %back_end.id, "restored_back_end_is_alive");
             Arc::make_mut(&mut self.index).insert(&back_end);
         }
     }
 
-    /// Removes daemons that have not written their keys again after the store came back without them.
-    pub(super) fn remove_departed(&mut self, now: Instant) {
+    /// Removes daemons that have not written their keys again within the grace period after the
+    /// store was restored without them.
+    pub(super) fn remove_missing_daemons(&mut self, now: Instant) {
         let departed: Vec<Arc<str>> = self
-            .missing_daemons
+            .daemons_missing_keys
             .iter()
             .filter(|(_name, since)| now.saturating_duration_since(**since) > MISSING_KEY_GRACE)
             .map(|(name, _since)| Arc::clone(name))
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Returns whether it is newer than the one in force.
+    /// Puts a configuration into force if it is newer than the current one. Returns whether it is.
     pub(super) fn apply_configuration(
         &mut self,
         configuration: Configuration,
@@ -261,7 +264,8 @@
         true
     }
 
-    /// The slow start of a back end, counted from now: entries are written about once a heartbeat.
+    /// The cold start of a back end. The remaining time counts from now, because entries are
+    /// written about once per heartbeat.
     fn cold_start(
         &mut self,
         back_end: &BackEnd,
@@ -272,9 +276,9 @@
         let known = self.directory.get(&back_end.id);
         match warmth {
             Warmth::Warm => None,
-            Warmth::ColdFor(left) => {
+            Warmth::ColdFor(remaining) => {
                 let before = known.and_then(|known| known.cold_start);
-                Some(ColdStart::seen(left, before, now))
+                Some(ColdStart::seen(remaining, before, now))
             }
             Warmth::Unusable => {
                 if known.is_none() {
--- a/crates/serving/src/fleet_state/known_era.rs
+++ b/crates/serving/src/fleet_state/known_era.rs
@@ -6,56 +6,59 @@
 use ponddrift_fleet::revision::Era;
 use tokio::sync::watch;
 
-/// For this long after the store itself named an older era, no peer is believed that names a newer one: it would make this
-/// daemon read everything at each of its messages.
-const REFUTED_FOR: Duration = Duration::from_secs(2);
+/// For this long after the store itself named an older era, newer eras named by peers are ignored.
+/// Each message of such a peer would otherwise trigger a full read.
+const REFUTATION_PERIOD: Duration = Duration::from_secs(2);
 
-/// Shared by all who have to act when the store has come back from an older copy.
+/// The newest known era, shared by all tasks that must react when the store is restored from a
+/// backup.
 #[derive(Debug, Default)]
 pub struct KnownEra {
     newest: watch::Sender<Era>,
-    times: Mutex<Times>,
+    times: Mutex<EraTimes>,
 }
 
 #[derive(Debug, Default)]
-struct Times {
+struct EraTimes {
     raised_at: Option<Instant>,
-    refuted: Option<Instant>,
+    refuted_at: Option<Instant>,
 }
 
 impl KnownEra {
-    /// The newest era.
+    /// The newest known era.
     #[must_use]
     pub fn newest(&self) -> Era {
         *self.newest.borrow()
     }
 
-    /// Changes with the newest era.
+    /// Subscribes to changes of the newest known era.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Era> {
         self.newest.subscribe()
     }
 
-    /// When this daemon learned that the store had come back; none where it has not since this daemon knows what it holds.
+    /// When this daemon learned that the store was restored; `None` if that has not happened since
+    /// its first full read.
     #[must_use]
     pub fn raised_at(&self) -> Option<Instant> {
         self.times().raised_at
     }
 
-    /// An answer of the store named an era, before this daemon has read anything: it is the one that it meets first.
-    pub(super) fn meet(&self, era: Era) {
+    /// Records an era named by the store before the first full read, which does not count as a
+    /// restore.
+    pub(super) fn observe_before_first_read(&self, era: Era) {
         self.newest.send_if_modified(|newest| raise_to(newest, era));
     }
 
-    /// An answer of the store named an era.
-    pub(super) fn note_of_store(&self, era: Era, now: Instant) {
+    /// Records an era named by an answer of the store.
+    pub(super) fn observe_from_store(&self, era: Era, now: Instant) {
         self.raise(era, "store", now);
     }
 
-    /// A peer named an era.
-    pub(super) fn note_of_peer(&self, era: Era, now: Instant) {
-        let refuted = self.times().refuted;
-        let is_refuted = refuted.is_some_and(|at| now.saturating_duration_since(at) < REFUTED_FOR);
+    /// Records an era named by a peer, unless the store refuted such a claim recently.
+    pub(super) fn observe_from_peer(&self, era: Era, now: Instant) {
+        let refuted_at = self.times().refuted_at;
+        let is_refuted = refuted_at.is_some_and(|at| now.saturating_duration_since(at) < REFUTATION_PERIOD);
         if !is_refuted {
             self.raise(era, "peer", now);
         }
@@ -70,8 +73,9 @@
         }
     }
 
-    /// The store was read just now and is of the era `read`: a peer that named a newer one was wrong.
-    pub(super) fn refute_newer_than(&self, read: Era, now: Instant) {
+    /// Lowers the newest era after a read from the store itself, which was in the era `read`. A
+    /// peer that named a newer era was wrong.
+    pub(super) fn lower_to(&self, read: Era, now: Instant) {
         let claimed = self.newest();
         let is_wrong = self.newest.send_if_modified(|newest| {
             let is_wrong = *newest > read;
@@ -79,21 +83,21 @@
             is_wrong
         });
         if is_wrong {
-            self.times().refuted = Some(now);
+            self.times().refuted_at = Some(now);
             tracing::warn!(%claimed, era = %read, "era_not_confirmed");
         }
     }
 
-    fn times(&self) -> MutexGuard<'_, Times> {
+    fn times(&self) -> MutexGuard<'_, EraTimes> {
         self.times
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
-/// Returns whether that was higher.
+/// Raises `newest` to `era` if that is higher. Returns whether it was.
 fn raise_to(newest: &mut Era, era: Era) -> bool {
-    let rises = era > *newest;
+    let is_raised = era > *newest;
     *newest = era.max(*newest);
-    rises
+    is_raised
 }
--- a/crates/serving/src/fleet_state/quarantines.rs
+++ b/crates/serving/src/fleet_state/quarantines.rs
@@ -1,4 +1,4 @@
-//! Quarantines as the store holds them.
+//! Applies quarantines that are filed in and removed from the store.
 
 use std::time::Instant;
 
@@ -7,23 +7,24 @@
 use super::{FleetState, Source};
 use crate::store::Item;
 
-/// What was known of a key before the store came back from an older copy.
+/// State of a key before the store was restored from a backup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum KnownBefore {
+enum StateBeforeRestore {
     Present,
     Removed,
 }
 
 impl FleetState {
-    /// A quarantine that an operator ended, or that ran out, is not in force again because an older copy shows it.
-    pub(super) fn quarantine_filed(
+    /// Applies a quarantine found in the store. If it had ended before the store was restored from
+    /// an older backup, it does not come into force again.
+    pub(super) fn apply_quarantine_filed(
         &self,
         fingerprint: RequestFingerprint,
         item: &Item,
         source: Source,
         now: Instant,
     ) {
-        let had_ended = self.known_before(item) == Some(KnownBefore::Removed);
+        let had_ended = self.state_before_restore(item) == Some(StateBeforeRestore::Removed);
         tracing::info!(
             %fingerprint,
             revision = %item.revision,
@@ -36,9 +37,10 @@
         }
     }
 
-    /// A lease that ran out while the store was away ends no quarantine: no operator and no time has. One that an older copy lacks is
-    /// filed again.
-    pub(super) fn quarantine_released(
+    /// Applies the removal of a quarantine. A removal that is in doubt is ignored, because the
+    /// lease may have expired only while the store was unavailable. A quarantine that is missing
+    /// from a backup is filed again.
+    pub(super) fn apply_quarantine_removed(
         &self,
         fingerprint: RequestFingerprint,
         item: &Item,
@@ -46,7 +48,7 @@
         now: Instant,
     ) {
         let in_doubt = self.is_in_doubt(now);
-        let is_missing = self.known_before(item) == Some(KnownBefore::Present);
+        let is_missing = self.state_before_restore(item) == Some(StateBeforeRestore::Present);
         tracing::info!(
             %fingerprint,
             revision = %item.revision,
@@ -63,17 +65,18 @@
         }
     }
 
-    /// What was known of an item's key in an era before; none where nothing was, or the item is of the same era.
-    fn known_before(&self, item: &Item) -> Option<KnownBefore> {
+    /// State of the item's key in an earlier era; `None` if the key was unknown or of the item's
+    /// own era.
+    fn state_before_restore(&self, item: &Item) -> Option<StateBeforeRestore> {
         let inner = self.lock();
         let known = inner.items.get(&item.key)?;
         if known.revision.era() == item.revision.era() {
             return None;
         }
         Some(if known.value.is_some() {
-            KnownBefore::Present
+            StateBeforeRestore::Present
         } else {
-            KnownBefore::Removed
+            StateBeforeRestore::Removed
         })
     }
 }
--- a/crates/serving/src/fleet_state/retained.rs
+++ b/crates/serving/src/fleet_state/retained.rs
@@ -1,4 +1,4 @@
-//! What stays known though the store, back from an older copy, shows less.
+//! Items that stay in force although the store was restored from a backup with older contents.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 use super::fleet_view::FleetView;
 use crate::store::{Decoded, Item, Page};
 
-/// What was known of a key, as it lay in the store before.
+/// An item as the store held it before it was restored.
 #[derive(Debug, Clone)]
 pub(super) struct Retained {
     item: Item,
@@ -18,7 +18,7 @@
 }
 
 impl FleetView {
-    /// What was known of an item's key stays in force.
+    /// Keeps the known item of the same key in force.
     pub(super) fn retain_known(&mut self, item: &Item, now: Instant) {
         let Some(known) = self.items.get(&item.key) else {
             return;
@@ -30,7 +30,7 @@
             key = item.key,
             revision = %item.revision,
             known_revision = %known.revision,
-            "kept_over_copy"
+            "newer_value_retained"
         );
         let known = known.clone();
         self.retain(known, now);
@@ -49,7 +49,8 @@
         was_shown
     }
 
-    /// Back ends that had gone are not told of any longer than they are believed to have gone.
+    /// Forgets back ends that had been removed, once their removal no longer takes precedence over
+    /// the restored store.
     pub(super) fn forget_retained(&mut self, now: Instant) {
         self.retained.retain(|_key, retained| {
             let age = now.saturating_duration_since(retained.since);
@@ -57,14 +58,15 @@
         });
     }
 
-    /// Takes an item that the store lacked as of `page`, where this daemon knows no more than the store. Returns whether it was news.
-    fn take_retained(&mut self, decoded: Decoded, item: Item, page: &Page, now: Instant) -> bool {
+    /// Applies an item that the store lacked as of `page`, unless this daemon has a newer item from
+    /// the store. Returns whether it changed anything.
+    fn apply_retained(&mut self, decoded: Decoded, item: Item, page: &Page, now: Instant) -> bool {
         let known = self.items.get(&item.key);
-        let is_written_since = known.is_some_and(|known| known.revision > page.at);
-        if is_written_since || self.retained.contains_key(&item.key) {
+        let is_written_again = known.is_some_and(|known| known.revision > page.at);
+        if is_written_again || self.retained.contains_key(&item.key) {
             return false;
         }
-        let is_news = match decoded {
+        let has_changed = match decoded {
             Decoded::Configuration(configuration) => {
                 self.apply_configuration(*configuration, item.revision, super::Source::Peer, now)
             }
@@ -72,18 +74,18 @@
             Decoded::BackEndRemoved(id) => self.remove_over_copy(&id, now),
             _ => false,
         };
-        if is_news {
-            tracing::info!(key = item.key, known_revision = %item.revision, "told_over_copy");
+        if has_changed {
+            tracing::info!(key = item.key, known_revision = %item.revision, "retained_value_received");
             self.retain(item, now);
         }
-        is_news
+        has_changed
     }
 }
 
 impl FleetState {
-    /// Hash of all that this daemon knows and the store lacks; none where that is nothing.
+    /// Hash of all items that this daemon retains and the store lacks; `None` if there are none.
     #[must_use]
-    pub fn retained_set(&self) -> Option<u64> {
+    pub fn retained_hash(&self) -> Option<u64> {
         let inner = self.lock();
         if inner.retained.is_empty() {
             return None;
@@ -96,7 +98,7 @@
         Some(hash.digest())
     }
 
-    /// All that this daemon knows and the store lacks.
+    /// All items that this daemon retains and the store lacks.
     #[must_use]
     pub fn retained(&self) -> Page {
         let inner = self.lock();
@@ -108,8 +110,9 @@
         }
     }
 
-    /// Takes what a peer knows and the store lacked as of the page's revision. Returns how much of it was news.
-    pub fn take_retained(&self, mut page: Page, now: Instant) -> usize {
+    /// Applies items that a peer retains and that the store lacked as of the page's revision.
+    /// Returns the number of items that changed anything.
+    pub fn apply_retained(&self, mut page: Page, now: Instant) -> usize {
         let is_of_this_era = self
             .position()
             .is_some_and(|position| position.era() == page.at.era());
@@ -117,16 +120,16 @@
             return 0;
         }
         let items = std::mem::take(&mut page.items);
-        let mut taken = 0;
+        let mut applied = 0;
         for item in items {
             match self.store.decode(&item) {
                 Ok(decoded) => {
-                    let is_news = self.lock().take_retained(decoded, item, &page, now);
-                    taken += usize::from(is_news);
+                    let has_changed = self.lock().apply_retained(decoded, item, &page, now);
+                    applied += usize::from(has_changed);
                 }
                 Err(error) => tracing::warn!(%error, "value_unreadable"),
             }
         }
-        taken
+        applied
     }
 }
--- a/crates/serving/src/follow.rs
+++ b/crates/serving/src/follow.rs
@@ -177,7 +177,7 @@
     let mut era = store.era();
     loop {
         let era_seen = *era.borrow_and_update();
-        state.store_named_era(era_seen, now());
+        state.observe_store_era(era_seen, now());
         following.recheck_reliance();
         if era.changed().await.is_err() {
             return;
@@ -284,7 +284,7 @@
     /// Until when this daemon may rely on its neighbours to follow the store; `None` if it must
     /// follow the store itself.
     fn may_rely_on_neighbours_until(&self) -> Option<Instant> {
-        let lacks_everything = self.state.position().is_none() || self.state.is_of_era_before();
+        let lacks_everything = self.state.position().is_none() || self.state.is_of_earlier_era();
         if self.state.topology().follows_store || lacks_everything {
             return None;
         }
@@ -312,7 +312,7 @@
         }
         // The changes begin at the current position, which never goes back, so they are always
         // applied.
-        self.state.take_changes(changes, Source::Store, now());
+        self.state.apply_changes(changes, Source::Store, now());
         if has_changes {
             self.following.set_last_answer(Some(now()));
             tokio::time::sleep(self.batching_delay(follows_for_others)).await;
@@ -356,7 +356,7 @@
         match ended {
             Ok(at) => {
                 self.history_was_compacted = false;
-                self.state.store_was_read(at, now());
+                self.state.confirm_store_era(at, now());
                 self.publish_era(era_before, at);
             }
             Err(StoreError::EraMismatch) => {}
--- a/crates/serving/src/full_read.rs
+++ b/crates/serving/src/full_read.rs
@@ -197,13 +197,13 @@
         self.oldest_at = Some(at);
         self.keys
             .extend(page.items.iter().map(|item| item.key.clone()));
-        state.take_items(page.items, source, now());
+        state.apply_items(page.items, source, now());
         self.next_after = page.next_after;
         if let Some(up_to) = &self.next_after {
-            state.note_part_read(up_to, at);
+            state.record_partial_read(up_to, at);
             return Ok(None);
         }
-        state.whole_is_known(&self.keys, at, source, now());
+        state.finish_full_read(&self.keys, at, source, now());
         tracing::info!(
             pages = self.pages,
             pages_of_peers = self.pages_from_peers,
--- a/crates/serving/src/peers/rate_limits.rs
+++ b/crates/serving/src/peers/rate_limits.rs
@@ -232,7 +232,7 @@
     /// Takes the limits that were told too early, as the directory is read.
     pub(super) async fn take_early_limits(self: Arc<Self>) {
         while self.state.position().is_none() {
-            self.state.more_is_known().notified().await;
+            self.state.read_progressed().notified().await;
             self.take_limits_of_known();
         }
         self.early_limits().clear();
--- a/crates/serving/src/peers/receive.rs
+++ b/crates/serving/src/peers/receive.rs
@@ -16,7 +16,7 @@
 };
 use super::{Peers, relay};
 use crate::back_end_index::BackEndIndex;
-use crate::fleet_state::{News, Source};
+use crate::fleet_state::{ChangesAnswer, Source};
 use crate::store::{Changes, Consistency};
 use crate::time::now;
 use crate::full_read::FullRead;
@@ -144,9 +144,9 @@
     fn take_changes(self: &Arc<Self>, changes: Changes, in_doubt: bool, from: SocketAddr) {
         let at = changes.at;
         if in_doubt {
-            self.state.note_doubt(now());
+            self.state.record_peer_doubt(now());
         }
-        if !self.state.take_changes(changes, Source::Peer, now()) {
+        if !self.state.apply_changes(changes, Source::Peer, now()) {
             self.notice(at, from);
         }
     }
@@ -155,7 +155,7 @@
     fn notice(self: &Arc<Self>, position: Revision, from: SocketAddr) {
         let own = self.state.position();
         if own.is_some_and(|own| own.era() < position.era()) {
-            self.state.peer_named_era(position.era(), now());
+            self.state.observe_peer_era(position.era(), now());
             self.following.peer_is_ahead(from);
             return;
         }
@@ -198,10 +198,10 @@
     async fn fetch_news(&self, peer: SocketAddr, known: Revision) -> io::Result<()> {
         match relay::fetch(&self.runtime, peer, known).await? {
             // Where they leave a gap, the peer is asked once more.
-            News::Changes(changes) => {
-                self.state.take_changes(changes, Source::Peer, now());
+            ChangesAnswer::Changes(changes) => {
+                self.state.apply_changes(changes, Source::Peer, now());
             }
-            News::TooLongAgo => self.read_everything(peer).await,
+            ChangesAnswer::HistoryForgotten => self.read_everything(peer).await,
         }
         Ok(())
     }
--- a/crates/serving/src/peers/relay.rs
+++ b/crates/serving/src/peers/relay.rs
@@ -13,7 +13,7 @@
 use ponddrift_fleet::revision::Revision;
 use ponddrift_fleet::usage::{TallyOf, TenantCounts, WindowNumber};
 
-use crate::fleet_state::{FleetState, News};
+use crate::fleet_state::{FleetState, ChangesAnswer};
 use crate::pipeline::Pipeline;
 use crate::store::Page;
 use crate::time::{self, now};
@@ -34,7 +34,7 @@
 /// What a peer asks.
 #[derive(Debug, Clone, BorshSerialize, BorshDeserialize)]
 enum Question {
-    /// What is known beyond this revision; answered by [`News`].
+    /// What is known beyond this revision; answered by [`ChangesAnswer`].
     NewsAfter(Revision),
     /// Every copy of what was counted in this window; answered by a list of [`TallyOf`].
     Tallies(WindowNumber),
@@ -125,7 +125,7 @@
 async fn answer(mut stream: BoxedStream, known: &Known) -> io::Result<()> {
     let question = read_value(&mut stream, MAXIMUM_QUESTION).await?;
     let bytes = match question {
-        Question::NewsAfter(revision) => borsh::to_vec(&known.state.news_after(revision))?,
+        Question::NewsAfter(revision) => borsh::to_vec(&known.state.changes_after(revision))?,
         Question::Tallies(window) => {
             let usage = known.pipeline.usage();
             borsh::to_vec(&usage.map(|usage| usage.tallies(window)).unwrap_or_default())?
@@ -149,12 +149,12 @@
 async fn page_after(state: &FleetState, after: Option<&str>) -> Option<Page> {
     let until = now() + PAGE_WAIT;
     loop {
-        let more_is_known = state.more_is_known().notified();
+        let read_progressed = state.read_progressed().notified();
         let page = state.page_after(after);
         if page.is_some() {
             return page;
         }
-        time::timeout_at(until, more_is_known).await?;
+        time::timeout_at(until, read_progressed).await?;
     }
 }
 
@@ -213,7 +213,7 @@
     runtime: &Runtime,
     peer: SocketAddr,
     after: Revision,
-) -> io::Result<News> {
+) -> io::Result<ChangesAnswer> {
     ask(runtime, peer, Question::NewsAfter(after)).await
 }
 
--- a/crates/serving/src/peers/retained.rs
+++ b/crates/serving/src/peers/retained.rs
@@ -36,7 +36,7 @@
 impl Peers {
     /// Says that this daemon knows what the store lacks, where it does.
     pub(super) async fn publish_retained(&self, round: u32) {
-        let Some(set) = self.state.retained_set() else {
+        let Some(set) = self.state.retained_hash() else {
             return;
         };
         let targets = in_turn(&self.neighbours(), round);
@@ -46,8 +46,8 @@
 
     /// A peer knows what the store lacks.
     pub(super) fn notice_retained(self: &Arc<Self>, set: u64, from: SocketAddr) {
-        let is_known = self.state.retained_set() == Some(set) || self.seen_sets().contains(set);
-        let can_take = self.state.position().is_some() && !self.state.is_of_era_before();
+        let is_known = self.state.retained_hash() == Some(set) || self.seen_sets().contains(set);
+        let can_take = self.state.position().is_some() && !self.state.is_of_earlier_era();
         if is_known || !can_take || self.is_asking_for_retained.swap(true, Ordering::Relaxed) {
             return;
         }
@@ -62,7 +62,7 @@
         match relay::fetch_retained(&self.runtime, from).await {
             Ok(retained) => {
                 let items = retained.items.len();
-                let taken = self.state.take_retained(retained, now());
+                let taken = self.state.apply_retained(retained, now());
                 tracing::info!(%from, items, taken, "retained_taken");
                 self.seen_sets().add(set);
             }
