--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -1,14 +1,16 @@
-//! Gossip between daemons: work in progress, prompt heads that engines keep, usage, and changes of the store.
+//! Gossip between daemons: load reports, prompt prefixes cached by engines, usage counts, and
+//! changes of the store.
 //!
-//! Urgent changes go to all neighbours at once. A few daemons of every other zone get them too and forward them to their
-//! own neighbours. Daemons that follow the store publish its changes; whoever lacks some asks for them over TCP.
+//! Urgent changes are sent to all neighbours at once. A few daemons of every other zone receive
+//! them as well and forward them to their own neighbours. Daemons that follow the store publish its
+//! changes. A daemon that lacks some of them fetches them over TCP.
 
 mod deposits;
 mod message;
 mod publish;
+mod queries;
 mod rate_limits;
 mod receive;
-mod relay;
 mod retained;
 mod suspects;
 mod translate;
@@ -29,25 +31,26 @@
 use crate::pipeline::Pipeline;
 use crate::store::Changes;
 use crate::time::now;
-use message::{AwayRow, HeadRow, ReportRow};
-use rate_limits::EarlyLimit;
+use message::{UnavailableEngineRow, PrefixRow, LoadReportRow};
+use rate_limits::PendingLimit;
 use retained::SeenSets;
 
+pub(crate) use queries::{fetch_page, withdraw_retry};
+pub use queries::{fetch_settled, fetch_tallies};
 pub(crate) use rate_limits::log_rate_change;
-pub(crate) use relay::{fetch_page, withdraw_retry};
-pub use relay::{fetch_settled, fetch_tallies};
 
-/// What a daemon knows of its peers before it has read the store.
+/// How to find peers before the store has been read.
 #[derive(Debug, Clone)]
 pub struct PeerSettings {
-    /// Peers to begin with.
+    /// Addresses of the peers to contact first.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Starts to publish and to receive gossip. `unpublished` brings changes of the store for the neighbours.
+/// Starts to publish and to receive gossip. `unpublished` yields changes of the store to publish to
+/// neighbours.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// If the peer address cannot be bound.
 pub async fn start(
     runtime: &Runtime,
     settings: PeerSettings,
@@ -60,7 +63,7 @@
     let address = own.peer_address;
     let socket: Arc<BoxedDatagram> = Arc::new(runtime.network.bind_datagram(address).await?);
     let usage = pipeline.usage().cloned();
-    relay::serve(runtime, address, state, pipeline).await?;
+    queries::serve(runtime, address, state, pipeline).await?;
     let peers = Arc::new(Peers {
         origin: xxh3_64_with_seed(own.name.as_bytes(), runtime.seed),
         runtime: runtime.clone(),
@@ -74,7 +77,7 @@
         is_catching_up: AtomicBool::new(false),
         is_asking_for_retained: AtomicBool::new(false),
         seen_sets: Mutex::default(),
-        early_limits: Mutex::default(),
+        pending_limits: Mutex::default(),
         last_received: Mutex::default(),
     });
     let spawner = &runtime.spawner;
@@ -84,19 +87,20 @@
         spawner.spawn(Box::pin(Arc::clone(&peers).replicate_usage(recorder)));
     }
     spawner.spawn(Box::pin(Arc::clone(&peers).publish_suspects()));
-    spawner.spawn(Box::pin(Arc::clone(&peers).ask_for_rate_limits()));
-    spawner.spawn(Box::pin(Arc::clone(&peers).take_early_limits()));
+    spawner.spawn(Box::pin(Arc::clone(&peers).request_rate_limits()));
+    spawner.spawn(Box::pin(Arc::clone(&peers).apply_pending_limits_while_reading()));
     spawner.spawn(Box::pin(Arc::clone(&peers).publish_rate_limits()));
     spawner.spawn(Box::pin(Arc::clone(&peers).deposit_retries()));
     spawner.spawn(Box::pin(peers.receive()));
     Ok(())
 }
 
-/// A neighbour counts as reachable for so long after a datagram of it: of a hundred neighbours each gets one every two seconds while nothing changes.
+/// A neighbour counts as reachable for this long after its last datagram. With very many
+/// neighbours, each receives a datagram only about every two seconds while nothing changes.
 const NEIGHBOUR_TIMEOUT: Duration = Duration::from_secs(3);
 
 struct Peers {
-    /// Distinguishes this life of this daemon from all others.
+    /// Identifies this run of this daemon; differs after each restart.
     origin: u64,
     runtime: Runtime,
     settings: PeerSettings,
@@ -109,17 +113,17 @@
     is_catching_up: AtomicBool,
     is_asking_for_retained: AtomicBool,
     seen_sets: Mutex<SeenSets>,
-    early_limits: Mutex<Vec<EarlyLimit>>,
-    /// When the last datagram of each neighbour was received.
+    pending_limits: Mutex<Vec<PendingLimit>>,
+    /// When the last datagram of each neighbour arrived.
     last_received: Mutex<HashMap<SocketAddr, Instant>>,
 }
 
-/// Reports of daemons of other zones, to be forwarded to the neighbours.
+/// Data from daemons of other zones to forward to the neighbours.
 #[derive(Debug, Default)]
 struct Forwarded {
-    reports: Vec<ReportRow>,
-    heads: Vec<HeadRow>,
-    away: Vec<AwayRow>,
+    reports: Vec<LoadReportRow>,
+    prefixes: Vec<PrefixRow>,
+    unavailable: Vec<UnavailableEngineRow>,
 }
 
 impl Peers {
@@ -129,8 +133,8 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn early_limits(&self) -> MutexGuard<'_, Vec<EarlyLimit>> {
-        self.early_limits
+    fn pending_limits(&self) -> MutexGuard<'_, Vec<PendingLimit>> {
+        self.pending_limits
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
@@ -141,7 +145,7 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Neighbours; before any daemon is known, the seeds.
+    /// The neighbours, or the seeds while no other daemon is known.
     fn neighbours(&self) -> Vec<SocketAddr> {
         let topology = self.state.topology();
         if topology.daemons > 1 {
@@ -161,8 +165,8 @@
         }
     }
 
-    /// Whether the known members can be relied on: the store is in contact, or all neighbours sent something lately. For a daemon that wakes or is
-    /// cut off neither holds.
+    /// Whether the set of known members is confirmed: the store is in contact, or all neighbours
+    /// sent a datagram recently. Neither is true for a daemon that was suspended or is partitioned.
     fn members_trust(&self) -> MembersTrust {
         let mut reachable = self.last_received();
         reachable.retain(|_peer, at| now().saturating_duration_since(*at) < NEIGHBOUR_TIMEOUT);
--- a/crates/serving/src/peers/deposits.rs
+++ b/crates/serving/src/peers/deposits.rs
@@ -1,4 +1,4 @@
-//! Puts the retries that this daemon earned into the pool of its zone.
+//! Adds the retry tokens that this daemon earned to the pool of its zone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use super::translate::deposits_to_wire;
 use crate::back_end_index::hash;
 
-/// Time between two deposits: what is earned within it is not there for a retry yet.
+/// Interval between deposits. Tokens earned in the meantime are not yet available for retries.
 const DEPOSIT_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Peers {
@@ -18,7 +18,7 @@
         let mut sequence = 0;
         loop {
             tokio::time::sleep(DEPOSIT_INTERVAL).await;
-            let Some(keeper) = self.state.topology().retry_pool_keeper() else {
+            let Some(pool_holder) = self.state.topology().retry_pool_keeper() else {
                 continue;
             };
             let earned = self.pipeline.take_deposits();
@@ -31,14 +31,14 @@
                 sequence,
                 repeats: earned
                     .into_iter()
-                    .map(|(service, repeats)| (hash(&service), repeats))
+                    .map(|(service, retries)| (hash(&service), retries))
                     .collect(),
             };
-            if keeper == self.state.own().peer_address {
+            if pool_holder == self.state.own().peer_address {
                 self.pipeline.receive_deposits(&deposits);
             } else {
                 let row = Message::Deposits(deposits_to_wire(&deposits));
-                self.send(message::encode(&row), &[keeper]).await;
+                self.send(message::encode(&row), &[pool_holder]).await;
             }
         }
     }
--- a/crates/serving/src/peers/message.rs
+++ b/crates/serving/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams between daemons (borsh).
+//! The datagrams that daemons exchange, encoded with borsh.
 
 use std::sync::Arc;
 
@@ -10,98 +10,102 @@
 
 use crate::store::Changes;
 
-/// Longest datagram in bytes; stays within one packet.
-pub(super) const MAXIMUM_DATAGRAM: usize = 1400;
-/// Bytes of tenants' counts in one datagram; the rest of it takes less than what is left.
-const USAGE_BYTES: usize = 1_200;
-/// Bytes of one count beside its tenant's name.
-const COUNT_BYTES: usize = 8;
-/// Rows of work that surely fit, of all reports together.
-const MAXIMUM_ROWS: usize = 40;
-/// Heads that surely fit beside them.
-const MAXIMUM_HEADS: usize = 14;
-/// Readings that surely fit beside them.
-const MAXIMUM_READINGS: usize = 8;
-/// Results that surely fit beside them.
-const MAXIMUM_RESULTS: usize = 12;
-/// Unwell back ends that surely fit beside them.
-const MAXIMUM_UNWELL: usize = 8;
-/// Engines about to change that surely fit beside them: of 600 one in twelve may change at a time, and stays away for some
-/// seconds. Those that were left out got requests that they refused (chladnica-hq-grown, inc-cb4e, with 8).
-const MAXIMUM_AWAY: usize = 32;
-/// Services that surely fit beside them.
-const MAXIMUM_SERVICES: usize = 4;
-/// Token counts are encoded in this unit, rounded up: far less than any prefill that a decision depends on.
-pub(super) const TOKENS_IN_UNIT: f64 = 32.0;
+/// Size limit of a datagram in bytes, so that it fits into one packet.
+pub(super) const MAX_DATAGRAM_BYTES: usize = 1400;
+/// Size limit of the tenants' counts in one datagram, in bytes. The remaining fields fit beside
+/// them.
+const MAX_USAGE_BYTES: usize = 1_200;
+/// Encoded size of one count without its tenant's name, in bytes.
+const COUNT_OVERHEAD_BYTES: usize = 8;
+/// Limit on load rows of all reports of a digest. All limits together fit into one datagram.
+const MAX_LOAD_ROWS: usize = 40;
+/// Limit on prompt prefixes of a digest.
+const MAX_PREFIXES: usize = 14;
+/// Limit on prefill timings of a digest.
+const MAX_PREFILL_TIMINGS: usize = 8;
+/// Limit on request results of a digest.
+const MAX_RESULTS: usize = 12;
+/// Limit on unhealthy back ends of a digest.
+const MAX_UNHEALTHY: usize = 8;
+/// Limit on unavailable engines of a digest. Engines that are left out would get requests that they
+/// refuse, so this covers the largest number that may change their stage at the same time.
+const MAX_UNAVAILABLE_ENGINES: usize = 32;
+/// Limit on services of a digest.
+const MAX_SERVICES: usize = 4;
+/// Token counts are encoded in this unit, rounded up. It is small compared to any prefill that
+/// affects a decision.
+pub(super) const TOKENS_PER_UNIT: f64 = 32.0;
 /// Version of the messages; messages of other versions are dropped.
 const VERSION: u8 = 5;
 
-/// What a datagram contains. New kinds go to the end: daemons of an older build then still read the others while a fleet is replaced.
+/// The content of a datagram. New variants must be appended, so that daemons of an older build can
+/// still decode the others during a rolling update.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub(super) enum Message {
-    /// How things stand.
+    /// The periodic state of a daemon.
     Digest(Box<Digest>),
-    /// What changed in the store.
+    /// Changes of the store.
     Changes {
-        /// The changes.
+        /// The changes, in the order of their revisions.
         changes: Changes,
-        /// Entries that vanished may have lapsed because the store was away.
+        /// Whether keys that were removed may have expired only because the store was unavailable.
         in_doubt: bool,
     },
-    /// What the sender counted of its tenants' requests, or a part of it.
+    /// The sender's usage counts of a window, or a part of them.
     Usage(TallyOf),
-    /// Requests under which engines ended.
+    /// Requests during which engines ended.
     Suspects(Vec<SuspectRow>),
-    /// Retries that the sender earned and the receiver keeps for the zone.
+    /// Retry tokens that the sender earned and the receiver adds to the zone's pool.
     Deposits(DepositsRow),
-    /// Rate limits that back ends set.
+    /// Rate limits set by back ends.
     RateLimits {
-        /// What the sender knows of each.
+        /// What the sender knows of each limit.
         rows: Vec<RateRow>,
-        /// Whether the receiver is to send what the sender lacks.
+        /// Whether the receiver is to reply with what the sender lacks.
         wants_more: bool,
     },
-    /// The sender has started and wants to know of rate limits in force.
+    /// A sender that has just started asks for the rate limits in force.
     RateLimitsWanted,
-    /// The sender knows what the store lacks since it came back from an older copy.
+    /// The sender retains items that the store lacks since it was restored from a backup.
     Retained {
-        /// Hash of what it knows, the same for the same items.
-        set: u64,
+        /// Hash of the retained items; equal for equal sets of items.
+        items_hash: u64,
     },
 }
 
-/// Retries that a daemon puts into the pool of its zone.
+/// Retry tokens that a daemon adds to the pool of its zone.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub(super) struct DepositsRow {
-    /// Which daemon, and which life of it.
+    /// Identifies the daemon and its run.
     pub(super) origin: u64,
-    /// Counts its deposits.
+    /// Number of this deposit; increases with each deposit of the same origin.
     pub(super) sequence: u32,
-    /// Retries by hash of the service.
-    pub(super) repeats: Vec<(u32, f32)>,
+    /// Retry tokens by hash of the service.
+    pub(super) retries: Vec<(u32, f32)>,
 }
 
-/// What the sender knows of one request under which engines ended.
+/// What the sender knows of one request during which engines ended.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub(super) struct SuspectRow {
-    /// Which request.
+    /// Fingerprint of the request.
     pub(super) fingerprint: RequestFingerprint,
-    /// Hash of its tenant's name; 0 where there is none.
+    /// Hash of its tenant's name; 0 if there is none.
     pub(super) tenant: u32,
-    /// Runs that it lost with their engines.
+    /// Runs of the request that were lost because their engines ended.
     pub(super) lost_runs: Vec<LostRunRow>,
-    /// How long ago it last ran well, in milliseconds.
+    /// Time since it last ran successfully, in milliseconds.
     pub(super) cleared_ms_ago: Option<u32>,
 }
 
-/// One run that was lost with its engine. Times count back from when the message was sent: clocks of machines differ.
+/// One run that was lost because its engine ended. Times are relative to when the message was sent,
+/// because the clocks of machines differ.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub(super) struct LostRunRow {
     /// The engine's incarnation.
     pub(super) engine: String,
-    /// How long ago the run began, in milliseconds.
-    pub(super) begun_ms_ago: u32,
-    /// How long ago the engine ended, in milliseconds.
+    /// Time since the run started, in milliseconds.
+    pub(super) started_ms_ago: u32,
+    /// Time since the engine ended, in milliseconds.
     pub(super) ended_ms_ago: u32,
 }
 
@@ -110,184 +114,190 @@
 pub(super) struct RateRow {
     /// Identity of the back end.
     pub(super) back_end: String,
-    /// Which life of it.
+    /// The back end's incarnation.
     pub(super) incarnation: u64,
     /// The newest rate that an answer named.
     pub(super) named: Option<NamedRateRow>,
-    /// How long ago the newest request was sent whose answer lifted the limit, in milliseconds.
+    /// Time since the newest request was sent whose answer lifted the limit, in milliseconds.
     pub(super) lifted_ms_ago: Option<u32>,
 }
 
-/// A rate that an answer named. Times count back from when the message was sent: clocks of machines differ.
+/// A rate that an answer named. Times are relative to when the message was sent, because the clocks
+/// of machines differ.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub(super) struct NamedRateRow {
-    /// Requests a second.
+    /// Requests per second.
     pub(super) per_second: f64,
-    /// How long ago the request was sent, in milliseconds.
+    /// Time since the request was sent, in milliseconds.
     pub(super) sent_ms_ago: u32,
-    /// How long ago the last answer came that named a rate, in milliseconds.
-    pub(super) came_ms_ago: u32,
+    /// Time since the last answer that named a rate arrived, in milliseconds.
+    pub(super) received_ms_ago: u32,
 }
 
-/// How things stand at a daemon.
+/// The state of a daemon.
 #[derive(Debug, Clone, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub(super) struct Digest {
-    /// Time of day by the sender's own clock, in milliseconds since the start of 1970.
+    /// Time of day by the sender's own clock, in milliseconds since the Unix epoch.
     pub(super) time_of_day_ms: u64,
-    /// Everything up to this revision is known.
+    /// Revision up to which the sender's state is complete.
     pub(super) position: Revision,
-    /// How long ago the store answered, in milliseconds; none where the daemon does not follow it.
+    /// Time since the store last answered, in milliseconds; `None` if the sender does not follow
+    /// the store.
     pub(super) store_silence_ms: Option<u16>,
-    /// Work: the daemon's own first, then reports that it forwards from daemons of other zones.
-    pub(super) reports: Vec<ReportRow>,
-    /// Prompt heads that were read since the last digest.
-    pub(super) heads: Vec<HeadRow>,
-    /// Prompts that engines read since then, with nothing else to do.
-    pub(super) readings: Vec<ReadingRow>,
-    /// How its requests ended since then.
+    /// Load reports: the sender's own first, then those forwarded from daemons of other zones.
+    pub(super) reports: Vec<LoadReportRow>,
+    /// Prompt prefixes that engines processed since the last digest.
+    pub(super) prefixes: Vec<PrefixRow>,
+    /// Prefill times measured since the last digest on otherwise idle engines.
+    pub(super) prefill_timings: Vec<PrefillTimingRow>,
+    /// Results of the sender's requests since the last digest.
     pub(super) results: Vec<ResultRow>,
-    /// Back ends that it found unwell.
-    pub(super) unwell: Vec<u32>,
-    /// Engines that are about to change.
-    pub(super) away: Vec<AwayRow>,
-    /// Work that its requests bring.
+    /// Hashes of the back ends that the sender considers unhealthy.
+    pub(super) unhealthy: Vec<u32>,
+    /// Engines that are about to change their stage.
+    pub(super) unavailable: Vec<UnavailableEngineRow>,
+    /// Work caused by the sender's requests, by service.
     pub(super) work: Vec<ServiceWorkRow>,
 }
 
-/// All work of one daemon.
+/// The load that one daemon puts on the back ends.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub(super) struct ReportRow {
-    /// Which daemon, and which life of it.
+pub(super) struct LoadReportRow {
+    /// Identifies the daemon and its run.
     pub(super) origin: u64,
-    /// Counts its reports.
+    /// Number of this report; increases with each report of the same origin.
     pub(super) sequence: u32,
-    /// Its work.
-    pub(super) rows: Vec<BackEndRow>,
+    /// Load by back end.
+    pub(super) rows: Vec<BackEndLoadRow>,
 }
 
-/// Work at one back end.
+/// Load at one back end.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub(super) struct BackEndRow {
-    /// Hash of its identity.
+pub(super) struct BackEndLoadRow {
+    /// Hash of the back end's identity.
     pub(super) back_end: u32,
     /// Requests in progress.
     pub(super) requests: u16,
-    /// Requests among them that generate; 255 stands for more.
+    /// Of these, requests that are generating; saturates at 255.
     pub(super) generating: u8,
-    /// Requests among them that will be late and have not begun; 255 stands for more.
+    /// Of these, requests that will be late and have not started; saturates at 255.
     pub(super) late_waiting: u8,
-    /// Prompt tokens still to read, of requests that can be in time, in units of [`TOKENS_IN_UNIT`].
+    /// Prompt tokens still to process for requests that can be in time, in units of
+    /// [`TOKENS_PER_UNIT`].
     pub(super) prompt_tokens: u16,
-    /// The same of requests that will be late.
+    /// Prompt tokens still to process for requests that will be late, in units of
+    /// [`TOKENS_PER_UNIT`].
     pub(super) late_tokens: u16,
 }
 
-/// An engine that gets nothing new for a while.
+/// An engine that must get no new requests for a while.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub(super) struct AwayRow {
+pub(super) struct UnavailableEngineRow {
     /// Hash of the engine's identity.
     pub(super) engine: u32,
-    /// How long, in milliseconds.
-    pub(super) time_ms: u16,
+    /// Expected duration, in milliseconds.
+    pub(super) duration_ms: u16,
 }
 
-/// Work of one service, in engine-milliseconds a second.
+/// Work of one service, in milliseconds of engine time per second.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub(super) struct ServiceWorkRow {
-    /// Service.
+    /// Name of the service.
     pub(super) service: String,
-    /// Reading long prompts.
+    /// Prefill of long prompts.
     pub(super) prefill: u32,
-    /// Reading short prompts.
+    /// Prefill of short prompts.
     pub(super) short_reading: u32,
-    /// Generating.
+    /// Token generation.
     pub(super) decode: u32,
-    /// Reading that decode engines really do.
+    /// Prefill that decode engines actually perform.
     pub(super) decode_reading: u32,
 }
 
-/// A prompt's head at an engine.
+/// A prompt prefix at an engine.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub(super) struct HeadRow {
+pub(super) struct PrefixRow {
     /// Hash of the engine's identity.
     pub(super) engine: u32,
-    /// The head.
-    pub(super) head: u64,
-    /// Its tokens.
+    /// Hash of the prefix.
+    pub(super) prefix: u64,
+    /// Number of tokens of the prefix.
     pub(super) tokens: u32,
-    /// Tokens of the prompt that follow it.
-    pub(super) own_tokens: u32,
-    /// Whether it is kept; else it is on its way there.
-    pub(super) is_kept: bool,
+    /// Number of tokens of the prompt after the prefix.
+    pub(super) suffix_tokens: u32,
+    /// Whether the engine has cached the prefix; otherwise the prompt is on its way to the engine.
+    pub(super) is_cached: bool,
 }
 
-/// How requests at one back end ended.
+/// Results of requests at one back end.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub(super) struct ResultRow {
-    /// Hash of its identity.
+    /// Hash of the back end's identity.
     pub(super) back_end: u32,
-    /// Whole answers.
+    /// Complete answers.
     pub(super) successes: u8,
-    /// Answers with a failure status.
+    /// Answers with an error status.
     pub(super) errors: u8,
-    /// Broken off, silent or not reached.
+    /// Requests whose answer was interrupted or did not arrive, or that could not be sent.
     pub(super) breaks: u8,
 }
 
-/// How long a prefill engine took for a prompt.
+/// How long an engine took to prefill a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub(super) struct ReadingRow {
-    /// Tokens that it read.
+pub(super) struct PrefillTimingRow {
+    /// Number of tokens processed.
     pub(super) tokens: u32,
-    /// Time in milliseconds.
+    /// Duration in milliseconds.
     pub(super) took_ms: u16,
 }
 
 impl Digest {
-    /// Whether it tells anything of engines or of requests there.
-    pub(super) fn tells_of_work(&self) -> bool {
+    /// Whether the digest contains anything about engines or about requests at engines.
+    pub(super) fn contains_work(&self) -> bool {
         let has_rows = self.reports.iter().any(|report| !report.rows.is_empty());
         has_rows
-            || !self.heads.is_empty()
-            || !self.readings.is_empty()
-            || !self.unwell.is_empty()
-            || !self.away.is_empty()
+            || !self.prefixes.is_empty()
+            || !self.prefill_timings.is_empty()
+            || !self.unhealthy.is_empty()
+            || !self.unavailable.is_empty()
     }
 
-    /// The datagram; none if it does not fit.
+    /// Encodes the digest as a datagram, cut to the limits. Returns `None` if it still does not
+    /// fit.
     pub(super) fn encode(mut self) -> Option<Vec<u8>> {
-        self.bound_rows();
-        self.heads.truncate(MAXIMUM_HEADS);
-        self.readings.truncate(MAXIMUM_READINGS);
-        self.results.truncate(MAXIMUM_RESULTS);
-        self.unwell.truncate(MAXIMUM_UNWELL);
-        self.away.truncate(MAXIMUM_AWAY);
-        self.work.truncate(MAXIMUM_SERVICES);
+        self.limit_reports();
+        self.prefixes.truncate(MAX_PREFIXES);
+        self.prefill_timings.truncate(MAX_PREFILL_TIMINGS);
+        self.results.truncate(MAX_RESULTS);
+        self.unhealthy.truncate(MAX_UNHEALTHY);
+        self.unavailable.truncate(MAX_UNAVAILABLE_ENGINES);
+        self.work.truncate(MAX_SERVICES);
         let mut message = Message::Digest(Box::new(self));
         let whole = encode(&message);
         if whole.is_none()
             && let Message::Digest(digest) = &mut message
         {
-            // Names of services may be long: forwarded reports are left out.
+            // Long service names may exceed the space; leave out forwarded reports.
             digest.reports.truncate(1);
             return encode(&message);
         }
         whole
     }
 
-    /// Whole reports, as many as fit; the own one in any case, cut where it is too long.
-    fn bound_rows(&mut self) {
-        let mut left = MAXIMUM_ROWS;
+    /// Keeps only as many whole forwarded reports as fit. The own report is always kept, truncated
+    /// if necessary.
+    fn limit_reports(&mut self) {
+        let mut left = MAX_LOAD_ROWS;
         let mut is_own = true;
         self.reports.retain_mut(|report| {
             if is_own {
-                report.rows.truncate(MAXIMUM_ROWS);
+                report.rows.truncate(MAX_LOAD_ROWS);
             }
             let fits = report.rows.len() < left;
             let is_kept = fits || is_own;
             is_own = false;
             if is_kept {
-                // Each report weighs as much as a row beside its rows.
+                // The header of a report takes about as much space as a row.
                 left = left.saturating_sub(report.rows.len() + 1);
             }
             is_kept
@@ -295,15 +305,15 @@
     }
 }
 
-/// A tally as datagrams. Parts can be merged in any order.
+/// Encodes a tally as datagrams, which can be merged in any order.
 pub(super) fn encode_usage(whole: &TallyOf) -> Vec<Vec<u8>> {
     let mut parts = vec![Tally::default()];
     let mut bytes = 0;
     for (tenant, count) in &whole.tally.counts {
-        bytes += tenant.len() + COUNT_BYTES;
-        if bytes > USAGE_BYTES {
+        bytes += tenant.len() + COUNT_OVERHEAD_BYTES;
+        if bytes > MAX_USAGE_BYTES {
             parts.push(Tally::default());
-            bytes = tenant.len() + COUNT_BYTES;
+            bytes = tenant.len() + COUNT_OVERHEAD_BYTES;
         }
         if let Some(part) = parts.last_mut() {
             part.counts.insert(Arc::clone(tenant), *count);
@@ -321,17 +331,19 @@
     messages.filter_map(|message| encode(&message)).collect()
 }
 
-/// Rows about requests as datagrams. A row that fits into none is left out: the lines of its runs tell of it.
+/// Encodes suspicious requests as datagrams. A row that is too large for a datagram is left out;
+/// the log events of its runs still report it.
 pub(super) fn encode_suspects(rows: Vec<SuspectRow>) -> Vec<Vec<u8>> {
     encode_rows(rows, Message::Suspects)
 }
 
-/// Rows about rate limits as datagrams.
-pub(super) fn encode_rates(rows: Vec<RateRow>, wants_more: bool) -> Vec<Vec<u8>> {
+/// Encodes rate limits as datagrams.
+pub(super) fn encode_rate_limits(rows: Vec<RateRow>, wants_more: bool) -> Vec<Vec<u8>> {
     encode_rows(rows, |rows| Message::RateLimits { rows, wants_more })
 }
 
-/// As many rows in each datagram as fit. A row that fits into none is left out.
+/// Packs as many rows into each datagram as fit. A row that is too large for a datagram is left
+/// out.
 fn encode_rows<R: Clone>(rows: Vec<R>, message_of: impl Fn(Vec<R>) -> Message) -> Vec<Vec<u8>> {
     let mut datagrams = Vec::new();
     let mut waiting: Vec<R> = Vec::new();
@@ -353,13 +365,13 @@
     datagrams
 }
 
-/// The datagram with this message; none if it does not fit.
+/// Encodes a message as a datagram. Returns `None` if it does not fit.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
     let bytes = borsh::to_vec(&(VERSION, message)).ok()?;
-    (bytes.len() <= MAXIMUM_DATAGRAM).then_some(bytes)
+    (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// Reads a datagram; none if it is not one.
+/// Decodes a datagram. Returns `None` if it is malformed or of another version.
 pub(super) fn decode(bytes: &[u8]) -> Option<Message> {
     let (version, message): (u8, Message) = borsh::from_slice(bytes).ok()?;
     (version == VERSION).then_some(message)
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -12,9 +12,9 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::mpsc;
 
-use super::message::{self, Digest, Message, ReportRow};
+use super::message::{self, Digest, Message, LoadReportRow};
 use super::translate::{
-    away_to_wire, head_to_wire, reading_to_wire, result_to_wire, row_to_wire, work_to_wire,
+    unavailable_to_wire, prefix_to_wire, prefill_timing_to_wire, result_to_wire, load_row_to_wire, work_to_wire,
 };
 use super::{Forwarded, Peers};
 use crate::back_end_index::hash;
@@ -22,27 +22,28 @@
 use crate::time::{self, now};
 use crate::usage::UsageRecorder;
 
-/// Time between two digests to peers while nothing changes.
+/// Interval between digests while nothing changes, for daemons that do not follow the store.
 const IDLE_GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
-/// Changes within this time are published together.
-const GATHERING_TIME: Duration = Duration::from_millis(8);
-/// Reports of other zones are gathered for longer before they are forwarded.
-const FORWARDING_INTERVAL: Duration = Duration::from_millis(40);
-/// Time that each neighbour adds to the shortest interval between two digests: it bounds the rate at which a daemon receives
-/// them from all neighbours together.
-const TIME_PER_NEIGHBOUR: Duration = Duration::from_millis(1);
-
-/// Time between two copies of what was counted: what a killed daemon counted since then is lost.
-const USAGE_INTERVAL: Duration = Duration::from_millis(250);
-/// Neighbours that get each digest while nothing urgent changes.
-const FAN_OUT: usize = 24;
-
-/// Why a digest is published now.
+/// Changes within this time are published in one digest.
+const BATCHING_DELAY: Duration = Duration::from_millis(8);
+/// Reports of other zones are batched for longer before they are forwarded.
+const FORWARDING_DELAY: Duration = Duration::from_millis(40);
+/// The minimum interval between two digests is this time multiplied by the number of neighbours. It
+/// bounds the rate at which a daemon receives digests from all neighbours together.
+const MIN_INTERVAL_PER_NEIGHBOUR: Duration = Duration::from_millis(1);
+
+/// Interval at which usage counts are replicated. If a daemon is killed, its counts since then are
+/// lost.
+const USAGE_REPLICATION_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of neighbours that get each digest while nothing urgent changes.
+const IDLE_FAN_OUT: usize = 24;
+
+/// Why a digest is published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reason {
-    /// It is time.
+    /// The regular interval has passed.
     Interval,
-    /// Own work that weighs began or ended.
+    /// Significant own work started or ended.
     OwnWork,
     /// There are reports of other zones to forward.
     Forwarded,
@@ -50,23 +51,23 @@
 
 impl Peers {
     pub(super) async fn publish(self: Arc<Self>) {
-        /// Makes this seed differ from the pipeline's.
-        const SEED_PART: u64 = 0x7065_6572;
-        let mut random = Pcg64Mcg::seed_from_u64(self.runtime.seed ^ SEED_PART);
+        /// Makes the random sequence differ from the pipeline's.
+        const SEED_SALT: u64 = 0x7065_6572;
+        let mut random = Pcg64Mcg::seed_from_u64(self.runtime.seed ^ SEED_SALT);
         let mut sequence = 0;
         let mut last_interval = now();
         let mut far_pace = FarPace::default();
         loop {
-            let begun = now();
-            let spread = random.random_range(0.9..1.1);
-            let reason = self.next_reason(last_interval, spread).await;
+            let started = now();
+            let jitter = random.random_range(0.9..1.1);
+            let reason = self.next_reason(last_interval, jitter).await;
             time::detect_suspension();
             if reason == Reason::Interval {
                 last_interval = now();
             }
             let topology = self.state.topology();
             let neighbours = u32::try_from(topology.neighbours.len()).unwrap_or(u32::MAX);
-            time::sleep_until(begun + TIME_PER_NEIGHBOUR * neighbours).await;
+            time::sleep_until(started + MIN_INTERVAL_PER_NEIGHBOUR * neighbours).await;
             sequence += 1;
             self.publish_digest(&topology, sequence, reason, &mut far_pace)
                 .await;
@@ -76,14 +77,14 @@
         }
     }
 
-    /// Waits until there is a reason to publish, and a little longer so that changes close together share a digest.
-    async fn next_reason(&self, last_interval: Instant, spread: f64) -> Reason {
+    /// Waits for a reason to publish, then for a short time so that nearby changes share a digest.
+    async fn next_reason(&self, last_interval: Instant, jitter: f64) -> Reason {
         let interval = if self.state.topology().follows_store {
             GOSSIP_INTERVAL
         } else {
             IDLE_GOSSIP_INTERVAL
         };
-        let due = last_interval + interval.mul_f64(spread);
+        let due = last_interval + interval.mul_f64(jitter);
         let reason = tokio::select! {
             biased;
             () = self.pipeline.heavy_work_changed().notified() => Reason::OwnWork,
@@ -92,15 +93,15 @@
         };
         match reason {
             Reason::Interval => {}
-            Reason::OwnWork => tokio::time::sleep(GATHERING_TIME).await,
+            Reason::OwnWork => tokio::time::sleep(BATCHING_DELAY).await,
             Reason::Forwarded => {
                 let own_work = self.pipeline.heavy_work_changed().notified();
-                // Own work is published sooner, and the forwarded reports go along.
-                if tokio::time::timeout(FORWARDING_INTERVAL, own_work)
+                // Own work is published sooner, and the forwarded reports are included.
+                if tokio::time::timeout(FORWARDING_DELAY, own_work)
                     .await
                     .is_ok()
                 {
-                    tokio::time::sleep(GATHERING_TIME).await;
+                    tokio::time::sleep(BATCHING_DELAY).await;
                     return Reason::OwnWork;
                 }
             }
@@ -120,19 +121,19 @@
             .set_members(&self.state.members(), self.members_trust());
         let forwarded = std::mem::take(&mut *self.to_forward());
         let own = self.digest(sequence);
-        let has_news = !own.heads.is_empty() || !own.away.is_empty();
-        let concerns_far = has_news || reason != Reason::Forwarded;
-        if concerns_far && far_pace.is_due(own.tells_of_work(), now()) {
+        let has_news = !own.prefixes.is_empty() || !own.unavailable.is_empty();
+        let is_for_far_peers = has_news || reason != Reason::Forwarded;
+        if is_for_far_peers && far_pace.is_due(own.contains_work(), now()) {
             self.send(own.clone().encode(), &topology.far).await;
         }
         let for_neighbours = with_forwarded(own, forwarded);
         let neighbours = self.neighbours();
-        // Neighbours rely on hearing a follower.
-        let all = reason != Reason::Interval || has_news || topology.follows_store;
-        let targets = if all {
+        // Neighbours rely on regular digests from daemons that follow the store.
+        let send_to_all = reason != Reason::Interval || has_news || topology.follows_store;
+        let targets = if send_to_all {
             neighbours
         } else {
-            in_turn(&neighbours, sequence)
+            next_targets(&neighbours, sequence)
         };
         self.send(for_neighbours.encode(), &targets).await;
     }
@@ -142,7 +143,7 @@
             return;
         };
         for target in targets {
-            // A datagram that cannot be sent is as good as a lost one.
+            // A datagram that cannot be sent is treated like a lost one.
             drop(self.socket.send_to(&bytes, *target).await);
         }
     }
@@ -151,11 +152,11 @@
         let mut placement = self.pipeline.placement();
         placement.load.expire(now());
         let rows = placement.load.own_rows();
-        let heads = placement.prefixes.take_unpublished();
-        let readings = placement.speed.take_unpublished();
+        let prefixes = placement.prefixes.take_unpublished();
+        let prefill_timings = placement.speed.take_unpublished();
         let results = placement.health.take_unpublished();
-        let unwell = placement.health.ejected();
-        let away = placement.away(now());
+        let unhealthy = placement.health.ejected();
+        let unavailable = placement.away(now());
         let work = placement.work.rates(now());
         drop(placement);
         let store_silence = self.following.store_silence();
@@ -165,36 +166,36 @@
             position: self.state.position().unwrap_or_default(),
             store_silence_ms: store_silence
                 .map(|silence| u16::try_from(silence.as_millis()).unwrap_or(u16::MAX)),
-            reports: vec![ReportRow {
+            reports: vec![LoadReportRow {
                 origin: self.origin,
                 sequence,
-                rows: rows.iter().map(row_to_wire).collect(),
+                rows: rows.iter().map(load_row_to_wire).collect(),
             }],
-            heads: heads.iter().map(head_to_wire).collect(),
-            readings: readings.iter().map(reading_to_wire).collect(),
+            prefixes: prefixes.iter().map(prefix_to_wire).collect(),
+            prefill_timings: prefill_timings.iter().map(prefill_timing_to_wire).collect(),
             results: results.iter().map(result_to_wire).collect(),
-            unwell: unwell.iter().map(|id| hash(id)).collect(),
-            away: away.iter().map(away_to_wire).collect(),
+            unhealthy: unhealthy.iter().map(|id| hash(id)).collect(),
+            unavailable: unavailable.iter().map(unavailable_to_wire).collect(),
             work: work.iter().map(work_to_wire).collect(),
         }
     }
 
-    /// Sends copies of what this daemon counted to the neighbours that keep them.
+    /// Sends copies of this daemon's usage counts to the neighbours that keep replicas.
     pub(super) async fn replicate_usage(self: Arc<Self>, recorder: Arc<UsageRecorder>) {
         let mut replicas = Vec::new();
-        let mut is_handed_over = false;
+        let mut has_sent_all = false;
         loop {
-            tokio::time::sleep(USAGE_INTERVAL).await;
+            tokio::time::sleep(USAGE_REPLICATION_INTERVAL).await;
             let topology = self.state.topology();
             if topology.usage_replicas != replicas {
                 replicas.clone_from(&topology.usage_replicas);
                 recorder.send_all_again();
             }
             self.send_usage(&recorder.take_unsent(), &replicas).await;
-            if self.pipeline.is_stopping() && !is_handed_over {
-                // Daemons that stopped before may have left their counts to this one.
+            if self.pipeline.is_stopping() && !has_sent_all {
+                // Daemons that stopped earlier may have replicated their counts only to this one.
                 self.send_usage(&recorder.all_kept(), &replicas).await;
-                is_handed_over = true;
+                has_sent_all = true;
             }
         }
     }
@@ -205,40 +206,42 @@
         }
     }
 
-    /// Publishes changes of the store to neighbours. What does not fit into a datagram they fetch, since the next digest
-    /// shows that there is more.
+    /// Publishes changes of the store to neighbours. Neighbours fetch what does not fit into a
+    /// datagram; the digest sent in its place shows them the newer position.
     pub(super) async fn publish_changes(self: Arc<Self>, mut unpublished: mpsc::Receiver<Changes>) {
         while let Some(changes) = unpublished.recv().await {
             let at = changes.at;
             let in_doubt = self.state.is_in_doubt(now());
             let whole = message::encode(&Message::Changes { changes, in_doubt });
             let bytes = whole.or_else(|| {
-                let notice = Digest {
+                let position_digest = Digest {
                     position: at,
                     ..Digest::default()
                 };
-                notice.encode()
+                position_digest.encode()
             });
             self.send(bytes, &self.neighbours()).await;
         }
     }
 }
 
-/// While nothing urgent changes, each digest goes to a part of many neighbours: to all of them within the life of a report.
-pub(super) fn in_turn(neighbours: &[SocketAddr], sequence: u32) -> Vec<SocketAddr> {
-    if neighbours.len() <= FAN_OUT {
+/// The neighbours that get the digest with the given number while nothing urgent changes.
+/// Successive digests go to successive groups, so that all neighbours are covered before a report
+/// expires.
+pub(super) fn next_targets(neighbours: &[SocketAddr], sequence: u32) -> Vec<SocketAddr> {
+    if neighbours.len() <= IDLE_FAN_OUT {
         return neighbours.to_vec();
     }
-    let rounds = usize::try_from(sequence).unwrap_or_default();
-    let begin = rounds.wrapping_mul(FAN_OUT) % neighbours.len();
-    let from_there = neighbours.iter().cycle().skip(begin);
-    from_there.take(FAN_OUT).copied().collect()
+    let round = usize::try_from(sequence).unwrap_or_default();
+    let begin = round.wrapping_mul(IDLE_FAN_OUT) % neighbours.len();
+    let rotated = neighbours.iter().cycle().skip(begin);
+    rotated.take(IDLE_FAN_OUT).copied().collect()
 }
 
 fn with_forwarded(own: Digest, forwarded: Forwarded) -> Digest {
     let mut digest = own;
     digest.reports.extend(forwarded.reports);
-    digest.heads.extend(forwarded.heads);
-    digest.away.extend(forwarded.away);
+    digest.prefixes.extend(forwarded.prefixes);
+    digest.unavailable.extend(forwarded.unavailable);
     digest
 }
--- /dev/null
+++ b/crates/serving/src/peers/queries.rs
@@ -0,0 +1,268 @@
+//! Queries between peers over TCP: the contents of the store, complete or after a revision, and
+//! usage counts of a window. Query and answer are each a length followed by a borsh value.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use ponddrift_runtime::{BoxedListener, BoxedStream, Runtime};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+
+use borsh::{BorshDeserialize, BorshSerialize};
+use ponddrift_fleet::revision::Revision;
+use ponddrift_fleet::usage::{TallyOf, TenantCounts, WindowNumber};
+
+use crate::fleet_state::{FleetState, ChangesAnswer};
+use crate::pipeline::Pipeline;
+use crate::store::Page;
+use crate::time::{self, now};
+
+/// Timeout of a whole exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Size limit of an answer in bytes.
+const MAX_ANSWER_BYTES: u32 = 32 << 20;
+/// Size limit of a query in bytes. Keys of the store are at most 200 bytes long.
+const MAX_QUERY_BYTES: u32 = 256;
+/// Size limit of a decompressed page in bytes. A configuration can take several megabytes.
+const MAX_PAGE_BYTES: usize = 16 << 20;
+/// How long a query for a page waits if this daemon has not read that far yet.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Delay before the next attempt after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// A query from a peer.
+#[derive(Debug, Clone, BorshSerialize, BorshDeserialize)]
+enum Query {
+    /// The changes after this revision; answered with a [`ChangesAnswer`].
+    ChangesAfter(Revision),
+    /// All copies of the usage counts of this window; answered with a list of [`TallyOf`].
+    Tallies(WindowNumber),
+    /// The keys of the store after this key, or from the first key on; answered with a
+    /// [`PackedPage`], or with `None` if they have not been read yet.
+    PageAfter(Option<String>),
+    /// Withdraws a retry token of the service with this hash from the zone's pool; answered with
+    /// whether there was one.
+    Retry(u32),
+    /// The items that the store lacks since it was restored from a backup; answered with a
+    /// [`PackedPage`].
+    Retained,
+    /// The usage figures of this window that the peer settled as the leader; answered with
+    /// [`TenantCounts`], or with `None`.
+    Settled(WindowNumber),
+}
+
+/// A page of the store's contents, compressed with LZ4 and prefixed with its length. Entries of
+/// back ends are similar to each other and compress well.
+#[derive(Debug, BorshSerialize, BorshDeserialize)]
+struct PackedPage(Vec<u8>);
+
+impl PackedPage {
+    fn pack(page: &Page) -> io::Result<Self> {
+        let bytes = borsh::to_vec(page)?;
+        Ok(Self(lz4_flex::block::compress_prepend_size(&bytes)))
+    }
+
+    fn unpack(&self) -> io::Result<Page> {
+        let (length, packed) = lz4_flex::block::uncompressed_size(&self.0).map_err(unreadable)?;
+        if length > MAX_PAGE_BYTES {
+            return Err(io::Error::from(io::ErrorKind::InvalidData));
+        }
+        let bytes = lz4_flex::block::decompress(packed, length).map_err(unreadable)?;
+        borsh::from_slice(&bytes)
+    }
+}
+
+fn unreadable(error: lz4_flex::block::DecompressError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, error)
+}
+
+/// Starts to answer queries of peers at `address`.
+pub(super) async fn serve(
+    runtime: &Runtime,
+    address: SocketAddr,
+    state: &Arc<FleetState>,
+    pipeline: &Arc<Pipeline>,
+) -> io::Result<()> {
+    let listener = runtime.network.listen(address).await?;
+    let spawner = Arc::clone(&runtime.spawner);
+    let sources = AnswerSources {
+        state: Arc::clone(state),
+        pipeline: Arc::clone(pipeline),
+    };
+    runtime.spawner.spawn(Box::pin(async move {
+        accept(listener, spawner, sources).await;
+    }));
+    Ok(())
+}
+
+/// The sources of the answers.
+#[derive(Clone)]
+struct AnswerSources {
+    state: Arc<FleetState>,
+    pipeline: Arc<Pipeline>,
+}
+
+async fn accept(
+    listener: BoxedListener,
+    spawner: Arc<dyn ponddrift_runtime::Spawner>,
+    sources: AnswerSources,
+) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _peer)) => {
+                let sources = sources.clone();
+                spawner.spawn(Box::pin(async move {
+                    // A peer whose query fails repeats it.
+                    drop(tokio::time::timeout(EXCHANGE_TIMEOUT, answer(stream, &sources)).await);
+                }));
+            }
+            Err(error) => {
+                tracing::warn!(%error, "peer_accept_failed");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+            }
+        }
+    }
+}
+
+async fn answer(mut stream: BoxedStream, sources: &AnswerSources) -> io::Result<()> {
+    let query = read_value(&mut stream, MAX_QUERY_BYTES).await?;
+    let bytes = match query {
+        Query::ChangesAfter(revision) => borsh::to_vec(&sources.state.changes_after(revision))?,
+        Query::Tallies(window) => {
+            let usage = sources.pipeline.usage();
+            borsh::to_vec(&usage.map(|usage| usage.tallies(window)).unwrap_or_default())?
+        }
+        Query::PageAfter(after) => {
+            let page = page_after(&sources.state, after.as_deref()).await;
+            let packed = page.as_ref().map(PackedPage::pack).transpose()?;
+            borsh::to_vec(&packed)?
+        }
+        Query::Settled(window) => {
+            let usage = sources.pipeline.usage();
+            borsh::to_vec(&usage.and_then(|usage| usage.settled(window)))?
+        }
+        Query::Retained => borsh::to_vec(&PackedPage::pack(&sources.state.retained())?)?,
+        Query::Retry(service) => borsh::to_vec(&sources.pipeline.withdraw_from_pool(service))?,
+    };
+    write_bytes(&mut stream, &bytes).await
+}
+
+/// Returns a page, waiting a short time if it has not been read yet.
+async fn page_after(state: &FleetState, after: Option<&str>) -> Option<Page> {
+    let until = now() + PAGE_TIMEOUT;
+    loop {
+        let read_progressed = state.read_progressed().notified();
+        let page = state.page_after(after);
+        if page.is_some() {
+            return page;
+        }
+        time::timeout_at(until, read_progressed).await?;
+    }
+}
+
+/// Fetches a page of the store's contents from a peer. Returns `None` if the peer has not read that
+/// far yet.
+///
+/// # Errors
+/// If the peer cannot be reached, does not answer in time, or sends an invalid page.
+pub(crate) async fn fetch_page(
+    runtime: &Runtime,
+    peer: SocketAddr,
+    after: Option<&str>,
+) -> io::Result<Option<Page>> {
+    let query = Query::PageAfter(after.map(str::to_owned));
+    let packed: Option<PackedPage> = send_query(runtime, peer, query).await?;
+    packed.map(|packed| packed.unpack()).transpose()
+}
+
+/// Fetches the usage figures of a window that a peer settled as the leader. Returns `None` if it
+/// did not settle them.
+///
+/// # Errors
+/// If the peer cannot be reached or does not answer in time.
+pub async fn fetch_settled(
+    runtime: &Runtime,
+    peer: SocketAddr,
+    window: WindowNumber,
+) -> io::Result<Option<TenantCounts>> {
+    send_query(runtime, peer, Query::Settled(window)).await
+}
+
+/// Fetches the items from a peer that the store lacks since it was restored from a backup.
+///
+/// # Errors
+/// If the peer cannot be reached, does not answer in time, or sends an invalid page.
+pub(super) async fn fetch_retained(runtime: &Runtime, peer: SocketAddr) -> io::Result<Page> {
+    let packed: PackedPage = send_query(runtime, peer, Query::Retained).await?;
+    packed.unpack()
+}
+
+/// Withdraws a retry token of the service with this hash from the zone's pool, which the daemon at
+/// `pool_holder` keeps. Returns whether there was one.
+///
+/// # Errors
+/// If that daemon cannot be reached or does not answer within `limit`.
+pub(crate) async fn withdraw_retry(
+    runtime: &Runtime,
+    pool_holder: SocketAddr,
+    service: u32,
+    limit: Duration,
+) -> io::Result<bool> {
+    let answering = send_query(runtime, pool_holder, Query::Retry(service));
+    let answer = tokio::time::timeout(limit, answering).await;
+    answer.map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))?
+}
+
+/// Fetches the changes after the revision `after` from a peer.
+pub(super) async fn fetch_changes_after(
+    runtime: &Runtime,
+    peer: SocketAddr,
+    after: Revision,
+) -> io::Result<ChangesAnswer> {
+    send_query(runtime, peer, Query::ChangesAfter(after)).await
+}
+
+/// Fetches all copies that a peer keeps of the usage counts of a window.
+///
+/// # Errors
+/// If the peer cannot be reached or does not answer in time.
+pub async fn fetch_tallies(
+    runtime: &Runtime,
+    peer: SocketAddr,
+    window: WindowNumber,
+) -> io::Result<Vec<TallyOf>> {
+    send_query(runtime, peer, Query::Tallies(window)).await
+}
+
+async fn send_query<T: BorshDeserialize>(
+    runtime: &Runtime,
+    peer: SocketAddr,
+    query: Query,
+) -> io::Result<T> {
+    let exchange = async {
+        let mut stream = runtime.network.connect(peer).await?;
+        write_bytes(&mut stream, &borsh::to_vec(&query)?).await?;
+        read_value(&mut stream, MAX_ANSWER_BYTES).await
+    };
+    tokio::time::timeout(EXCHANGE_TIMEOUT, exchange)
+        .await
+        .map_err(|_elapsed| io::Error::from(io::ErrorKind::TimedOut))?
+}
+
+async fn write_bytes(stream: &mut BoxedStream, bytes: &[u8]) -> io::Result<()> {
+    let length = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
+    stream.write_u32(length).await?;
+    stream.write_all(bytes).await?;
+    stream.flush().await
+}
+
+async fn read_value<T: BorshDeserialize>(stream: &mut BoxedStream, limit: u32) -> io::Result<T> {
+    let length = stream.read_u32().await?;
+    if length > limit {
+        return Err(io::Error::from(io::ErrorKind::InvalidData));
+    }
+    let mut bytes = vec![0; usize::try_from(length).unwrap_or_default()];
+    stream.read_exact(&mut bytes).await?;
+    borsh::from_slice(&bytes)
+}
--- a/crates/serving/src/peers/rate_limits.rs
+++ b/crates/serving/src/peers/rate_limits.rs
@@ -1,9 +1,10 @@
-//! Gossip of rate limits that back ends set for all daemons together.
+//! Gossip about rate limits that back ends set for all daemons together.
 //!
-//! A limit first reaches the daemon whose request was answered with it. All others must learn of it before requests of their own show it,
-//! one by one: a change is published at once to the neighbours and to a few daemons of every other zone, who forward it to their own
-//! neighbours. Each second the limits in force go to a few neighbours more, which repairs what lost datagrams left out. A daemon that
-//! starts asks for them.
+//! The daemon whose request was answered with a limit learns of it first. The others must learn of
+//! it before their own requests run into it one by one. A change is therefore published at once to
+//! the neighbours and to a few daemons of every other zone, which forward it to their own
+//! neighbours. Each second the limits in force are also sent to a few further neighbours, which
+//! repairs the effect of lost datagrams. A daemon that starts asks for the limits.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,125 +20,128 @@
 use crate::back_end_index::hash;
 use crate::time::{self, now};
 
-/// Changes within this time after one share datagrams. The first goes out at once: a daemon that ends right after its answer would take
-/// what it learned with it.
-const GATHERING_TIME: Duration = Duration::from_millis(2);
-/// When a change is published again: one datagram in thirty may be lost on a bad link.
-const REPEATED_AFTER: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(400)];
-/// Time between two repair rounds, which publish what is in force.
+/// Changes within this time after a first one share datagrams. The first is sent at once, so that
+/// its information is not lost if this daemon ends right after it received the answer.
+const BATCHING_DELAY: Duration = Duration::from_millis(2);
+/// Delays after which a change is published again, because datagrams may be lost.
+const REPUBLISH_DELAYS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(400)];
+/// Interval between repair rounds, which publish the limits in force.
 const REPAIR_INTERVAL: Duration = Duration::from_secs(1);
-/// Limits of a repair round: with the usual identities they fit into one datagram.
-const ROUND_ROWS: usize = 24;
-/// Neighbours that a repair round goes to: a daemon receives as many rounds a second as it sends, so one that missed a change learns of it within
-/// about a second. With a full datagram a round takes 2.8 kB, a quarter of the bytes a second that a daemon may use.
+/// Number of limits in a repair round. With typical identities they fit into one datagram.
+const REPAIR_ROUND_ROWS: usize = 24;
+/// Number of neighbours that get a repair round. A daemon receives as many rounds per second as it
+/// sends, so one that missed a change learns of it within about a second.
 const REPAIR_FAN_OUT: usize = 2;
 
-/// When a daemon that has started asks for the limits in force, after its start: at once it may know no peers yet but its seeds, and these may be
-/// down.
-const ASKED_AFTER: [Duration; 4] = [
+/// Times after the start at which a daemon asks for the limits in force. Right after the start it
+/// may know no peers except its seeds, and these may be unreachable.
+const REQUEST_DELAYS: [Duration; 4] = [
     Duration::ZERO,
     Duration::from_millis(60),
     Duration::from_millis(200),
     Duration::from_millis(800),
 ];
-/// Peers that are asked at a time.
-const ASKED_PEERS: usize = 3;
-/// Limits in the reply to a daemon that asks, at most: the repair rounds bring it the others.
-const MOST_IN_REPLY: usize = 256;
+/// Number of peers that are asked at a time.
+const PEERS_PER_REQUEST: usize = 3;
+/// Limit on the rate limits in the reply to a starting daemon. The repair rounds bring it the
+/// others.
+const MAX_LIMITS_IN_REPLY: usize = 256;
 
-/// What a peer knows of the limit of a back end that is not known here yet.
+/// A limit received from a peer for a back end that is not known here yet.
 #[derive(Debug)]
-pub(super) struct EarlyLimit {
+pub(super) struct PendingLimit {
     back_end: String,
     incarnation: Incarnation,
-    theirs: RateRecord,
+    received_record: RateRecord,
 }
 
 /// Back ends whose limits are to be published again, and when.
 type Schedule = BTreeSet<(Instant, Arc<str>)>;
 
-/// Where the repair rounds have come to.
+/// Position of the repair rounds in the lists of neighbours and limits.
 #[derive(Debug, Default)]
 struct RepairRounds {
-    /// Neighbours that rounds went to so far.
+    /// Number of neighbours that previous rounds were sent to.
     neighbours: usize,
-    /// The last back end of the last round.
+    /// The last back end of the previous round.
     last: Option<Arc<str>>,
 }
 
 impl Peers {
     pub(super) async fn publish_rate_limits(self: Arc<Self>) {
         let changed = self.pipeline.changed_rate_limits();
-        let mut again = Schedule::new();
+        let mut scheduled = Schedule::new();
         let mut rounds = RepairRounds::default();
         let mut next_round = now() + REPAIR_INTERVAL;
         loop {
-            let next = again.first().map_or(next_round, |(at, _id)| *at);
-            // Either way it is looked at anew.
+            let next = scheduled.first().map_or(next_round, |(at, _id)| *at);
+            // Check for due work both after a timeout and after a notification.
             time::timeout_at(next.min(next_round), changed.wait()).await;
-            let begun = now();
+            let started = now();
             let mut due = changed.take();
             for id in &due {
-                for pause in REPEATED_AFTER {
-                    again.insert((begun + pause, Arc::clone(id)));
+                for pause in REPUBLISH_DELAYS {
+                    scheduled.insert((started + pause, Arc::clone(id)));
                 }
             }
-            while again.first().is_some_and(|(at, _id)| *at <= begun) {
-                due.extend(again.pop_first().map(|(_at, id)| id));
+            while scheduled.first().is_some_and(|(at, _id)| *at <= started) {
+                due.extend(scheduled.pop_first().map(|(_at, id)| id));
             }
             self.publish_rates(due).await;
-            if next_round <= begun {
-                next_round = begun + REPAIR_INTERVAL;
+            if next_round <= started {
+                next_round = started + REPAIR_INTERVAL;
                 self.publish_repair_round(&mut rounds).await;
             }
-            tokio::time::sleep(GATHERING_TIME).await;
+            tokio::time::sleep(BATCHING_DELAY).await;
         }
     }
 
-    /// Asks peers for the limits in force, once after the start: what this daemon does not know of may hold all the same.
-    pub(super) async fn ask_for_rate_limits(self: Arc<Self>) {
-        let begun = now();
-        for (asked, after) in ASKED_AFTER.into_iter().enumerate() {
-            time::sleep_until(begun + after).await;
+    /// Asks peers for the limits in force after the start, because this daemon does not know limits
+    /// that were set before.
+    pub(super) async fn request_rate_limits(self: Arc<Self>) {
+        let started = now();
+        for (attempt, after) in REQUEST_DELAYS.into_iter().enumerate() {
+            time::sleep_until(started + after).await;
             let neighbours = self.neighbours();
-            let next = neighbours.iter().cycle().skip(asked * ASKED_PEERS);
+            let next = neighbours.iter().cycle().skip(attempt * PEERS_PER_REQUEST);
             let targets: Vec<SocketAddr> = next
-                .take(ASKED_PEERS.min(neighbours.len()))
+                .take(PEERS_PER_REQUEST.min(neighbours.len()))
                 .copied()
                 .collect();
-            let question = message::encode(&Message::RateLimitsWanted);
-            self.send(question, &targets).await;
+            let request = message::encode(&Message::RateLimitsWanted);
+            self.send(request, &targets).await;
         }
     }
 
-    pub(super) async fn send_rates_in_force(&self, peer: SocketAddr) {
+    pub(super) async fn reply_rate_limits(&self, peer: SocketAddr) {
         let limited = self.pipeline.placement().rate_limits.limited();
         let rows = limited
             .iter()
-            .take(MOST_IN_REPLY)
-            .filter_map(|id| self.rate_row(id));
-        for bytes in message::encode_rates(rows.collect(), true) {
+            .take(MAX_LIMITS_IN_REPLY)
+            .filter_map(|id| self.limit_row(id));
+        for bytes in message::encode_rate_limits(rows.collect(), true) {
             self.send(Some(bytes), &[peer]).await;
         }
     }
 
-    /// Publishes what is known of these back ends to neighbours and a few daemons of every other zone.
+    /// Publishes the limits of these back ends to neighbours and to a few daemons of every other
+    /// zone.
     async fn publish_rates(&self, back_ends: BTreeSet<Arc<str>>) {
         if back_ends.is_empty() {
             return;
         }
         let rows: Vec<RateRow> = back_ends
             .iter()
-            .filter_map(|id| self.rate_row(id))
+            .filter_map(|id| self.limit_row(id))
             .collect();
         let mut targets = self.neighbours();
         targets.extend(&self.state.topology().far);
-        for bytes in message::encode_rates(rows, true) {
+        for bytes in message::encode_rate_limits(rows, true) {
             self.send(Some(bytes), &targets).await;
         }
     }
 
-    /// Publishes limits in force to the next neighbours, some at a time.
+    /// Publishes the next few limits in force to the next few neighbours.
     async fn publish_repair_round(&self, rounds: &mut RepairRounds) {
         let limited = self.pipeline.placement().rate_limits.limited();
         if limited.is_empty() {
@@ -145,11 +149,11 @@
         }
         let begin = limited.partition_point(|id| Some(id) <= rounds.last.as_ref());
         let in_order = limited[begin..].iter().chain(&limited[..begin]);
-        let round: Vec<&Arc<str>> = in_order.take(ROUND_ROWS).collect();
+        let round: Vec<&Arc<str>> = in_order.take(REPAIR_ROUND_ROWS).collect();
         rounds.last = round.last().map(|id| Arc::clone(id));
         let rows: Vec<RateRow> = round
             .into_iter()
-            .filter_map(|id| self.rate_row(id))
+            .filter_map(|id| self.limit_row(id))
             .collect();
         let neighbours = self.neighbours();
         let next = neighbours
@@ -159,43 +163,44 @@
             .take(REPAIR_FAN_OUT.min(neighbours.len()));
         let targets: Vec<SocketAddr> = next.copied().collect();
         rounds.neighbours = rounds.neighbours.wrapping_add(REPAIR_FAN_OUT);
-        for bytes in message::encode_rates(rows, true) {
+        for bytes in message::encode_rate_limits(rows, true) {
             self.send(Some(bytes), &targets).await;
         }
     }
 
-    fn rate_row(&self, id: &Arc<str>) -> Option<RateRow> {
+    fn limit_row(&self, id: &Arc<str>) -> Option<RateRow> {
         let known = self.pipeline.placement().rate_limits.record(id)?;
         Some(rate_to_wire(id, known, now()))
     }
 
-    /// Merges what a peer knows. Where it asks for that, it is sent what it lacks: it may have started a moment ago, or datagrams were lost.
-    pub(super) async fn receive_rates(&self, rows: &[RateRow], wants_more: bool, from: SocketAddr) {
+    /// Merges limits received from a peer. If the peer asks for it, replies with what the peer
+    /// lacks: it may have started recently or missed datagrams.
+    pub(super) async fn receive_rate_limits(&self, rows: &[RateRow], wants_more: bool, from: SocketAddr) {
         let index = self.state.back_end_index();
         let is_far = !self.is_neighbour(from);
         let mut missing_there = Vec::new();
         for row in rows {
             let known = index.find(hash(&row.back_end));
-            let (incarnation, theirs) = rate_from_wire(row, now());
+            let (incarnation, received_record) = rate_from_wire(row, now());
             let Some(back_end) = known.filter(|known| *known.id == *row.back_end) else {
-                self.keep_until_known(EarlyLimit {
+                self.hold_until_known(PendingLimit {
                     back_end: row.back_end.clone(),
                     incarnation,
-                    theirs,
+                    received_record,
                 });
                 continue;
             };
-            let merge = self.merge_rate(back_end, incarnation, &theirs);
+            let merge = self.merge_rate(back_end, incarnation, &received_record);
             if merge.change.is_some() && is_far {
                 let changed = self.pipeline.changed_rate_limits();
                 changed.add(Arc::clone(&back_end.id));
             }
             if merge.knows_more {
-                missing_there.extend(self.rate_row(&back_end.id));
+                missing_there.extend(self.limit_row(&back_end.id));
             }
         }
         if wants_more {
-            for bytes in message::encode_rates(missing_there, false) {
+            for bytes in message::encode_rate_limits(missing_there, false) {
                 self.send(Some(bytes), &[from]).await;
             }
         }
@@ -207,11 +212,11 @@
         &self,
         back_end: &BackEnd,
         incarnation: Incarnation,
-        theirs: &RateRecord,
+        received_record: &RateRecord,
     ) -> RateMerge {
         let mut placement = self.pipeline.placement();
         let limits = &mut placement.rate_limits;
-        let merge = limits.merge(back_end, incarnation, theirs, now());
+        let merge = limits.merge(back_end, incarnation, received_record, now());
         drop(placement);
         if let Some(change) = merge.change {
             log_rate_change(&back_end.id, incarnation.0, change, "peer");
@@ -220,40 +225,41 @@
         merge
     }
 
-    /// A daemon that starts is told of limits before it has read which back ends there are: its first requests must keep them all the
-    /// same. Once it has read them, the repair rounds bring the limit of one that is new to it.
-    fn keep_until_known(&self, limit: EarlyLimit) {
-        let mut early = self.early_limits();
-        if self.state.position().is_none() && early.len() < MOST_IN_REPLY {
-            early.push(limit);
+    /// Keeps a limit until its back end is known. A starting daemon receives limits before it has
+    /// read the directory, and its first requests must observe them. After the read, limits of
+    /// unknown back ends are dropped, because the repair rounds bring them again.
+    fn hold_until_known(&self, limit: PendingLimit) {
+        let mut pending = self.pending_limits();
+        if self.state.position().is_none() && pending.len() < MAX_LIMITS_IN_REPLY {
+            pending.push(limit);
         }
     }
 
-    /// Takes the limits that were told too early, as the directory is read.
-    pub(super) async fn take_early_limits(self: Arc<Self>) {
+    /// Applies the pending limits while the directory is being read.
+    pub(super) async fn apply_pending_limits_while_reading(self: Arc<Self>) {
         while self.state.position().is_none() {
             self.state.read_progressed().notified().await;
-            self.take_limits_of_known();
+            self.apply_pending_limits();
         }
-        self.early_limits().clear();
+        self.pending_limits().clear();
     }
 
-    fn take_limits_of_known(&self) {
+    fn apply_pending_limits(&self) {
         let index = self.state.back_end_index();
-        let early = std::mem::take(&mut *self.early_limits());
-        for limit in early {
+        let pending = std::mem::take(&mut *self.pending_limits());
+        for limit in pending {
             let known = index.find(hash(&limit.back_end));
             match known.filter(|known| *known.id == *limit.back_end) {
                 Some(back_end) => {
-                    self.merge_rate(back_end, limit.incarnation, &limit.theirs);
+                    self.merge_rate(back_end, limit.incarnation, &limit.received_record);
                 }
-                None => self.early_limits().push(limit),
+                None => self.pending_limits().push(limit),
             }
         }
     }
 }
 
-/// Logs that a back end's limit is another than before; `source` names what showed it.
+/// Logs a changed rate limit of a back end. `source` names where the change came from.
 pub(crate) fn log_rate_change(
     back_end: &str,
     incarnation: u64,
--- a/crates/serving/src/peers/suspects.rs
+++ b/crates/serving/src/peers/suspects.rs
@@ -1,8 +1,9 @@
-//! Tells peers of requests under which engines ended.
+//! Informs peers about requests during which engines ended.
 //!
-//! A single lost run says little, and every crash brings as many as the engine had requests: only a few recorders are told,
-//! chosen by the fingerprint, so that runs lost at different daemons meet there. From the second engine on, and when a
-//! request is cleared, everybody is told at once, and again, since datagrams are lost.
+//! A single lost run is weak evidence, and every crash of an engine loses all of its requests. It
+//! is therefore sent only to a few recorders, chosen by the request's fingerprint, so that runs
+//! lost at different daemons are counted together. From the second engine on, and when a request is
+//! cleared, all daemons are informed at once, and again later because datagrams may be lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,63 +21,64 @@
 use crate::fleet_state::daemon_identity;
 use crate::time::{self, now};
 
-/// Runs that are lost within this time are told together.
-const GATHERING_TIME: Duration = Duration::from_millis(5);
-/// When what concerns everybody is told again: one datagram in thirty may be lost on a bad link, and a daemon that is not
-/// told costs an engine.
-const TOLD_AGAIN_AFTER: [Duration; 2] = [Duration::from_millis(150), Duration::from_millis(600)];
-/// Daemons that keep single lost runs of a request: two may be lost.
-const RECORDERS: usize = 3;
+/// Runs that are lost within this time are published together.
+const BATCHING_DELAY: Duration = Duration::from_millis(5);
+/// Delays after which information for all daemons is sent again. Datagrams may be lost, and a
+/// daemon that misses one may send the request to another engine.
+const REPUBLISH_DELAYS: [Duration; 2] = [Duration::from_millis(150), Duration::from_millis(600)];
+/// Number of daemons that record single lost runs of a request. Two of them may be lost.
+const RECORDER_COUNT: usize = 3;
 
-/// What is to be told again, and when.
+/// Requests that are to be published again, and when.
 type Schedule = BTreeSet<(Instant, RequestFingerprint)>;
 
 impl Peers {
     pub(super) async fn publish_suspects(self: Arc<Self>) {
         let changed = self.pipeline.changed_suspects();
-        let mut again = Schedule::new();
+        let mut scheduled = Schedule::new();
         loop {
-            let next = again.first().map(|(at, _fingerprint)| *at);
+            let next = scheduled.first().map(|(at, _fingerprint)| *at);
             match next {
                 None => changed.wait().await,
                 Some(at) => {
                     time::timeout_at(at, changed.wait()).await;
                 }
             }
-            tokio::time::sleep(GATHERING_TIME).await;
-            let fresh = changed.take();
-            let begun = now();
-            for fingerprint in &fresh {
-                for pause in TOLD_AGAIN_AFTER {
-                    again.insert((begun + pause, *fingerprint));
+            tokio::time::sleep(BATCHING_DELAY).await;
+            let changed_now = changed.take();
+            let started = now();
+            for fingerprint in &changed_now {
+                for pause in REPUBLISH_DELAYS {
+                    scheduled.insert((started + pause, *fingerprint));
                 }
             }
-            let later = again.split_off(&(begun, RequestFingerprint::LEAST));
-            let due = std::mem::replace(&mut again, later);
+            let later = scheduled.split_off(&(started, RequestFingerprint::LEAST));
+            let due = std::mem::replace(&mut scheduled, later);
             let due = due
                 .into_iter()
                 .map(|(_at, fingerprint)| (fingerprint, false));
-            let fresh = fresh.into_iter().map(|fingerprint| (fingerprint, true));
-            self.tell(due.chain(fresh)).await;
+            let changed_now = changed_now.into_iter().map(|fingerprint| (fingerprint, true));
+            self.publish_requests(due.chain(changed_now)).await;
         }
     }
 
-    /// Tells of these requests; those that are not fresh only where they concern everybody.
-    async fn tell(&self, requests: impl Iterator<Item = (RequestFingerprint, bool)>) {
+    /// Publishes what is known of these requests. Requests without new information are published
+    /// only if they concern all daemons.
+    async fn publish_requests(&self, requests: impl Iterator<Item = (RequestFingerprint, bool)>) {
         let mut rows_of: BTreeMap<SocketAddr, Vec<SuspectRow>> = BTreeMap::new();
         for (fingerprint, is_fresh) in requests {
-            let known = self.known_of(fingerprint);
-            let Some((suspicion, standing)) = known else {
+            let record = self.record_of(fingerprint);
+            let Some((suspicion, standing)) = record else {
                 continue;
             };
-            // One lost run and a good one are what most requests of an engine that ended have.
+            // Most requests of an engine that ended have one lost run and one successful run.
             let was_suspected = suspicion.cleared.is_some() && suspicion.lost_runs.len() > 1;
             let concerns_all = standing != Standing::Clear || was_suspected;
             if !concerns_all && !is_fresh {
                 continue;
             }
             let row = suspicion_to_wire(&suspicion, now());
-            for target in self.told_of(fingerprint, concerns_all) {
+            for target in self.targets_for(fingerprint, concerns_all) {
                 rows_of.entry(target).or_default().push(row.clone());
             }
         }
@@ -85,7 +87,7 @@
         }
     }
 
-    fn known_of(&self, fingerprint: RequestFingerprint) -> Option<(Suspicion, Standing)> {
+    fn record_of(&self, fingerprint: RequestFingerprint) -> Option<(Suspicion, Standing)> {
         let quarantine = self.state.quarantine();
         let suspicion = quarantine.suspicion(fingerprint)?.clone();
         Some((suspicion, quarantine.standing(fingerprint, now())))
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Who is told of a request: everybody, or its recorders.
-    fn told_of(&self, fingerprint: RequestFingerprint, concerns_all: bool) -> Vec<SocketAddr> {
+    /// The daemons that are informed about a request: all of them, or its recorders.
+    fn targets_for(&self, fingerprint: RequestFingerprint, concerns_all: bool) -> Vec<SocketAddr> {
         let mut daemons = self.state.daemon_addresses();
         if daemons.len() <= SMALL_FLEET {
             return self.neighbours();
@@ -112,7 +114,7 @@
             .map(|(daemon, address)| (rank(fingerprint, daemon), address))
             .collect();
         by_rank.sort_unstable();
-        by_rank.truncate(RECORDERS);
+        by_rank.truncate(RECORDER_COUNT);
         by_rank
             .into_iter()
             .map(|(_rank, address)| address)
@@ -126,11 +128,12 @@
         let before = daemons
             .keys()
             .filter(|daemon| **daemon != own && rank(fingerprint, **daemon) < own_rank);
-        before.count() < RECORDERS
+        before.count() < RECORDER_COUNT
     }
 
-    /// Takes what a peer tells. What it lacks is sent back to it: it may have started a moment ago, or datagrams were lost.
-    pub(super) async fn take_suspects(&self, rows: &[SuspectRow], from: SocketAddr) {
+    /// Merges information from a peer and replies with what the peer lacks: it may have started
+    /// recently or missed datagrams.
+    pub(super) async fn merge_suspects(&self, rows: &[SuspectRow], from: SocketAddr) {
         let mut missing_there = Vec::new();
         for row in rows {
             let news = suspicion_from_wire(row, now());
@@ -151,10 +154,11 @@
             if !update.knows_more {
                 continue;
             }
-            if let Some((suspicion, _standing)) = self.known_of(fingerprint) {
+            if let Some((suspicion, _standing)) = self.record_of(fingerprint) {
                 missing_there.push(suspicion_to_wire(&suspicion, now()));
             }
-            // Runs lost at several daemons met here: nobody else may know of them together.
+            // Runs lost at several daemons were combined here. No other daemon may know all of
+            // them.
             if update.is_news && update.after != Standing::Clear && self.is_recorder(fingerprint) {
                 self.pipeline.changed_suspects().add(fingerprint);
             }
@@ -163,7 +167,7 @@
     }
 }
 
-/// The daemons with the lowest ranks record a request. All work it out alike.
+/// The daemons with the lowest ranks record a request. All daemons compute the same ranks.
 fn rank(fingerprint: RequestFingerprint, daemon: u64) -> u64 {
     xxh3_64_with_seed(fingerprint.as_bytes(), daemon)
 }
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -1,4 +1,4 @@
-//! Between what daemons decide with and the messages that they exchange.
+//! Converts between the types used for decisions and the messages exchanged by daemons.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,54 +14,54 @@
 use ponddrift_fleet::stages::StageWork;
 
 use super::message::{
-    AwayRow, BackEndRow, DepositsRow, HeadRow, LostRunRow, NamedRateRow, RateRow, ReadingRow,
-    ReportRow, ResultRow, ServiceWorkRow, SuspectRow, TOKENS_IN_UNIT,
+    UnavailableEngineRow, BackEndLoadRow, DepositsRow, PrefixRow, LostRunRow, NamedRateRow, RateRow, PrefillTimingRow,
+    LoadReportRow, ResultRow, ServiceWorkRow, SuspectRow, TOKENS_PER_UNIT,
 };
 use crate::back_end_index::{BackEndIndex, hash};
 
-/// Milliseconds in a second.
+/// Milliseconds per second.
 const MS_PER_S: f64 = 1000.0;
 
 #[expect(clippy::cast_possible_truncation, reason = "a few retries")]
 pub(super) fn deposits_to_wire(deposits: &Deposits) -> DepositsRow {
-    let repeats = deposits.repeats.iter();
+    let retries = deposits.repeats.iter();
     DepositsRow {
         origin: deposits.origin,
         sequence: deposits.sequence,
-        repeats: repeats
-            .map(|(service, repeats)| (*service, *repeats as f32))
+        retries: retries
+            .map(|(service, retries)| (*service, *retries as f32))
             .collect(),
     }
 }
 
 pub(super) fn deposits_from_wire(row: DepositsRow) -> Deposits {
-    let repeats = row.repeats.into_iter();
+    let retries = row.retries.into_iter();
     Deposits {
         origin: row.origin,
         sequence: row.sequence,
-        repeats: repeats
-            .map(|(service, repeats)| (service, f64::from(repeats)))
+        repeats: retries
+            .map(|(service, retries)| (service, f64::from(retries)))
             .collect(),
     }
 }
 
-pub(super) fn head_to_wire(usage: &HeadUse) -> HeadRow {
-    HeadRow {
+pub(super) fn prefix_to_wire(usage: &HeadUse) -> PrefixRow {
+    PrefixRow {
         engine: hash(&usage.engine),
-        head: usage.head,
+        prefix: usage.head,
         tokens: usage.tokens,
-        own_tokens: usage.own_tokens,
-        is_kept: usage.state == HeadState::Kept,
+        suffix_tokens: usage.own_tokens,
+        is_cached: usage.state == HeadState::Kept,
     }
 }
 
-pub(super) fn head_from_wire(row: &HeadRow, known: &BackEndIndex) -> Option<HeadUse> {
+pub(super) fn prefix_from_wire(row: &PrefixRow, known: &BackEndIndex) -> Option<HeadUse> {
     Some(HeadUse {
         engine: Arc::clone(&known.find(row.engine)?.id),
-        head: row.head,
+        head: row.prefix,
         tokens: row.tokens,
-        own_tokens: row.own_tokens,
-        state: if row.is_kept {
+        own_tokens: row.suffix_tokens,
+        state: if row.is_cached {
             HeadState::Kept
         } else {
             HeadState::Coming
@@ -74,14 +74,14 @@
     clippy::cast_sign_loss,
     reason = "casts saturate"
 )]
-pub(super) fn reading_to_wire(reading: &PromptReading) -> ReadingRow {
-    ReadingRow {
+pub(super) fn prefill_timing_to_wire(reading: &PromptReading) -> PrefillTimingRow {
+    PrefillTimingRow {
         tokens: reading.tokens as u32,
         took_ms: reading.took_ms as u16,
     }
 }
 
-pub(super) fn reading_from_wire(row: &ReadingRow) -> PromptReading {
+pub(super) fn prefill_timing_from_wire(row: &PrefillTimingRow) -> PromptReading {
     PromptReading {
         tokens: f64::from(row.tokens),
         took_ms: f64::from(row.took_ms),
@@ -93,14 +93,14 @@
     clippy::cast_sign_loss,
     reason = "casts saturate, and no count is negative"
 )]
-pub(super) fn row_to_wire(row: &WorkRow) -> BackEndRow {
-    BackEndRow {
+pub(super) fn load_row_to_wire(row: &WorkRow) -> BackEndLoadRow {
+    BackEndLoadRow {
         back_end: hash(&row.id),
         requests: row.outstanding.requests as u16,
         generating: row.outstanding.generating as u8,
         late_waiting: row.outstanding.late_waiting as u8,
-        prompt_tokens: units_of(row.outstanding.prompt_tokens),
-        late_tokens: units_of(row.outstanding.late_tokens),
+        prompt_tokens: token_units(row.outstanding.prompt_tokens),
+        late_tokens: token_units(row.outstanding.late_tokens),
     }
 }
 
@@ -109,11 +109,11 @@
     clippy::cast_sign_loss,
     reason = "casts saturate, and no count is negative"
 )]
-fn units_of(tokens: f64) -> u16 {
-    (tokens / TOKENS_IN_UNIT).ceil() as u16
+fn token_units(tokens: f64) -> u16 {
+    (tokens / TOKENS_PER_UNIT).ceil() as u16
 }
 
-pub(super) fn report_from_wire(report: &ReportRow, known: &BackEndIndex) -> WorkReport {
+pub(super) fn report_from_wire(report: &LoadReportRow, known: &BackEndIndex) -> WorkReport {
     let rows = report.rows.iter().filter_map(|row| {
         Some(WorkRow {
             id: Arc::clone(&known.find(row.back_end)?.id),
@@ -121,8 +121,8 @@
                 requests: f64::from(row.requests),
                 generating: f64::from(row.generating),
                 late_waiting: f64::from(row.late_waiting),
-                prompt_tokens: f64::from(row.prompt_tokens) * TOKENS_IN_UNIT,
-                late_tokens: f64::from(row.late_tokens) * TOKENS_IN_UNIT,
+                prompt_tokens: f64::from(row.prompt_tokens) * TOKENS_PER_UNIT,
+                late_tokens: f64::from(row.late_tokens) * TOKENS_PER_UNIT,
             },
         })
     });
@@ -150,10 +150,10 @@
     }
 }
 
-pub(super) fn away_to_wire((id, time): &(Arc<str>, Duration)) -> AwayRow {
-    AwayRow {
+pub(super) fn unavailable_to_wire((id, time): &(Arc<str>, Duration)) -> UnavailableEngineRow {
+    UnavailableEngineRow {
         engine: hash(id),
-        time_ms: u16::try_from(time.as_millis()).unwrap_or(u16::MAX),
+        duration_ms: u16::try_from(time.as_millis()).unwrap_or(u16::MAX),
     }
 }
 
@@ -194,7 +194,7 @@
         named: record.named.map(|named| NamedRateRow {
             per_second: named.rate.per_second(),
             sent_ms_ago: ms_since(named.sent, now),
-            came_ms_ago: ms_since(named.came, now),
+            received_ms_ago: ms_since(named.came, now),
         }),
         lifted_ms_ago: record.lifted.map(|lifted| ms_since(lifted, now)),
     }
@@ -205,7 +205,7 @@
         Some(NamedRate {
             rate: RequestRate::new(named.per_second)?,
             sent: ms_before(named.sent_ms_ago, now),
-            came: ms_before(named.came_ms_ago, now),
+            came: ms_before(named.received_ms_ago, now),
         })
     });
     let record = RateRecord {
@@ -220,7 +220,8 @@
     u32::try_from(since).unwrap_or(u32::MAX)
 }
 
-/// A clock that shows less than the time that passed began after that.
+/// The instant that many milliseconds before `now`, or `now` itself if the clock cannot represent
+/// it.
 fn ms_before(milliseconds: u32, now: Instant) -> Instant {
     let before = Duration::from_millis(u64::from(milliseconds));
     now.checked_sub(before).unwrap_or(now)
@@ -230,7 +231,7 @@
     let ms_ago = |at: Instant| ms_since(at, now);
     let lost_runs = suspicion.lost_runs.iter().map(|run| LostRunRow {
         engine: run.engine.to_string(),
-        begun_ms_ago: ms_ago(run.begun),
+        started_ms_ago: ms_ago(run.begun),
         ended_ms_ago: ms_ago(run.ended),
     });
     SuspectRow {
@@ -245,7 +246,7 @@
     let at = |ms_ago: u32| ms_before(ms_ago, now);
     let lost_runs = row.lost_runs.iter().map(|run| LostRun {
         engine: Arc::from(run.engine.as_str()),
-        begun: at(run.begun_ms_ago),
+        begun: at(run.started_ms_ago),
         ended: at(run.ended_ms_ago),
     });
     Suspicion {
