--- a/crates/serving/src/capacity.rs
+++ b/crates/serving/src/capacity.rs
@@ -1,7 +1,7 @@
-//! Orders engines from the provider, and gives them back, where this daemon leads.
+//! Orders and releases engines at the provider while this daemon leads.
 //!
-//! What is desired is compared with what the directory shows, again and again: an order may be refused, lost, or carried out
-//! late, and engines may be taken away.
+//! The desired state is compared with the directory periodically, because an order may be refused,
+//! lost or carried out late, and the provider may take engines away.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,74 +21,74 @@
 use crate::provider::{Caller, EngineOrder, Provider, ProviderError, result_name};
 use crate::time::now;
 
-/// Time between two looks at the load.
-const STEP: Duration = Duration::from_millis(500);
-/// An order that the directory does not show so long after the boot time is given again: an engine's entry shows a change
-/// up to a heartbeat later, and a drain takes a while.
-const OVERDUE: Duration = Duration::from_secs(4);
-/// An order that was refused or not answered is given again after this long.
-const REFUSED_PAUSE: Duration = Duration::from_secs(2);
+/// Interval between planning steps.
+const PLANNING_INTERVAL: Duration = Duration::from_millis(500);
+/// An order is repeated if the directory does not show its effect this long after the boot time.
+/// The entries of engines lag by up to a heartbeat, and draining takes a while.
+const ORDER_TIMEOUT_AFTER_BOOT: Duration = Duration::from_secs(4);
+/// Delay before an order is repeated that was refused or not answered.
+const REFUSED_ORDER_PAUSE: Duration = Duration::from_secs(2);
 
-/// What capacity is planned with.
+/// What capacity planning needs from the daemon.
 pub struct CapacityDependencies {
     /// Name of this daemon.
     pub holder: Arc<str>,
-    /// Settings of the planner.
+    /// Settings of the capacity planner.
     pub settings: CapacitySettings,
-    /// Configuration and directory.
+    /// The configuration and the back-end directory.
     pub state: Arc<FleetState>,
-    /// The load.
+    /// Source of the measured load.
     pub pipeline: Arc<Pipeline>,
-    /// Who takes orders.
+    /// Receiver of the orders.
     pub provider: Arc<dyn Provider>,
-    /// Whether this daemon leads.
+    /// Whether this daemon may send orders as the leader.
     pub leadership: Leadership,
 }
 
-/// Starts to observe the load, and to order while this daemon leads.
-pub fn start(runtime: &Runtime, parts: CapacityDependencies) {
-    let desk = CapacityDesk {
-        parts,
+/// Starts to observe the load, and to order engines while this daemon leads.
+pub fn start(runtime: &Runtime, dependencies: CapacityDependencies) {
+    let controller = CapacityController {
+        dependencies,
         planners: HashMap::new(),
         orders: HashMap::new(),
     };
-    runtime.spawner.spawn(Box::pin(desk.run()));
+    runtime.spawner.spawn(Box::pin(controller.run()));
 }
 
-/// Engines of one service, zone and contract.
+/// The engines that one order concerns: those of one service, zone and contract.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Subject {
+struct OrderTarget {
     service: Arc<str>,
     zone: Arc<str>,
     contract: Contract,
 }
 
-/// The last order for a subject.
+/// The last order for a target.
 #[derive(Debug, Clone, Copy)]
 struct LastOrder {
     count: u32,
-    not_again_before: Instant,
+    repeat_at: Instant,
 }
 
-struct CapacityDesk {
-    parts: CapacityDependencies,
+struct CapacityController {
+    dependencies: CapacityDependencies,
     planners: HashMap<Arc<str>, CapacityPlanner>,
-    orders: HashMap<Subject, LastOrder>,
+    orders: HashMap<OrderTarget, LastOrder>,
 }
 
-impl CapacityDesk {
+impl CapacityController {
     async fn run(mut self) {
-        while !self.parts.pipeline.is_stopping() {
-            sleep(STEP).await;
-            if self.parts.state.position().is_none() {
-                // Not all engines are known yet.
+        while !self.dependencies.pipeline.is_stopping() {
+            sleep(PLANNING_INTERVAL).await;
+            if self.dependencies.state.position().is_none() {
+                // Not all engines are known before the first full read.
                 continue;
             }
             for service in self.scaled_services() {
                 let present = self.present(&service.name);
                 self.observe(&service, &present);
-                if self.parts.leadership.may_call() {
-                    self.bring_about(&service, &present).await;
+                if self.dependencies.leadership.may_call() {
+                    self.order_changes(&service, &present).await;
                 } else {
                     self.orders.clear();
                 }
@@ -97,7 +97,7 @@
     }
 
     fn scaled_services(&self) -> Vec<Arc<Service>> {
-        let in_force = self.parts.state.in_force();
+        let in_force = self.dependencies.state.in_force();
         let services = in_force
             .iter()
             .flat_map(|known| &known.configuration.services);
@@ -108,7 +108,7 @@
     }
 
     fn present(&self, service: &str) -> EngineCounts {
-        let back_ends = self.parts.state.back_ends();
+        let back_ends = self.dependencies.state.back_ends();
         count_ready(back_ends.iter().filter(|known| &*known.service == service))
     }
 
@@ -117,42 +117,42 @@
             return;
         };
         if present.is_empty() {
-            // The store has lost them; they are back soon after it.
+            // The store has probably lost the entries; they return soon after it does.
             return;
         }
-        let work = self.parts.pipeline.work_of_all();
+        let work = self.dependencies.pipeline.work_of_all();
         let work = work.into_iter().find(|(name, _work)| *name == service.name);
         let planner = self.planners.entry(Arc::clone(&service.name)).or_default();
         let work = work.map(|(_name, work)| work);
-        planner.observe(work, present, autoscaling, self.parts.settings, now());
+        planner.observe(work, present, autoscaling, self.dependencies.settings, now());
     }
 
-    /// Orders what differs from the plan.
-    async fn bring_about(&mut self, service: &Service, present: &EngineCounts) {
+    /// Orders engines where the current counts differ from the plan.
+    async fn order_changes(&mut self, service: &Service, present: &EngineCounts) {
         let Some(autoscaling) = &service.autoscaling else {
             return;
         };
         let planner = self.planners.entry(Arc::clone(&service.name)).or_default();
-        let Some(plan) = planner.plan(present, autoscaling, self.parts.settings) else {
+        let Some(plan) = planner.plan(present, autoscaling, self.dependencies.settings) else {
             return;
         };
         let step = next_step(&plan, present, autoscaling);
         let due = self.due_orders(service, &step, present);
         let this = &*self;
-        let given = due
+        let calls = due
             .iter()
-            .map(|(subject, count)| this.order(subject, *count, &plan));
-        let ended = join_all(given).await;
-        for ((subject, count), end) in due.into_iter().zip(ended) {
+            .map(|(target, count)| this.order(target, *count, &plan));
+        let results = join_all(calls).await;
+        for ((target, count), end) in due.into_iter().zip(results) {
             let pause = match end {
-                Ok(()) => autoscaling.boot + OVERDUE,
-                Err(_error) => REFUSED_PAUSE,
+                Ok(()) => autoscaling.boot + ORDER_TIMEOUT_AFTER_BOOT,
+                Err(_error) => REFUSED_ORDER_PAUSE,
             };
             let last = LastOrder {
                 count,
-                not_again_before: now() + pause,
+                repeat_at: now() + pause,
             };
-            self.orders.insert(subject, last);
+            self.orders.insert(target, last);
         }
     }
 
@@ -161,25 +161,25 @@
         service: &Service,
         step: &EngineCounts,
         present: &EngineCounts,
-    ) -> Vec<(Subject, u32)> {
+    ) -> Vec<(OrderTarget, u32)> {
         let mut due = Vec::new();
         for (key, desired) in step {
             let (zone, contract) = key;
-            let there = present.get(key).copied().unwrap_or_default();
-            if there == *desired {
+            let current = present.get(key).copied().unwrap_or_default();
+            if current == *desired {
                 continue;
             }
-            let subject = Subject {
+            let target = OrderTarget {
                 service: Arc::clone(&service.name),
                 zone: Arc::clone(zone),
                 contract: *contract,
             };
-            let is_under_way = self
+            let is_in_progress = self
                 .orders
-                .get(&subject)
-                .is_some_and(|last| last.count == *desired && now() < last.not_again_before);
-            if !is_under_way {
-                due.push((subject, *desired));
+                .get(&target)
+                .is_some_and(|last| last.count == *desired && now() < last.repeat_at);
+            if !is_in_progress {
+                due.push((target, *desired));
             }
         }
         due
@@ -187,39 +187,39 @@
 
     async fn order(
         &self,
-        subject: &Subject,
+        target: &OrderTarget,
         count: u32,
         plan: &CapacityPlan,
     ) -> Result<(), ProviderError> {
-        let Some(fencing_token) = self.parts.leadership.begin_call() else {
+        let Some(fencing_token) = self.dependencies.leadership.begin_call() else {
             return Err(ProviderError::Fenced);
         };
         let caller = Caller {
-            holder: Arc::clone(&self.parts.holder),
+            holder: Arc::clone(&self.dependencies.holder),
             fencing_token,
         };
         let order = EngineOrder {
-            service: &subject.service,
-            zone: &subject.zone,
-            contract: subject.contract,
+            service: &target.service,
+            zone: &target.zone,
+            contract: target.contract,
             count,
         };
-        let ended = self.parts.provider.order_engines(&caller, &order).await;
+        let results = self.dependencies.provider.order_engines(&caller, &order).await;
         tracing::info!(
-            service = &*subject.service,
-            zone = &*subject.zone,
-            contract = subject.contract.as_str(),
+            service = &*target.service,
+            zone = &*target.zone,
+            contract = target.contract.as_str(),
             count,
             fencing_token,
             needed = plan.needed,
             left_after_loss = plan.left_after_loss,
-            error = ended.as_ref().err().map(ToString::to_string),
+            error = results.as_ref().err().map(ToString::to_string),
             "engines_ordered"
         );
-        self.parts
+        self.dependencies
             .pipeline
             .metrics()
-            .engines_ordered(result_name(&ended));
-        ended
+            .engines_ordered(result_name(&results));
+        results
     }
 }
--- a/crates/serving/src/orders.rs
+++ b/crates/serving/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders engines to change their stage, where this daemon leads.
+//! Orders engines to change their stage while this daemon leads.
 
 mod engine_calls;
 
@@ -18,21 +18,22 @@
 use crate::leader::Leadership;
 use crate::pipeline::Pipeline;
 use crate::time::now;
-use engine_calls::{EngineCalls, OrderEnd};
-
-/// Time between two looks at the stages.
-const STEP: Duration = Duration::from_millis(500);
-/// Peers have this long to hear that an engine is about to change.
-const NOTICE: Duration = Duration::from_millis(100);
-/// An engine's entry tells its new stage up to a heartbeat after the change.
-const AWAY_MORE: Duration = Duration::from_millis(1_000);
-/// An engine whose order was not answered is left alone for this long: the order may still be carried out.
-const UNSETTLED: Duration = Duration::from_secs(15);
-
-/// An engine that refused an order is left alone for this long.
-const REFUSED_PAUSE: Duration = Duration::from_secs(2);
-
-/// Starts planning, and ordering where this daemon leads.
+use engine_calls::{EngineCalls, OrderOutcome};
+
+/// Interval between planning steps.
+const PLANNING_INTERVAL: Duration = Duration::from_millis(500);
+/// How long peers have to learn that an engine is about to change before the order is sent.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(100);
+/// An engine's entry shows the new stage only up to one heartbeat after the change.
+const ENTRY_UPDATE_DELAY: Duration = Duration::from_millis(1_000);
+/// An engine whose order was not answered gets no further order for this long, because the order
+/// may still be carried out.
+const UNANSWERED_ORDER_PAUSE: Duration = Duration::from_secs(15);
+
+/// An engine that refused an order gets no further order for this long.
+const REFUSED_ORDER_PAUSE: Duration = Duration::from_secs(2);
+
+/// Starts to plan stages, and to order changes while this daemon leads.
 pub fn start(
     runtime: &Runtime,
     holder: Arc<str>,
@@ -41,7 +42,7 @@
     state: &Arc<FleetState>,
     pipeline: &Arc<Pipeline>,
 ) {
-    let desk = OrderDesk {
+    let controller = StageController {
         holder,
         leadership,
         calls: EngineCalls {
@@ -52,29 +53,30 @@
         state: Arc::clone(state),
         pipeline: Arc::clone(pipeline),
         planners: HashMap::new(),
-        unsettled: HashMap::new(),
+        paused_until: HashMap::new(),
     };
-    runtime.spawner.spawn(Box::pin(desk.run()));
+    runtime.spawner.spawn(Box::pin(controller.run()));
 }
 
-struct OrderDesk {
+struct StageController {
     holder: Arc<str>,
     leadership: Leadership,
     calls: EngineCalls,
     state: Arc<FleetState>,
     pipeline: Arc<Pipeline>,
     planners: HashMap<Arc<str>, StagePlanner>,
-    unsettled: HashMap<Arc<str>, Instant>,
+    paused_until: HashMap<Arc<str>, Instant>,
 }
 
-impl OrderDesk {
+impl StageController {
     async fn run(mut self) {
         while !self.pipeline.is_stopping() {
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(PLANNING_INTERVAL).await;
             if self.leadership.may_call() {
                 self.plan_all().await;
             } else {
-                // Whoever comes to lead has learned.
+                // Observe as well, so that the planner is up to date if this daemon becomes the
+                // leader.
                 self.observe();
             }
         }
@@ -84,14 +86,14 @@
         for service in self.observe() {
             let engines = self.engines(&service);
             let changes = self.plan(&service, &engines);
-            let ended = join_all(changes.iter().map(|change| self.change(change))).await;
-            for (change, end) in changes.iter().zip(ended) {
-                self.settle(&change.engine, end);
+            let outcomes = join_all(changes.iter().map(|change| self.change(change))).await;
+            for (change, outcome) in changes.iter().zip(outcomes) {
+                self.settle(&change.engine, outcome);
             }
         }
     }
 
-    /// Takes the work of every service. Returns the services.
+    /// Feeds the measured work of every service to its planner. Returns the services.
     fn observe(&mut self) -> Vec<Arc<str>> {
         let work = self.pipeline.work_of_all();
         for (service, measured) in &work {
@@ -104,7 +106,7 @@
         work.into_iter().map(|(service, _work)| service).collect()
     }
 
-    /// Engines of the service that stay.
+    /// Engines of the service that are ready and not draining.
     fn engines(&self, service: &str) -> Vec<Arc<BackEnd>> {
         let mut engines = self.state.ready(service, now());
         let placement = self.pipeline.placement();
@@ -113,44 +115,45 @@
     }
 
     fn plan(&mut self, service: &Arc<str>, engines: &[Arc<BackEnd>]) -> Vec<StageChange> {
-        let to_prefill = self.away_time(service, Stage::Prefill);
-        let to_decode = self.away_time(service, Stage::Decode);
-        let away = |stage| match stage {
+        let to_prefill = self.unavailable_time(service, Stage::Prefill);
+        let to_decode = self.unavailable_time(service, Stage::Decode);
+        let unavailable_for = |stage| match stage {
             Stage::Prefill => to_prefill,
             Stage::Decode => to_decode,
         };
         let planner = self.planners.entry(Arc::clone(service)).or_default();
         let placement = self.pipeline.placement();
-        let unsettled = &self.unsettled;
+        let paused_until = &self.paused_until;
         let busyness = |engine: &BackEnd| {
-            let is_unsettled = unsettled
+            let is_paused = paused_until
                 .get(&engine.id)
                 .is_some_and(|until| *until > now());
-            let is_unwell =
+            let is_unhealthy =
                 placement.health.is_ejected(&engine.id) || placement.is_closed(engine, now());
             let outstanding = placement.load.outstanding(&engine.id);
             let busyness = outstanding.requests + outstanding.prompt_tokens;
-            (!is_unsettled && !is_unwell).then_some(busyness)
+            (!is_paused && !is_unhealthy).then_some(busyness)
         };
-        let changes = planner.plan(engines, busyness, away, now());
+        let changes = planner.plan(engines, busyness, unavailable_for, now());
         for change in &changes {
             planner.ordered(change, now());
         }
         changes
     }
 
-    /// Lets the engine run dry of new requests, reads its state, then orders the change.
-    async fn change(&self, change: &StageChange) -> OrderEnd {
+    /// Announces that the engine becomes unavailable, so that it gets no new requests, checks its
+    /// state, then orders the change.
+    async fn change(&self, change: &StageChange) -> OrderOutcome {
         let engine = &change.engine;
         self.pipeline
             .engine_away(engine, Duration::from_secs_f64(change.away_s));
-        tokio::time::sleep(NOTICE).await;
+        tokio::time::sleep(ANNOUNCEMENT_DELAY).await;
         let report = self.calls.report(engine).await;
-        let (end, fence) = match report {
+        let (outcome, fence) = match report {
             Some(report) if self.may_change(engine, report) => {
                 self.order(engine, change.stage, report.sequence).await
             }
-            _ => (OrderEnd::NotSent, None),
+            _ => (OrderOutcome::NotSent, None),
         };
         tracing::info!(
             back_end = &*engine.id,
@@ -166,39 +169,40 @@
             gain = change.gain,
             away_s = change.away_s,
             net_gain = change.net_gain,
-            outcome = ?end,
+            outcome = ?outcome,
             "stage_ordered"
         );
-        self.pipeline.metrics().order(end.name());
-        end
+        self.pipeline.metrics().order(outcome.name());
+        outcome
     }
 
-    /// Whether the engine is as it was planned with; its report may have announced that it drains.
+    /// Whether the engine's state still matches the plan. Its report may also have announced that
+    /// it drains.
     fn may_change(&self, engine: &BackEnd, report: EngineReport) -> bool {
         let is_as_expected = !report.is_changing && report.stage == engine.stage;
         is_as_expected && !self.pipeline.placement().is_closed(engine, now())
     }
 
-    /// An engine whose order was not taken is left alone for a while.
-    fn settle(&mut self, engine: &BackEnd, end: OrderEnd) {
-        let left_alone = match end {
-            OrderEnd::Taken => return,
-            OrderEnd::Unanswered => UNSETTLED,
-            OrderEnd::Refused(_) | OrderEnd::NotSent => {
+    /// Pauses orders to an engine that did not accept one.
+    fn settle(&mut self, engine: &BackEnd, outcome: OrderOutcome) {
+        let pause = match outcome {
+            OrderOutcome::Taken => return,
+            OrderOutcome::Unanswered => UNANSWERED_ORDER_PAUSE,
+            OrderOutcome::Refused(_) | OrderOutcome::NotSent => {
                 self.pipeline.engine_back(&engine.id);
                 if let Some(planner) = self.planners.get_mut(&engine.service) {
                     planner.not_taken(&engine.id);
                 }
-                REFUSED_PAUSE
+                REFUSED_ORDER_PAUSE
             }
         };
-        self.unsettled
-            .insert(Arc::clone(&engine.id), now() + left_alone);
+        self.paused_until
+            .insert(Arc::clone(&engine.id), now() + pause);
     }
 
-    /// How long a change takes an engine of the service away: its streams end first, where it has any, then it changes,
-    /// then its entry tells the new stage.
-    fn away_time(&self, service: &str, to: Stage) -> Duration {
+    /// How long a change makes an engine of the service unavailable: its streams end first if it
+    /// has any, then it changes, then its entry shows the new stage.
+    fn unavailable_time(&self, service: &str, to: Stage) -> Duration {
         let in_force = self.state.in_force();
         let traits = in_force.as_ref().and_then(|in_force| {
             let service = in_force.configuration.service(service)?;
@@ -209,18 +213,19 @@
             Stage::Prefill => self.pipeline.placement().streams.longest(service, now()),
             Stage::Decode => Duration::ZERO,
         };
-        streams + change + AWAY_MORE
+        streams + change + ENTRY_UPDATE_DELAY
     }
 
-    /// Orders the change under this daemon's fencing token, if it still leads. Returns the token.
+    /// Orders the change with this daemon's fencing token if it still leads. Returns the token that
+    /// was used.
     async fn order(
         &self,
         engine: &Arc<BackEnd>,
         stage: Stage,
         expected_sequence: u64,
-    ) -> (OrderEnd, Option<u64>) {
+    ) -> (OrderOutcome, Option<u64>) {
         let Some(fence) = self.leadership.begin_call() else {
-            return (OrderEnd::NotSent, None);
+            return (OrderOutcome::NotSent, None);
         };
         let facts = OrderFacts {
             back_end: &engine.id,
--- a/crates/serving/src/orders/engine_calls.rs
+++ b/crates/serving/src/orders/engine_calls.rs
@@ -1,4 +1,4 @@
-//! The two calls that a change of stage takes: what the engine's state is, and the order.
+//! The two calls to an engine that a stage change needs: reading its state, and the order.
 
 use std::sync::Arc;
 
@@ -13,23 +13,24 @@
 use crate::pipeline::{AnswerOrigin, Pipeline, SendPermit};
 use crate::time::now;
 
-/// Connections to one engine, at most: for an order, and a report beside it.
-const CONNECTIONS: u32 = 2;
+/// Connection limit per engine: one for an order and one for a concurrent report.
+const MAX_CONNECTIONS_PER_ENGINE: u32 = 2;
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum OrderEnd {
-    /// The engine carries it out.
+pub(super) enum OrderOutcome {
+    /// The engine accepted the order.
     Taken,
-    /// The engine does not.
+    /// The engine refused the order. Holds the HTTP status.
     Refused(u16),
-    /// Nobody knows.
+    /// No answer arrived in time; the engine may still carry out the order.
     Unanswered,
-    /// It was not sent: this daemon no longer leads, or the engine is not as expected.
+    /// The order was not sent: this daemon no longer leads, or the engine is not in the expected
+    /// state.
     NotSent,
 }
 
-impl OrderEnd {
+impl OrderOutcome {
     pub(super) const fn name(self) -> &'static str {
         match self {
             Self::Taken => "taken",
@@ -40,7 +41,7 @@
     }
 }
 
-/// Calls to engines.
+/// Sends calls to engines.
 pub(super) struct EngineCalls {
     pub(super) connections: Arc<Connections>,
     pub(super) dialect: Arc<dyn Dialect>,
@@ -48,7 +49,7 @@
 }
 
 impl EngineCalls {
-    /// Asks an engine for its state; none without a whole answer in time.
+    /// Reads the state of an engine. Returns `None` without a complete answer in time.
     pub(super) async fn report(&self, engine: &Arc<BackEnd>) -> Option<EngineReport> {
         let request = self.dialect.report().request(engine.address)?;
         let answer = self.exchange(engine, request).await?;
@@ -57,15 +58,15 @@
             .flatten()
     }
 
-    pub(super) async fn order(&self, engine: &Arc<BackEnd>, facts: &OrderFacts<'_>) -> OrderEnd {
-        let Some(request) = self.build(engine, facts) else {
-            return OrderEnd::NotSent;
+    pub(super) async fn order(&self, engine: &Arc<BackEnd>, facts: &OrderFacts<'_>) -> OrderOutcome {
+        let Some(request) = self.build_request(engine, facts) else {
+            return OrderOutcome::NotSent;
         };
         let answer = self.exchange(engine, request).await;
         match answer.map(|answer| answer.status()) {
-            Some(StatusCode::OK | StatusCode::ACCEPTED) => OrderEnd::Taken,
-            Some(status) => OrderEnd::Refused(status.as_u16()),
-            None => OrderEnd::Unanswered,
+            Some(StatusCode::OK | StatusCode::ACCEPTED) => OrderOutcome::Taken,
+            Some(status) => OrderOutcome::Refused(status.as_u16()),
+            None => OrderOutcome::Unanswered,
         }
     }
 
@@ -80,7 +81,7 @@
             .call(
                 SendPermit::control_call(),
                 engine.address,
-                CONNECTIONS,
+                MAX_CONNECTIONS_PER_ENGINE,
                 request,
                 CALL_LIMIT,
             )
@@ -93,7 +94,7 @@
         Some(answer)
     }
 
-    fn build(&self, engine: &BackEnd, facts: &OrderFacts<'_>) -> Option<Request<Body>> {
+    fn build_request(&self, engine: &BackEnd, facts: &OrderFacts<'_>) -> Option<Request<Body>> {
         let call = self.dialect.order(facts);
         let mut request = Request::builder()
             .method(call.method)
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -189,12 +189,12 @@
             let topology = self.state.topology();
             if topology.usage_replicas != replicas {
                 replicas.clone_from(&topology.usage_replicas);
-                recorder.send_all_again();
+                recorder.resend_all();
             }
             self.send_usage(&recorder.take_unsent(), &replicas).await;
             if self.pipeline.is_stopping() && !has_sent_all {
                 // Daemons that stopped earlier may have replicated their counts only to this one.
-                self.send_usage(&recorder.all_kept(), &replicas).await;
+                self.send_usage(&recorder.all_copies(), &replicas).await;
                 has_sent_all = true;
             }
         }
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -1,7 +1,8 @@
-//! Counts the requests of each tenant that begin to run, and reports them.
+//! Counts the requests of each tenant that start to run, and reports them.
 //!
-//! Every daemon counts what it sees and sends copies to some of its neighbours ([`crate::peers`]); the leader gathers the
-//! copies of a window that has ended and reports their sum ([`report`]).
+//! Every daemon counts its own requests and replicates the counts to some of its neighbours
+//! ([`crate::peers`]). The leader gathers the copies of a window that has ended and reports their
+//! sum ([`report`]).
 
 pub mod report;
 
@@ -17,14 +18,14 @@
 
 use crate::time::now;
 
-/// Windows that are kept: by then the provider takes no more reports.
-const WINDOWS_KEPT: u64 = 12;
-/// A tally of a later window than this many ahead comes from a clock that is badly wrong.
-const WINDOWS_AHEAD: u64 = 2;
-/// The tally of a window that has ended is sent so often: a datagram may be lost.
-const CLOSING_SENDS: u32 = 3;
+/// Number of past windows to keep. The provider accepts no reports for older ones.
+const RETAINED_WINDOWS: u64 = 12;
+/// A tally of a window that is further ahead than this comes from a clock that is badly wrong.
+const MAX_WINDOWS_AHEAD: u64 = 2;
+/// How often the tally of a window that has ended is sent, because datagrams may be lost.
+const CLOSED_TALLY_SENDS: u32 = 3;
 
-/// Counts usage, and holds the copies that other daemons sent.
+/// Counts usage, and keeps the copies that other daemons sent.
 pub struct UsageRecorder {
     clock: Arc<dyn Clock>,
     life: Life,
@@ -36,23 +37,25 @@
 struct Inner {
     time: TrueTime,
     ledger: UsageLedger,
-    /// The window that is counted in; never goes back, so that a window once closed stays as it is.
+    /// The window that requests are counted in. It never goes back, so that a closed window stays
+    /// unchanged.
     current: Option<WindowNumber>,
-    /// What has not been sent to replicas yet.
+    /// Counts that have not been sent to replicas yet.
     unsent: BTreeSet<(WindowNumber, Arc<str>)>,
-    closings: VecDeque<Closing>,
-    /// Figures that this daemon settled as the leader. The store may come back from an older copy that lacks them.
+    closed_windows: VecDeque<ClosedWindow>,
+    /// Figures that this daemon settled as the leader. The store may lose them if it is restored
+    /// from a backup.
     settled: BTreeMap<WindowNumber, TenantCounts>,
 }
 
 /// A window that has ended, and how often its tally is still to be sent to replicas.
-struct Closing {
+struct ClosedWindow {
     window: WindowNumber,
     sends_left: u32,
 }
 
 impl UsageRecorder {
-    /// Nothing counted yet.
+    /// Creates a recorder without any counts.
     #[must_use]
     pub fn new(clock: Arc<dyn Clock>, life: Life, window_length: Duration) -> Arc<Self> {
         Arc::new(Self {
@@ -69,51 +72,52 @@
         self.window_length
     }
 
-    /// What this machine's clock shows, since the start of 1970.
+    /// Time of day by this machine's clock, since the Unix epoch.
     #[must_use]
     pub fn own_time(&self) -> Duration {
         self.clock.time_of_day()
     }
 
-    /// What another daemon's clock shows.
-    pub fn observe_time(&self, source: u64, shown: Duration) {
-        self.lock().time.observe(source, shown, now());
+    /// Records the time of day by another daemon's clock, since the Unix epoch.
+    pub fn observe_time(&self, source: u64, clock_time: Duration) {
+        self.lock().time.observe(source, clock_time, now());
     }
 
-    /// The time of day that most daemons agree on.
+    /// The time of day that most daemons agree on, since the Unix epoch.
     #[must_use]
     pub fn true_time(&self) -> Duration {
         self.lock().time.now(self.own_time(), now())
     }
 
-    /// A request of `tenant` began to run at a back end.
+    /// Counts a request of `tenant` that started to run at a back end.
     pub fn record_request(&self, tenant: &Arc<str>) {
         let mut inner = self.lock();
-        let window = self.roll(&mut inner);
+        let window = self.close_ended_windows(&mut inner);
         inner.ledger.count(self.life, window, tenant);
         inner.unsent.insert((window, Arc::clone(tenant)));
     }
 
-    /// Takes a copy, or a part of one, that another daemon sent. Copies of windows long past or far ahead are dropped.
+    /// Merges a copy, or a part of one, from another daemon. Copies of windows too far in the past
+    /// or the future are dropped.
     pub fn merge(&self, copy: &TallyOf) {
         let mut inner = self.lock();
-        let current = self.roll(&mut inner);
-        let is_near = copy.window.saturating_add(WINDOWS_KEPT) >= current
-            && copy.window <= current.saturating_add(WINDOWS_AHEAD);
-        if is_near && copy.life != self.life {
+        let current = self.close_ended_windows(&mut inner);
+        let is_in_range = copy.window.saturating_add(RETAINED_WINDOWS) >= current
+            && copy.window <= current.saturating_add(MAX_WINDOWS_AHEAD);
+        if is_in_range && copy.life != self.life {
             inner.ledger.merge(copy);
         }
     }
 
-    /// Every copy of a window.
+    /// All copies of a window.
     #[must_use]
     pub fn tallies(&self, window: WindowNumber) -> Vec<TallyOf> {
         let mut inner = self.lock();
-        self.roll(&mut inner);
+        self.close_ended_windows(&mut inner);
         inner.ledger.tallies(window)
     }
 
-    /// Whether anything is known of a window.
+    /// Whether any count of a window is known.
     #[must_use]
     pub fn knows(&self, window: WindowNumber) -> bool {
         self.lock().ledger.knows(window)
@@ -125,22 +129,22 @@
         self.lock().ledger.is_final(window, daemon)
     }
 
-    /// Every copy that is kept, of all windows and daemons.
+    /// All copies of all daemons in all windows that are kept.
     #[must_use]
-    pub fn all_kept(&self) -> Vec<TallyOf> {
+    pub fn all_copies(&self) -> Vec<TallyOf> {
         let mut inner = self.lock();
-        let current = self.roll(&mut inner);
-        inner.kept(current)
+        let current = self.close_ended_windows(&mut inner);
+        inner.retained_copies(current)
     }
 
-    /// What all daemons counted in a window, as far as is known here.
+    /// The sum of all daemons' counts in a window, as far as they are known here.
     #[must_use]
     pub fn totals(&self, window: WindowNumber) -> TenantCounts {
         self.lock().ledger.totals(window)
     }
 
-    /// These figures of a window stand in the store, and are reported.
-    pub fn note_settled(&self, window: WindowNumber, counts: &TenantCounts) {
+    /// Records the figures of a window that the store holds and the leader reports.
+    pub fn record_settled(&self, window: WindowNumber, counts: &TenantCounts) {
         self.lock().settled.insert(window, counts.clone());
     }
 
@@ -150,31 +154,31 @@
         self.lock().settled.get(&window).cloned()
     }
 
-    /// What is to be sent to replicas now.
+    /// Takes the counts that are to be sent to replicas now.
     #[must_use]
     pub fn take_unsent(&self) -> Vec<TallyOf> {
         let mut inner = self.lock();
-        let current = self.roll(&mut inner);
+        let current = self.close_ended_windows(&mut inner);
         inner.time.forget_old(now());
         inner
             .ledger
-            .forget_before(current.saturating_sub(WINDOWS_KEPT));
+            .forget_before(current.saturating_sub(RETAINED_WINDOWS));
         inner.settled = inner
             .settled
-            .split_off(&current.saturating_sub(WINDOWS_KEPT));
-        let closed = inner.take_closings(self.life);
+            .split_off(&current.saturating_sub(RETAINED_WINDOWS));
+        let closed = inner.take_closed_tallies(self.life);
         let changed = inner.take_changed(self.life);
         closed.into_iter().chain(changed).collect()
     }
 
-    /// The set of replicas has changed: everything that is still kept is sent once more.
-    pub fn send_all_again(&self) {
+    /// Queues all counts of this daemon that are still kept, after the set of replicas has changed.
+    pub fn resend_all(&self) {
         let mut inner = self.lock();
-        let current = self.roll(&mut inner);
-        let kept = inner.kept(current).into_iter();
-        for known in kept.filter(|known| known.life == self.life) {
+        let current = self.close_ended_windows(&mut inner);
+        let retained_copies = inner.retained_copies(current).into_iter();
+        for known in retained_copies.filter(|known| known.life == self.life) {
             if known.tally.closed_with.is_some() {
-                inner.note_closing(known.window, 1);
+                inner.queue_closed_window(known.window, 1);
                 continue;
             }
             let tenants = known.tally.counts.into_keys();
@@ -183,17 +187,17 @@
         }
     }
 
-    /// Closes the windows that have ended. Returns the one that is counted in now.
-    fn roll(&self, inner: &mut Inner) -> WindowNumber {
+    /// Closes the windows that have ended. Returns the current window.
+    fn close_ended_windows(&self, inner: &mut Inner) -> WindowNumber {
         let time = inner.time.now(self.own_time(), now());
         let window = window_at(time, self.window_length);
         let before = inner.current.unwrap_or(window);
         let current = window.max(before);
-        let ended = before.max(current.saturating_sub(WINDOWS_KEPT))..current;
+        let ended = before.max(current.saturating_sub(RETAINED_WINDOWS))..current;
         for window in ended {
             let tally = inner.ledger.close(self.life, window);
             tracing::debug!(window, requests = tally.closed_with, "usage_window_closed");
-            inner.note_closing(window, CLOSING_SENDS);
+            inner.queue_closed_window(window, CLOSED_TALLY_SENDS);
         }
         inner.current = Some(current);
         current
@@ -207,42 +211,42 @@
 }
 
 impl Inner {
-    /// Every copy of the windows up to `current` that are still kept.
-    fn kept(&self, current: WindowNumber) -> Vec<TallyOf> {
-        (current.saturating_sub(WINDOWS_KEPT)..=current)
+    /// All copies of the windows up to `current` that are kept.
+    fn retained_copies(&self, current: WindowNumber) -> Vec<TallyOf> {
+        (current.saturating_sub(RETAINED_WINDOWS)..=current)
             .flat_map(|window| self.ledger.tallies(window))
             .collect()
     }
 
-    fn note_closing(&mut self, window: WindowNumber, sends: u32) {
+    fn queue_closed_window(&mut self, window: WindowNumber, sends: u32) {
         let known = self
-            .closings
+            .closed_windows
             .iter_mut()
             .find(|known| known.window == window);
         match known {
-            Some(closing) => closing.sends_left = closing.sends_left.max(sends),
-            None => self.closings.push_back(Closing {
+            Some(closed_window) => closed_window.sends_left = closed_window.sends_left.max(sends),
+            None => self.closed_windows.push_back(ClosedWindow {
                 window,
                 sends_left: sends,
             }),
         }
     }
 
-    /// Whole tallies of windows that have ended.
-    fn take_closings(&mut self, life: Life) -> Vec<TallyOf> {
+    /// Complete tallies of windows that have ended.
+    fn take_closed_tallies(&mut self, life: Life) -> Vec<TallyOf> {
         let mut closed = Vec::new();
-        for closing in &mut self.closings {
-            closing.sends_left = closing.sends_left.saturating_sub(1);
-            let tallies = self.ledger.tallies(closing.window).into_iter();
+        for closed_window in &mut self.closed_windows {
+            closed_window.sends_left = closed_window.sends_left.saturating_sub(1);
+            let tallies = self.ledger.tallies(closed_window.window).into_iter();
             closed.extend(tallies.filter(|known| known.life == life));
             self.unsent
-                .retain(|(window, _tenant)| *window != closing.window);
+                .retain(|(window, _tenant)| *window != closed_window.window);
         }
-        self.closings.retain(|closing| closing.sends_left > 0);
+        self.closed_windows.retain(|closed_window| closed_window.sends_left > 0);
         closed
     }
 
-    /// Counts that have grown since they were sent to replicas.
+    /// Counts that have increased since they were sent to replicas.
     fn take_changed(&mut self, life: Life) -> Vec<TallyOf> {
         let mut by_window: BTreeMap<WindowNumber, TenantCounts> = BTreeMap::new();
         for (window, tenant) in std::mem::take(&mut self.unsent) {
--- a/crates/serving/src/usage/report.rs
+++ b/crates/serving/src/usage/report.rs
@@ -1,9 +1,9 @@
-//! The leader reports each window's usage to the provider.
+//! Reports each window's usage to the provider while this daemon leads.
 //!
-//! 1. Gather: the copies that daemons keep of each other's counts, until all known daemons have closed the window or it has
-//!    to be reported.
-//! 2. Settle: the sum is written to the store once. Whoever leads next reports that figure and no other.
-//! 3. Report, again and again until the provider has taken it.
+//! 1. Gather: collect the copies that daemons keep of each other's counts, until all known daemons
+//!    have closed the window or the report must not wait longer.
+//! 2. Settle: write the sum to the store once. Later leaders report these figures and no others.
+//! 3. Report: repeat the report until the provider accepts it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,55 +24,56 @@
 use crate::store::{FleetStore, StoreError};
 use crate::time::now;
 
-/// Time between two looks at what is to be done.
-const STEP: Duration = Duration::from_millis(200);
-/// Copies of a window are gathered so long after its end: by then each daemon has sent its closed tally twice.
-const FIRST_GATHERING: Duration = Duration::from_millis(1_100);
-/// Time from the first to the second gathering, where something is missing; it doubles from one to the next.
-const GATHERING_PAUSE: Duration = Duration::from_millis(900);
-/// Part of the time until a report is due in which it waits for daemons whose counts are missing. The rest is for a new
-/// leader: a lease that lapses, and the report itself.
-const GATHERING_SHARE: f64 = 0.5;
-/// First pause after a call that was not taken; it doubles up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause after a call that was not taken.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Reports that are overdue for this many windows are no longer made.
-const WINDOWS_REPORTED: u64 = 10;
+/// Interval between steps.
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
+/// Delay from the end of a window to the first gathering. By then each daemon has sent its closed
+/// tally twice.
+const GATHERING_DELAY: Duration = Duration::from_millis(1_100);
+/// Delay from the first to the second gathering if counts are missing; doubles with each gathering.
+const GATHERING_RETRY_DELAY: Duration = Duration::from_millis(900);
+/// Fraction of the time until a report is due during which the report waits for missing counts. The
+/// rest is left for a change of the leader and for the report itself.
+const GATHERING_FRACTION_OF_DUE_TIME: f64 = 0.5;
+/// Delay after the first failed call; doubles with each further failure.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Upper bound of the delay after a failed call.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Windows older than this number of windows are no longer reported.
+const MAX_REPORTABLE_AGE_WINDOWS: u64 = 10;
 
 /// Settings of usage reports.
 #[derive(Debug, Clone)]
 pub struct ReportSettings {
     /// Name of this daemon.
     pub holder: Arc<str>,
-    /// A report is due so long after its window ends.
+    /// Time after the end of a window at which its report is due.
     pub due: Duration,
 }
 
-/// What reports are made of and where they go.
+/// What usage reports need from the daemon.
 pub struct ReportDependencies {
-    /// This daemon's counts and copies of others'.
+    /// This daemon's counts, and its copies of other daemons' counts.
     pub recorder: Arc<UsageRecorder>,
-    /// Where a window's figures are settled.
+    /// Store in which the figures of a window are settled.
     pub store: Arc<dyn FleetStore>,
-    /// Which daemons there are.
+    /// Source of the known daemons and leaders.
     pub state: Arc<FleetState>,
-    /// Who takes the reports.
+    /// Receiver of the reports.
     pub provider: Arc<dyn Provider>,
-    /// Whether this daemon leads.
+    /// Whether this daemon may report as the leader.
     pub leadership: Leadership,
-    /// Figures.
+    /// Counters of the reports and their results.
     pub metrics: Arc<Metrics>,
 }
 
-/// Starts to report while this daemon leads.
-pub fn start(runtime: &Runtime, settings: ReportSettings, reporting: ReportDependencies) {
+/// Starts to report usage while this daemon leads.
+pub fn start(runtime: &Runtime, settings: ReportSettings, dependencies: ReportDependencies) {
     let reporter = Reporter {
         runtime: runtime.clone(),
         settings,
-        reporting,
-        open: BTreeMap::new(),
-        next: None,
+        dependencies,
+        pending: BTreeMap::new(),
+        next_window: None,
     };
     runtime.spawner.spawn(Box::pin(reporter.run()));
 }
@@ -80,136 +81,140 @@
 struct Reporter {
     runtime: Runtime,
     settings: ReportSettings,
-    reporting: ReportDependencies,
+    dependencies: ReportDependencies,
     /// Windows that have ended and are not reported yet.
-    open: BTreeMap<WindowNumber, Progress>,
-    /// First window that has not been looked at.
-    next: Option<WindowNumber>,
+    pending: BTreeMap<WindowNumber, Progress>,
+    /// The first window that has not been added to `pending`.
+    next_window: Option<WindowNumber>,
 }
 
-/// How far the report of a window is.
+/// Progress of the report of one window.
 #[derive(Default)]
 struct Progress {
     gatherings: u32,
     failures: u32,
-    not_before: Option<Instant>,
+    retry_at: Option<Instant>,
     settled: Option<TenantCounts>,
-    /// It ended before this daemon led: another may have reported it.
+    /// Whether the window ended before this daemon led, so that an earlier leader may have reported
+    /// it.
     may_be_reported: bool,
 }
 
 impl Progress {
-    fn is_paused(&self, now: Instant) -> bool {
-        self.not_before.is_some_and(|not_before| now < not_before)
+    fn is_waiting(&self, now: Instant) -> bool {
+        self.retry_at.is_some_and(|retry_at| now < retry_at)
     }
 
-    fn pause_after_failure(&mut self) {
-        let pause = FIRST_PAUSE.saturating_mul(1 << self.failures.min(8));
+    fn schedule_retry(&mut self) {
+        let delay = INITIAL_RETRY_DELAY.saturating_mul(1 << self.failures.min(8));
         self.failures += 1;
-        self.not_before = Some(now() + pause.min(LONGEST_PAUSE));
+        self.retry_at = Some(now() + delay.min(MAX_RETRY_DELAY));
     }
 }
 
-/// What became of a window in one step.
+/// The outcome of one step for a window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum StepEnd {
+enum StepOutcome {
     Reported,
-    /// Nobody knows anything of it.
+    /// No counts of the window are known.
     Unknown,
-    GoesOn,
+    Pending,
 }
 
 impl Reporter {
     async fn run(mut self) {
         loop {
-            sleep(STEP).await;
-            if !self.reporting.leadership.may_call() {
-                // Another leads, and reports what is open.
-                self.open.clear();
-                self.next = None;
+            sleep(STEP_INTERVAL).await;
+            if !self.dependencies.leadership.may_call() {
+                // The new leader reports the pending windows.
+                self.pending.clear();
+                self.next_window = None;
                 continue;
             }
-            self.open_ended_windows();
-            self.report_open_windows().await;
+            self.add_ended_windows();
+            self.report_pending_windows().await;
         }
     }
 
-    fn open_ended_windows(&mut self) {
-        let length = self.reporting.recorder.window_length();
-        let current = window_at(self.reporting.recorder.true_time(), length);
-        let oldest = current.saturating_sub(WINDOWS_REPORTED);
-        // A new leader does not know what the one before reported: it settles and reports all that is not overdue again.
-        let not_overdue = current.saturating_sub(1 + self.windows_until_due(length));
-        let first = self.next.unwrap_or(not_overdue).max(oldest);
-        let may_be_reported = self.next.is_none();
+    fn add_ended_windows(&mut self) {
+        let length = self.dependencies.recorder.window_length();
+        let current = window_at(self.dependencies.recorder.true_time(), length);
+        let oldest = current.saturating_sub(MAX_REPORTABLE_AGE_WINDOWS);
+        // A new leader does not know what its predecessor reported, so it settles and reports all
+        // windows again that are not overdue.
+        let first_not_overdue = current.saturating_sub(1 + self.windows_until_due(length));
+        let first = self.next_window.unwrap_or(first_not_overdue).max(oldest);
+        let may_be_reported = self.next_window.is_none();
         for window in first..current {
-            let progress = self.open.entry(window).or_default();
+            let progress = self.pending.entry(window).or_default();
             progress.may_be_reported = may_be_reported;
         }
-        self.next = Some(current.max(first));
-        for (window, _progress) in self.open.extract_if(..oldest, |_window, _progress| true) {
+        self.next_window = Some(current.max(first));
+        for (window, _progress) in self.pending.extract_if(..oldest, |_window, _progress| true) {
             tracing::warn!(window, "usage_not_reported");
-            self.reporting.metrics.usage_report("given_up");
+            self.dependencies.metrics.usage_report("given_up");
         }
     }
 
     fn windows_until_due(&self, length: Duration) -> u64 {
         let windows = self.settings.due.as_millis() / length.as_millis().max(1);
-        u64::try_from(windows).unwrap_or(WINDOWS_REPORTED)
+        u64::try_from(windows).unwrap_or(MAX_REPORTABLE_AGE_WINDOWS)
     }
 
-    /// Side by side: a daemon that does not answer holds up no other window.
-    async fn report_open_windows(&mut self) {
+    /// Processes the windows concurrently, so that a daemon that does not answer delays no other
+    /// window.
+    async fn report_pending_windows(&mut self) {
         let now = now();
         let due = self
-            .open
-            .extract_if(.., |_window, progress| !progress.is_paused(now));
+            .pending
+            .extract_if(.., |_window, progress| !progress.is_waiting(now));
         let due: Vec<(WindowNumber, Progress)> = due.collect();
         let this = &*self;
         let steps = due.into_iter().map(|(window, mut progress)| async move {
-            let end = this.step(window, &mut progress).await;
-            (window, progress, end)
+            let outcome = this.advance(window, &mut progress).await;
+            (window, progress, outcome)
         });
-        for (window, progress, end) in join_all(steps).await {
-            if end == StepEnd::GoesOn {
-                self.open.insert(window, progress);
+        for (window, progress, outcome) in join_all(steps).await {
+            if outcome == StepOutcome::Pending {
+                self.pending.insert(window, progress);
             }
         }
     }
 
-    /// Brings the report of one window as far as it goes now.
-    async fn step(&self, window: WindowNumber, progress: &mut Progress) -> StepEnd {
+    /// Advances the report of one window as far as possible now.
+    async fn advance(&self, window: WindowNumber, progress: &mut Progress) -> StepOutcome {
         if progress.settled.is_none() {
-            if !self.is_gathered(window, progress).await {
-                return StepEnd::GoesOn;
+            if !self.gather_if_due(window, progress).await {
+                return StepOutcome::Pending;
             }
-            if !self.reporting.recorder.knows(window) {
-                return StepEnd::Unknown;
+            if !self.dependencies.recorder.knows(window) {
+                return StepOutcome::Unknown;
             }
-            let end = self.settle(window, progress).await;
-            if end != StepEnd::GoesOn {
-                return end;
+            let outcome = self.settle(window, progress).await;
+            if outcome != StepOutcome::Pending {
+                return outcome;
             }
         }
         match progress.settled.clone() {
             Some(counts) => self.report(window, &counts, progress).await,
-            None => StepEnd::GoesOn,
+            None => StepOutcome::Pending,
         }
     }
 
-    /// Gathers copies where it is time to. Returns whether nothing is missing, or there is no more time to wait for it.
-    async fn is_gathered(&self, window: WindowNumber, progress: &mut Progress) -> bool {
-        let recorder = &self.reporting.recorder;
-        let end = end_of_window(window, recorder.window_length());
-        let since_end = recorder.true_time().saturating_sub(end);
-        if since_end < FIRST_GATHERING {
+    /// Gathers copies if that is due. Returns whether nothing is missing, or there is no time left
+    /// to wait.
+    async fn gather_if_due(&self, window: WindowNumber, progress: &mut Progress) -> bool {
+        let recorder = &self.dependencies.recorder;
+        let window_end = end_of_window(window, recorder.window_length());
+        let since_end = recorder.true_time().saturating_sub(window_end);
+        if since_end < GATHERING_DELAY {
             return false;
         }
-        let daemons = self.reporting.state.daemon_addresses();
+        let daemons = self.dependencies.state.daemon_addresses();
         self.gather(window, &daemons).await;
         progress.gatherings += 1;
         let missing = self.missing(window, &daemons).len();
-        let is_last = since_end >= self.settings.due.mul_f64(GATHERING_SHARE);
+        let is_last = since_end >= self.settings.due.mul_f64(GATHERING_FRACTION_OF_DUE_TIME);
         tracing::info!(
             window,
             daemons = daemons.len(),
@@ -221,16 +226,16 @@
         if missing == 0 || is_last {
             return true;
         }
-        let pause =
-            GATHERING_PAUSE.saturating_mul(1 << progress.gatherings.min(8).saturating_sub(1));
-        progress.not_before = Some(now() + pause);
+        let delay =
+            GATHERING_RETRY_DELAY.saturating_mul(1 << progress.gatherings.min(8).saturating_sub(1));
+        progress.retry_at = Some(now() + delay);
         false
     }
 
-    /// Asks those that keep copies, then the daemons themselves whose counts are still missing: a keeper may have been
-    /// started anew.
+    /// Asks the daemons that keep copies, then those whose counts are still missing, because a
+    /// daemon that keeps copies may have been restarted.
     async fn gather(&self, window: WindowNumber, daemons: &BTreeMap<u64, SocketAddr>) {
-        let topology = self.reporting.state.topology();
+        let topology = self.dependencies.state.topology();
         self.fetch(window, &topology.usage_keepers).await;
         let missing = self.missing(window, daemons);
         self.fetch(window, &missing).await;
@@ -242,7 +247,7 @@
         window: WindowNumber,
         daemons: &BTreeMap<u64, SocketAddr>,
     ) -> Vec<SocketAddr> {
-        let recorder = &self.reporting.recorder;
+        let recorder = &self.dependencies.recorder;
         let missing = daemons
             .iter()
             .filter(|(daemon, _address)| !recorder.is_final(window, **daemon));
@@ -250,66 +255,69 @@
     }
 
     async fn fetch(&self, window: WindowNumber, peers: &[SocketAddr]) {
-        let asked = peers
+        let answers = peers
             .iter()
             .map(|peer| peers::fetch_tallies(&self.runtime, *peer, window));
-        for (peer, answer) in peers.iter().zip(join_all(asked).await) {
+        for (peer, answer) in peers.iter().zip(join_all(answers).await) {
             match answer {
                 Ok(copies) => copies
                     .iter()
-                    .for_each(|copy| self.reporting.recorder.merge(copy)),
-                // Others may keep the same copies; what none of them has counts as missing.
+                    .for_each(|copy| self.dependencies.recorder.merge(copy)),
+                // Other daemons may keep the same copies. What none of them has counts as missing.
                 Err(error) => tracing::info!(%peer, window, %error, "usage_copies_not_fetched"),
             }
         }
     }
 
-    /// What is to be settled: the figures that were settled before, where the store has lost them since.
-    async fn figures(&self, window: WindowNumber, progress: &Progress) -> TenantCounts {
-        let recorder = &self.reporting.recorder;
+    /// The figures to settle: those settled before if the store lost them, otherwise the current
+    /// totals.
+    async fn figures_to_settle(&self, window: WindowNumber, progress: &Progress) -> TenantCounts {
+        let recorder = &self.dependencies.recorder;
         if let Some(settled) = recorder.settled(window) {
             return settled;
         }
         if progress.may_be_reported
-            && let Some(settled) = self.settled_by_leader_before(window).await
+            && let Some(settled) = self.settled_by_earlier_leader(window).await
         {
             return settled;
         }
         recorder.totals(window)
     }
 
-    async fn settled_by_leader_before(&self, window: WindowNumber) -> Option<TenantCounts> {
-        let leaders = self.reporting.state.other_recent_leaders();
-        let asked = leaders
+    async fn settled_by_earlier_leader(&self, window: WindowNumber) -> Option<TenantCounts> {
+        let leaders = self.dependencies.state.other_recent_leaders();
+        let answers = leaders
             .iter()
             .map(|leader| peers::fetch_settled(&self.runtime, *leader, window));
-        for (leader, answer) in leaders.iter().zip(join_all(asked).await) {
+        for (leader, answer) in leaders.iter().zip(join_all(answers).await) {
             match answer {
                 Ok(Some(settled)) => return Some(settled),
                 Ok(None) => {}
-                // It may have ended: then what it settled stands in the store alone.
+                // The daemon may have ended; the figures it settled are then found only in the
+                // store.
                 Err(error) => tracing::info!(%leader, window, %error, "settled_usage_not_fetched"),
             }
         }
         None
     }
 
-    async fn settle(&self, window: WindowNumber, progress: &mut Progress) -> StepEnd {
-        let counts = self.figures(window, progress).await;
-        match self.reporting.store.settle_usage(window, &counts).await {
+    async fn settle(&self, window: WindowNumber, progress: &mut Progress) -> StepOutcome {
+        let counts = self.figures_to_settle(window, progress).await;
+        match self.dependencies.store.settle_usage(window, &counts).await {
             Ok(settled) => {
                 let is_own = settled == counts;
                 tracing::info!(window, tenants = settled.len(), is_own, "usage_settled");
-                self.reporting.recorder.note_settled(window, &settled);
+                self.dependencies.recorder.record_settled(window, &settled);
                 progress.settled = Some(settled);
-                StepEnd::GoesOn
+                StepOutcome::Pending
             }
-            // Its place in the store holds a later window: this one is long overdue.
-            Err(StoreError::Conflict) => StepEnd::Unknown,
+            // The window's place in the store was reused for a later one, so the window is long
+            // overdue.
+            Err(StoreError::Conflict) => StepOutcome::Unknown,
             Err(error) => {
                 tracing::warn!(window, %error, "usage_not_settled");
-                progress.pause_after_failure();
-                StepEnd::GoesOn
+                progress.schedule_retry();
+                StepOutcome::Pending
             }
         }
     }
@@ -319,18 +327,18 @@
         window: WindowNumber,
         counts: &TenantCounts,
         progress: &mut Progress,
-    ) -> StepEnd {
-        let Some(fencing_token) = self.reporting.leadership.begin_call() else {
-            return StepEnd::GoesOn;
+    ) -> StepOutcome {
+        let Some(fencing_token) = self.dependencies.leadership.begin_call() else {
+            return StepOutcome::Pending;
         };
         let caller = Caller {
             holder: Arc::clone(&self.settings.holder),
             fencing_token,
         };
-        let provider = &self.reporting.provider;
-        let ended = provider.report_usage(&caller, window, counts).await;
+        let provider = &self.dependencies.provider;
+        let result = provider.report_usage(&caller, window, counts).await;
         let requests: u64 = counts.values().copied().map(u64::from).sum();
-        let error = ended.as_ref().err().map(ToString::to_string);
+        let error = result.as_ref().err().map(ToString::to_string);
         tracing::info!(
             window,
             fencing_token,
@@ -339,13 +347,13 @@
             error,
             "usage_reported"
         );
-        self.reporting.metrics.usage_report(result_name(&ended));
-        match ended {
-            Ok(()) => return StepEnd::Reported,
-            Err(ProviderError::Fenced) => self.reporting.leadership.report_fenced_off(fencing_token),
+        self.dependencies.metrics.usage_report(result_name(&result));
+        match result {
+            Ok(()) => return StepOutcome::Reported,
+            Err(ProviderError::Fenced) => self.dependencies.leadership.report_fenced_off(fencing_token),
             Err(_trouble) => {}
         }
-        progress.pause_after_failure();
-        StepEnd::GoesOn
+        progress.schedule_retry();
+        StepOutcome::Pending
     }
 }
