--- a/crates/serving/src/fleet_state.rs
+++ b/crates/serving/src/fleet_state.rs
@@ -53,14 +53,14 @@
 
 /// The source of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
+pub enum UpdateSource {
     /// The store itself.
     Store,
     /// Another daemon, which received the update from the store.
     Peer,
 }
 
-impl Source {
+impl UpdateSource {
     const fn as_str(self) -> &'static str {
         match self {
             Self::Store => "store",
@@ -93,7 +93,7 @@
     /// Creates an empty view. `own` is this daemon.
     #[must_use]
     pub fn new(store: Arc<dyn FleetStore>, own: Member) -> Self {
-        let inner = Mutex::new(FleetView::of(&own));
+        let inner = Mutex::new(FleetView::new(&own));
         Self {
             store,
             own,
@@ -297,7 +297,7 @@
         &self,
         keys: &HashSet<String>,
         at: Revision,
-        source: Source,
+        source: UpdateSource,
         now: Instant,
     ) {
         self.mark_removals_doubtful(at, now);
@@ -315,7 +315,7 @@
 
     /// Applies changes that continue the known state. Returns false, and applies nothing, if there
     /// may be a gap before them.
-    pub fn apply_changes(&self, changes: Changes, source: Source, now: Instant) -> bool {
+    pub fn apply_changes(&self, changes: Changes, source: UpdateSource, now: Instant) -> bool {
         let follow_on = self
             .position()
             .is_some_and(|position| changes.after <= position);
@@ -358,7 +358,7 @@
 
     /// Applies items, each only if it is newer than the known item of the same key. Does not treat
     /// missing keys as removed; for that see [`Self::finish_full_read`].
-    pub fn apply_items(&self, items: Vec<Item>, source: Source, now: Instant) {
+    pub fn apply_items(&self, items: Vec<Item>, source: UpdateSource, now: Instant) {
         for item in items {
             self.apply_item(item, source, now);
         }
@@ -366,7 +366,7 @@
         self.lock().update_topology(&self.own);
     }
 
-    fn apply_item(&self, item: Item, source: Source, now: Instant) {
+    fn apply_item(&self, item: Item, source: UpdateSource, now: Instant) {
         if self.is_stale(&item) {
             self.log_ignored_conflict(&item, source);
             return;
@@ -393,7 +393,7 @@
 
     /// Logs an ignored item that is not newer than the known one but has a different value, which
     /// indicates an inconsistency.
-    fn log_ignored_conflict(&self, item: &Item, source: Source) {
+    fn log_ignored_conflict(&self, item: &Item, source: UpdateSource) {
         let inner = self.lock();
         let Some(known) = inner.items.get(&item.key) else {
             return;
--- a/crates/serving/src/fleet_state/fleet_view.rs
+++ b/crates/serving/src/fleet_state/fleet_view.rs
@@ -13,7 +13,7 @@
 use ponddrift_fleet::topology::{Member, Topology};
 
 use super::retained::Retained;
-use super::{ConfigurationInForce, Source, daemon_identity};
+use super::{ConfigurationInForce, UpdateSource, daemon_identity};
 use crate::back_end_index::BackEndIndex;
 use crate::follow::MISSING_KEY_GRACE;
 use crate::store::{Decoded, Item};
@@ -72,7 +72,7 @@
 
 impl FleetView {
     /// Creates a view that contains only this daemon.
-    pub(super) fn of(own: &Member) -> Self {
+    pub(super) fn new(own: &Member) -> Self {
         Self {
             topology: Arc::new(Topology::of(own, &[])),
             directory: Directory::seen_from(Arc::clone(&own.zone), daemon_identity(&own.name)),
@@ -117,7 +117,7 @@
     }
 
     /// Applies a decoded item that is newer than the known item of the same key.
-    pub(super) fn apply(&mut self, decoded: Decoded, item: &Item, source: Source, now: Instant) {
+    pub(super) fn apply(&mut self, decoded: Decoded, item: &Item, source: UpdateSource, now: Instant) {
         let revision = item.revision;
         match decoded {
             Decoded::Configuration(configuration) => {
@@ -231,7 +231,7 @@
         &mut self,
         configuration: Configuration,
         revision: Revision,
-        source: Source,
+        source: UpdateSource,
         now: Instant,
     ) -> bool {
         let known = self
@@ -295,7 +295,7 @@
         }
     }
 
-    fn apply_back_end(&mut self, back_end: BackEnd, item: &Item, source: Source, now: Instant) {
+    fn apply_back_end(&mut self, back_end: BackEnd, item: &Item, source: UpdateSource, now: Instant) {
         let revision = item.revision;
         let known = self.directory.get(&back_end.id);
         let changed = known.map_or(!self.is_first_reading(), |known| {
@@ -330,7 +330,7 @@
         }
     }
 
-    fn remove_back_end(&mut self, id: &str, revision: Revision, source: Source, now: Instant) {
+    fn remove_back_end(&mut self, id: &str, revision: Revision, source: UpdateSource, now: Instant) {
         let in_doubt = self.is_in_doubt(now);
         tracing::info!(
             back_end = id,
--- a/crates/serving/src/fleet_state/quarantines.rs
+++ b/crates/serving/src/fleet_state/quarantines.rs
@@ -4,7 +4,7 @@
 
 use ponddrift_fleet::fingerprint::RequestFingerprint;
 
-use super::{FleetState, Source};
+use super::{FleetState, UpdateSource};
 use crate::store::Item;
 
 /// State of a key before the store was restored from a backup.
@@ -21,7 +21,7 @@
         &self,
         fingerprint: RequestFingerprint,
         item: &Item,
-        source: Source,
+        source: UpdateSource,
         now: Instant,
     ) {
         let had_ended = self.state_before_restore(item) == Some(StateBeforeRestore::Removed);
@@ -44,7 +44,7 @@
         &self,
         fingerprint: RequestFingerprint,
         item: &Item,
-        source: Source,
+        source: UpdateSource,
         now: Instant,
     ) {
         let in_doubt = self.is_in_doubt(now);
--- a/crates/serving/src/follow.rs
+++ b/crates/serving/src/follow.rs
@@ -20,7 +20,7 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::{Notify, mpsc};
 
-use crate::fleet_state::{FleetState, Source, daemon_identity};
+use crate::fleet_state::{FleetState, UpdateSource, daemon_identity};
 use crate::metrics::Metrics;
 use crate::store::{Changes, Consistency, FleetStore, StoreError};
 use crate::time::{self, now};
@@ -63,7 +63,7 @@
     #[must_use]
     pub fn new() -> (Arc<Self>, mpsc::Receiver<Changes>) {
         let (unpublished, to_publish) = mpsc::channel(MAX_UNPUBLISHED_CHANGES);
-        let following = Self {
+        let follow_status = Self {
             followers: Mutex::default(),
             last_answer: Mutex::default(),
             reliance_changed: Notify::new(),
@@ -71,7 +71,7 @@
             unpublished,
             peer_ahead: Mutex::default(),
         };
-        (Arc::new(following), to_publish)
+        (Arc::new(follow_status), to_publish)
     }
 
     /// Records how long ago the store answered a neighbour.
@@ -144,7 +144,7 @@
     runtime: &Runtime,
     store: &Arc<dyn FleetStore>,
     state: &Arc<FleetState>,
-    following: &Arc<FollowStatus>,
+    follow_status: &Arc<FollowStatus>,
     reads_per_second: f64,
     metrics: &Arc<Metrics>,
 ) {
@@ -152,7 +152,7 @@
         runtime: runtime.clone(),
         store: Arc::clone(store),
         state: Arc::clone(state),
-        following: Arc::clone(following),
+        follow_status: Arc::clone(follow_status),
         reads_per_second,
         metrics: Arc::clone(metrics),
         random: Pcg64Mcg::seed_from_u64(runtime.seed.rotate_left(31)),
@@ -165,7 +165,7 @@
     runtime.spawner.spawn(Box::pin(follower.run()));
     let announcer = Announcer::new(store, state, metrics, runtime.seed);
     runtime.spawner.spawn(Box::pin(announcer.run()));
-    let era_watcher = watch_store_era(Arc::clone(store), Arc::clone(state), Arc::clone(following));
+    let era_watcher = watch_store_era(Arc::clone(store), Arc::clone(state), Arc::clone(follow_status));
     runtime.spawner.spawn(Box::pin(era_watcher));
     let distributor_list = DistributorList::new(store, state);
     runtime.spawner.spawn(Box::pin(distributor_list.run()));
@@ -173,12 +173,12 @@
 
 /// Passes each new era that any answer of the store names to the state, so that all keys are read
 /// again.
-async fn watch_store_era(store: Arc<dyn FleetStore>, state: Arc<FleetState>, following: Arc<FollowStatus>) {
+async fn watch_store_era(store: Arc<dyn FleetStore>, state: Arc<FleetState>, follow_status: Arc<FollowStatus>) {
     let mut era = store.era();
     loop {
         let era_seen = *era.borrow_and_update();
         state.observe_store_era(era_seen, now());
-        following.recheck_reliance();
+        follow_status.recheck_reliance();
         if era.changed().await.is_err() {
             return;
         }
@@ -189,7 +189,7 @@
     runtime: Runtime,
     store: Arc<dyn FleetStore>,
     state: Arc<FleetState>,
-    following: Arc<FollowStatus>,
+    follow_status: Arc<FollowStatus>,
     reads_per_second: f64,
     metrics: Arc<Metrics>,
     random: Pcg64Mcg,
@@ -211,8 +211,8 @@
             let relied_on_until = self.may_rely_on_neighbours_until();
             self.log_reliance_change(relied_on_until.is_some());
             if let Some(until) = relied_on_until {
-                self.following.set_last_answer(None);
-                let reliance_changed = self.following.reliance_changed.notified();
+                self.follow_status.set_last_answer(None);
+                let reliance_changed = self.follow_status.reliance_changed.notified();
                 // Check again both after a timeout and after a notification.
                 time::timeout_at(until, reliance_changed).await;
                 continue;
@@ -222,9 +222,9 @@
                 self.metrics.store_call(result_name(&ended));
             }
             match ended {
-                Ok(Progress::ByPeers) => self.following.set_last_answer(None),
+                Ok(Progress::ByPeers) => self.follow_status.set_last_answer(None),
                 Ok(Progress::ByStore(at)) => {
-                    self.following.set_last_answer(Some(now()));
+                    self.follow_status.set_last_answer(Some(now()));
                     self.state.store_answered(at);
                     self.retry_delay = INITIAL_RETRY_DELAY;
                 }
@@ -239,7 +239,7 @@
                     self.compacted_after = position;
                 }
                 Err(error) => {
-                    self.following.set_last_answer(None);
+                    self.follow_status.set_last_answer(None);
                     self.state.store_failed(&error, now());
                     self.wait_to_retry().await;
                 }
@@ -259,7 +259,7 @@
         };
         self.retry_delay = (self.retry_delay * 2).min(maximum);
         // Retry both after the delay and after a notification.
-        drop(tokio::time::timeout(retry_delay, self.following.neighbour_has_contact.notified()).await);
+        drop(tokio::time::timeout(retry_delay, self.follow_status.neighbour_has_contact.notified()).await);
     }
 
     /// Logs when this daemon starts or stops relying on its neighbours.
@@ -288,7 +288,7 @@
         if self.state.topology().follows_store || lacks_everything {
             return None;
         }
-        self.following.relied_on_until()
+        self.follow_status.relied_on_until()
     }
 
     /// Performs a full read if necessary, or else waits for changes.
@@ -308,13 +308,13 @@
         let has_changes = !changes.items.is_empty();
         if has_changes && follows_for_others {
             // If the queue is full, neighbours fetch the changes.
-            drop(self.following.unpublished.try_send(changes.clone()));
+            drop(self.follow_status.unpublished.try_send(changes.clone()));
         }
         // The changes begin at the current position, which never goes back, so they are always
         // applied.
-        self.state.apply_changes(changes, Source::Store, now());
+        self.state.apply_changes(changes, UpdateSource::Store, now());
         if has_changes {
-            self.following.set_last_answer(Some(now()));
+            self.follow_status.set_last_answer(Some(now()));
             tokio::time::sleep(self.batching_delay(follows_for_others)).await;
         }
         Ok(Progress::ByStore(at))
@@ -377,7 +377,7 @@
             at,
         };
         // If the queue is full, the next digest tells them.
-        drop(self.following.unpublished.try_send(empty_changes));
+        drop(self.follow_status.unpublished.try_send(empty_changes));
     }
 
     /// Reads all keys from peers. Returns false if there are no peers to read from, or if they do
@@ -393,7 +393,7 @@
         if known.is_some() && plan.providers.is_empty() {
             // The peer that announced the new era has read it, while the store may reject this
             // machine's calls, whether or not this daemon follows it for others.
-            plan.providers.extend(lock(&self.following.peer_ahead).take());
+            plan.providers.extend(lock(&self.follow_status.peer_ahead).take());
             plan.patience = DISTRIBUTOR_PATIENCE;
         }
         reading.require_newer_than(known);
@@ -408,8 +408,8 @@
         }
         // Wait for a follower to report, so that not every daemon calls the store when all of them
         // start.
-        let neighbour_has_contact = self.following.neighbour_has_contact.notified();
-        if !self.state.topology().follows_store && self.following.relied_on_until().is_none() {
+        let neighbour_has_contact = self.follow_status.neighbour_has_contact.notified();
+        if !self.state.topology().follows_store && self.follow_status.relied_on_until().is_none() {
             // On a timeout, the main loop asks the store.
             drop(tokio::time::timeout(FOLLOWER_PATIENCE, neighbour_has_contact).await);
         }
--- a/crates/serving/src/full_read.rs
+++ b/crates/serving/src/full_read.rs
@@ -15,7 +15,7 @@
 use ponddrift_fleet::revision::Revision;
 use ponddrift_runtime::Runtime;
 
-use crate::fleet_state::{FleetState, Source};
+use crate::fleet_state::{FleetState, UpdateSource};
 use crate::peers;
 use crate::request_trace::milliseconds;
 use crate::store::{Consistency, FleetStore, Page, StoreError};
@@ -103,7 +103,7 @@
         loop {
             let after = self.next_after.as_deref();
             let page = store.read_page(after, self.consistency).await?;
-            let end = self.apply_page(page, Source::Store, state);
+            let end = self.apply_page(page, UpdateSource::Store, state);
             if let Some(at) = end? {
                 return Ok(at);
             }
@@ -157,7 +157,7 @@
             if is_of_earlier_era || Some(page.at) <= self.newer_than {
                 return Err(NoPage::NotReadYet);
             }
-            let end = match self.apply_page(page, Source::Peer, state) {
+            let end = match self.apply_page(page, UpdateSource::Peer, state) {
                 Ok(end) => end,
                 Err(PageMismatch::EraMismatch) => {
                     self.restart();
@@ -177,7 +177,7 @@
     fn apply_page(
         &mut self,
         page: Page,
-        source: Source,
+        source: UpdateSource,
         state: &FleetState,
     ) -> Result<Option<Revision>, PageMismatch> {
         if self
@@ -190,7 +190,7 @@
             return Err(PageMismatch::OutOfOrder);
         }
         self.pages += 1;
-        if source == Source::Peer {
+        if source == UpdateSource::Peer {
             self.pages_from_peers += 1;
         }
         let at = self.oldest_at.map_or(page.at, |oldest| oldest.min(page.at));
--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -56,7 +56,7 @@
     settings: PeerSettings,
     state: &Arc<FleetState>,
     pipeline: &Arc<Pipeline>,
-    following: &Arc<FollowStatus>,
+    follow_status: &Arc<FollowStatus>,
     unpublished: mpsc::Receiver<Changes>,
 ) -> std::io::Result<()> {
     let own = state.own();
@@ -71,11 +71,11 @@
         socket,
         state: Arc::clone(state),
         pipeline: Arc::clone(pipeline),
-        following: Arc::clone(following),
+        follow_status: Arc::clone(follow_status),
         to_forward: Mutex::default(),
         has_to_forward: Notify::new(),
         is_catching_up: AtomicBool::new(false),
-        is_asking_for_retained: AtomicBool::new(false),
+        is_fetching_retained: AtomicBool::new(false),
         seen_sets: Mutex::default(),
         pending_limits: Mutex::default(),
         last_received: Mutex::default(),
@@ -107,11 +107,11 @@
     socket: Arc<BoxedDatagram>,
     state: Arc<FleetState>,
     pipeline: Arc<Pipeline>,
-    following: Arc<FollowStatus>,
+    follow_status: Arc<FollowStatus>,
     to_forward: Mutex<Forwarded>,
     has_to_forward: Notify,
     is_catching_up: AtomicBool,
-    is_asking_for_retained: AtomicBool,
+    is_fetching_retained: AtomicBool,
     seen_sets: Mutex<SeenSets>,
     pending_limits: Mutex<Vec<PendingLimit>>,
     /// When the last datagram of each neighbour arrived.
@@ -159,7 +159,7 @@
             .collect()
     }
 
-    fn note_received(&self, peer: SocketAddr) {
+    fn record_datagram(&self, peer: SocketAddr) {
         if self.is_neighbour(peer) {
             self.last_received().insert(peer, now());
         }
@@ -175,7 +175,7 @@
             .neighbours
             .iter()
             .all(|peer| reachable.contains_key(peer));
-        if reaches_all || self.following.has_store_contact() {
+        if reaches_all || self.follow_status.has_store_contact() {
             MembersTrust::Confirmed
         } else {
             MembersTrust::Unconfirmed
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -121,15 +121,15 @@
             .set_members(&self.state.members(), self.members_trust());
         let forwarded = std::mem::take(&mut *self.to_forward());
         let own = self.digest(sequence);
-        let has_news = !own.prefixes.is_empty() || !own.unavailable.is_empty();
-        let is_for_far_peers = has_news || reason != Reason::Forwarded;
+        let is_urgent = !own.prefixes.is_empty() || !own.unavailable.is_empty();
+        let is_for_far_peers = is_urgent || reason != Reason::Forwarded;
         if is_for_far_peers && far_pace.is_due(own.contains_work(), now()) {
             self.send(own.clone().encode(), &topology.far).await;
         }
         let for_neighbours = with_forwarded(own, forwarded);
         let neighbours = self.neighbours();
         // Neighbours rely on regular digests from daemons that follow the store.
-        let send_to_all = reason != Reason::Interval || has_news || topology.follows_store;
+        let send_to_all = reason != Reason::Interval || is_urgent || topology.follows_store;
         let targets = if send_to_all {
             neighbours
         } else {
@@ -159,7 +159,7 @@
         let unavailable = placement.away(now());
         let work = placement.work.rates(now());
         drop(placement);
-        let store_silence = self.following.store_silence();
+        let store_silence = self.follow_status.store_silence();
         let time_of_day = self.runtime.clock.time_of_day();
         Digest {
             time_of_day_ms: u64::try_from(time_of_day.as_millis()).unwrap_or(u64::MAX),
--- a/crates/serving/src/peers/rate_limits.rs
+++ b/crates/serving/src/peers/rate_limits.rs
@@ -80,8 +80,8 @@
             let started = now();
             let mut due = changed.take();
             for id in &due {
-                for pause in REPUBLISH_DELAYS {
-                    scheduled.insert((started + pause, Arc::clone(id)));
+                for delay in REPUBLISH_DELAYS {
+                    scheduled.insert((started + delay, Arc::clone(id)));
                 }
             }
             while scheduled.first().is_some_and(|(at, _id)| *at <= started) {
@@ -177,7 +177,7 @@
     /// lacks: it may have started recently or missed datagrams.
     pub(super) async fn receive_rate_limits(&self, rows: &[RateRow], wants_more: bool, from: SocketAddr) {
         let index = self.state.back_end_index();
-        let is_far = !self.is_neighbour(from);
+        let is_of_other_zone = !self.is_neighbour(from);
         let mut missing_there = Vec::new();
         for row in rows {
             let known = index.find(hash(&row.back_end));
@@ -191,7 +191,7 @@
                 continue;
             };
             let merge = self.merge_rate(back_end, incarnation, &received_record);
-            if merge.change.is_some() && is_far {
+            if merge.change.is_some() && is_of_other_zone {
                 let changed = self.pipeline.changed_rate_limits();
                 changed.add(Arc::clone(&back_end.id));
             }
--- a/crates/serving/src/peers/receive.rs
+++ b/crates/serving/src/peers/receive.rs
@@ -16,7 +16,7 @@
 };
 use super::{Peers, queries};
 use crate::back_end_index::BackEndIndex;
-use crate::fleet_state::{ChangesAnswer, Source};
+use crate::fleet_state::{ChangesAnswer, UpdateSource};
 use crate::store::{Changes, Consistency};
 use crate::time::now;
 use crate::full_read::FullRead;
@@ -38,7 +38,7 @@
                 tokio::time::sleep(SOCKET_RETRY_DELAY).await;
                 continue;
             };
-            self.note_received(from);
+            self.record_datagram(from);
             match message::decode(&buffer[..length]) {
                 Some(Message::Digest(digest)) => self.receive_digest(*digest, from),
                 Some(Message::Changes { changes, in_doubt }) => {
@@ -85,7 +85,7 @@
         }
         if is_neighbour && let Some(silence_ms) = digest.store_silence_ms {
             let silence = Duration::from_millis(u64::from(silence_ms));
-            self.following.follower_reported(from, silence);
+            self.follow_status.follower_reported(from, silence);
         }
         self.observe_position(digest.position, from);
         if !is_neighbour {
@@ -148,7 +148,7 @@
         if in_doubt {
             self.state.record_peer_doubt(now());
         }
-        if !self.state.apply_changes(changes, Source::Peer, now()) {
+        if !self.state.apply_changes(changes, UpdateSource::Peer, now()) {
             self.observe_position(at, from);
         }
     }
@@ -158,7 +158,7 @@
         let own = self.state.position();
         if own.is_some_and(|own| own.era() < position.era()) {
             self.state.observe_peer_era(position.era(), now());
-            self.following.peer_is_ahead(from);
+            self.follow_status.peer_is_ahead(from);
             return;
         }
         let is_known = own.is_some_and(|own| own >= position);
@@ -173,7 +173,7 @@
     }
 
     async fn catch_up(&self, peer: SocketAddr, position: Revision) {
-        if self.following.is_following() {
+        if self.follow_status.is_following() {
             tokio::time::sleep(STORE_HEAD_START).await;
         }
         // Does nothing if there is no gap any more, or before the first full read, which fetches
@@ -181,7 +181,7 @@
         while let Some(known) = self.state.position().filter(|known| *known < position) {
             if let Err(error) = self.fetch_changes(peer, known).await {
                 tracing::info!(%peer, %error, "catch_up_failed");
-                self.following.distrust(peer);
+                self.follow_status.distrust(peer);
                 return;
             }
             let reached = self.state.position();
@@ -202,7 +202,7 @@
         match queries::fetch_changes_after(&self.runtime, peer, known).await? {
             // If the changes leave a gap, the next iteration asks the peer again.
             ChangesAnswer::Changes(changes) => {
-                self.state.apply_changes(changes, Source::Peer, now());
+                self.state.apply_changes(changes, UpdateSource::Peer, now());
             }
             ChangesAnswer::HistoryForgotten => self.read_everything(peer).await,
         }
--- a/crates/serving/src/peers/retained.rs
+++ b/crates/serving/src/peers/retained.rs
@@ -50,14 +50,14 @@
     /// them yet.
     pub(super) fn observe_retained(self: &Arc<Self>, items_hash: u64, from: SocketAddr) {
         let is_known = self.state.retained_hash() == Some(items_hash) || self.seen_sets().contains(items_hash);
-        let can_take = self.state.position().is_some() && !self.state.is_of_earlier_era();
-        if is_known || !can_take || self.is_asking_for_retained.swap(true, Ordering::Relaxed) {
+        let can_apply = self.state.position().is_some() && !self.state.is_of_earlier_era();
+        if is_known || !can_apply || self.is_fetching_retained.swap(true, Ordering::Relaxed) {
             return;
         }
         let peers = Arc::clone(self);
         self.runtime.spawner.spawn(Box::pin(async move {
             peers.fetch_retained(items_hash, from).await;
-            peers.is_asking_for_retained.store(false, Ordering::Relaxed);
+            peers.is_fetching_retained.store(false, Ordering::Relaxed);
         }));
     }
 
--- a/crates/serving/src/peers/suspects.rs
+++ b/crates/serving/src/peers/suspects.rs
@@ -45,20 +45,20 @@
                 }
             }
             tokio::time::sleep(BATCHING_DELAY).await;
-            let changed_now = changed.take();
+            let new_changes = changed.take();
             let started = now();
-            for fingerprint in &changed_now {
-                for pause in REPUBLISH_DELAYS {
-                    scheduled.insert((started + pause, *fingerprint));
+            for fingerprint in &new_changes {
+                for delay in REPUBLISH_DELAYS {
+                    scheduled.insert((started + delay, *fingerprint));
                 }
             }
-            let later = scheduled.split_off(&(started, RequestFingerprint::LEAST));
-            let due = std::mem::replace(&mut scheduled, later);
+            let not_due = scheduled.split_off(&(started, RequestFingerprint::LEAST));
+            let due = std::mem::replace(&mut scheduled, not_due);
             let due = due
                 .into_iter()
                 .map(|(_at, fingerprint)| (fingerprint, false));
-            let changed_now = changed_now.into_iter().map(|fingerprint| (fingerprint, true));
-            self.publish_requests(due.chain(changed_now)).await;
+            let new_changes = new_changes.into_iter().map(|fingerprint| (fingerprint, true));
+            self.publish_requests(due.chain(new_changes)).await;
         }
     }
 
@@ -66,7 +66,7 @@
     /// only if they concern all daemons.
     async fn publish_requests(&self, requests: impl Iterator<Item = (RequestFingerprint, bool)>) {
         let mut rows_of: BTreeMap<SocketAddr, Vec<SuspectRow>> = BTreeMap::new();
-        for (fingerprint, is_fresh) in requests {
+        for (fingerprint, is_new) in requests {
             let record = self.record_of(fingerprint);
             let Some((suspicion, standing)) = record else {
                 continue;
@@ -74,7 +74,7 @@
             // Most requests of an engine that ended have one lost run and one successful run.
             let was_suspected = suspicion.cleared.is_some() && suspicion.lost_runs.len() > 1;
             let concerns_all = standing != Standing::Clear || was_suspected;
-            if !concerns_all && !is_fresh {
+            if !concerns_all && !is_new {
                 continue;
             }
             let row = suspicion_to_wire(&suspicion, now());
@@ -136,9 +136,9 @@
     pub(super) async fn merge_suspects(&self, rows: &[SuspectRow], from: SocketAddr) {
         let mut missing_there = Vec::new();
         for row in rows {
-            let news = suspicion_from_wire(row, now());
-            let fingerprint = news.fingerprint;
-            let update = self.state.quarantine().merge(&news, now());
+            let received = suspicion_from_wire(row, now());
+            let fingerprint = received.fingerprint;
+            let update = self.state.quarantine().merge(&received, now());
             if update.before != update.after {
                 tracing::info!(
                     %fingerprint,
