--- a/crates/serving/src/capacity.rs
+++ b/crates/serving/src/capacity.rs
@@ -117,7 +117,7 @@
             return;
         };
         if present.is_empty() {
-            // The store has probably lost the entries; they return soon after it does.
+            // The store has lost the entries; they return soon after the store recovers.
             return;
         }
         let work = self.dependencies.pipeline.work_of_all();
@@ -143,8 +143,8 @@
             .iter()
             .map(|(target, count)| this.order(target, *count, &plan));
         let results = join_all(calls).await;
-        for ((target, count), end) in due.into_iter().zip(results) {
-            let pause = match end {
+        for ((target, count), result) in due.into_iter().zip(results) {
+            let pause = match result {
                 Ok(()) => autoscaling.boot + ORDER_TIMEOUT_AFTER_BOOT,
                 Err(_error) => REFUSED_ORDER_PAUSE,
             };
@@ -204,7 +204,7 @@
             contract: target.contract,
             count,
         };
-        let results = self.dependencies.provider.order_engines(&caller, &order).await;
+        let result = self.dependencies.provider.order_engines(&caller, &order).await;
         tracing::info!(
             service = &*target.service,
             zone = &*target.zone,
@@ -213,13 +213,13 @@
             fencing_token,
             needed = plan.needed,
             left_after_loss = plan.left_after_loss,
-            error = results.as_ref().err().map(ToString::to_string),
+            error = result.as_ref().err().map(ToString::to_string),
             "engines_ordered"
         );
         self.dependencies
             .pipeline
             .metrics()
-            .engines_ordered(result_name(&results));
-        results
+            .engines_ordered(result_name(&result));
+        result
     }
 }
--- a/crates/serving/src/leader.rs
+++ b/crates/serving/src/leader.rs
@@ -133,9 +133,9 @@
     if !settings.is_first_start {
         return now;
     }
-    let before_lease = now.checked_sub(settings.lease + CALL_LIMIT);
+    let one_lease_ago = now.checked_sub(settings.lease + CALL_LIMIT);
     // If the machine has not been up for that long, no process on it can have led earlier.
-    before_lease.unwrap_or(now)
+    one_lease_ago.unwrap_or(now)
 }
 
 struct Candidate {
@@ -244,7 +244,7 @@
                     self.tenure_sender.send_replace(Some(tenure));
                 }
                 Err(StoreError::LeaseExpired) => return "lapsed",
-                Err(_trouble) if !tenure.may_be_over(now()) => {}
+                Err(_error) if !tenure.may_be_over(now()) => {}
                 Err(error) => {
                     tracing::warn!(%error, "leader_lease_not_renewed");
                     return "may_have_lapsed";
--- a/crates/serving/src/usage/report.rs
+++ b/crates/serving/src/usage/report.rs
@@ -351,7 +351,7 @@
         match result {
             Ok(()) => return StepOutcome::Reported,
             Err(ProviderError::Fenced) => self.dependencies.leadership.report_fenced_off(fencing_token),
-            Err(_trouble) => {}
+            Err(_error) => {}
         }
         progress.schedule_retry();
         StepOutcome::Pending
