--- a/crates/serving/src/full_read.rs
+++ b/crates/serving/src/full_read.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, thiserror::Error)]
 enum PageMismatch {
     #[error(
-        "a page does not begin after the requested key; another peer, or the store, is read"
+        "a page does not continue after the requested key; another peer, or the store, is read"
     )]
     OutOfOrder,
     #[error("a page belongs to another era of the store than those before it; all pages are read again")]
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -22,7 +22,7 @@
 /// Milliseconds per second.
 const MS_PER_S: f64 = 1000.0;
 
-#[expect(clippy::cast_possible_truncation, reason = "a few retries")]
+#[expect(clippy::cast_possible_truncation, reason = "the number of retries is small")]
 pub(super) fn deposits_to_wire(deposits: &Deposits) -> DepositsRow {
     let retries = deposits.repeats.iter();
     DepositsRow {
--- a/crates/serving/src/time.rs
+++ b/crates/serving/src/time.rs
@@ -110,7 +110,7 @@
 /// The monotonic clock, which stands still while the machine is suspended.
 #[expect(
     clippy::disallowed_methods,
-    reason = "the one place that compares it with the clock that counts suspension"
+    reason = "compared here with the clock that includes suspension"
 )]
 fn monotonic() -> Instant {
     tokio::time::Instant::now().into_std()
