--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -32,4 +32,3 @@
 pub mod store;
 pub mod time;
 pub mod usage;
-mod whole_read;
--- a/crates/serving/src/pipeline.rs
+++ b/crates/serving/src/pipeline.rs
@@ -47,7 +47,7 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Notify;
 
-use crate::changed::Changed;
+use crate::changed::PendingSet;
 use crate::connections::Connections;
 use crate::dialect::Dialect;
 use crate::fleet_state::FleetState;
@@ -89,9 +89,9 @@
     connections: Arc<Connections>,
     engine_exit_checks: EngineExitChecks,
     /// Requests whose quarantine state changed and has to be published to peers.
-    changed_suspects: Changed<RequestFingerprint>,
+    changed_suspects: PendingSet<RequestFingerprint>,
     /// Back ends whose rate limits changed and have to be published to peers.
-    changed_rate_limits: Changed<Arc<str>>,
+    changed_rate_limits: PendingSet<Arc<str>>,
     metrics: Arc<Metrics>,
     placement: Mutex<Placement>,
     budget: Mutex<RetryBudget>,
@@ -133,8 +133,8 @@
             state,
             connections: Connections::new(runtime.clone()),
             engine_exit_checks: EngineExitChecks::default(),
-            changed_suspects: Changed::default(),
-            changed_rate_limits: Changed::default(),
+            changed_suspects: PendingSet::default(),
+            changed_rate_limits: PendingSet::default(),
             metrics,
             placement: Mutex::new(placement),
             budget: Mutex::new(RetryBudget::new(settings.budget)),
@@ -197,13 +197,13 @@
 
     /// Requests whose quarantine state has to be published to peers.
     #[must_use]
-    pub(crate) const fn changed_suspects(&self) -> &Changed<RequestFingerprint> {
+    pub(crate) const fn changed_suspects(&self) -> &PendingSet<RequestFingerprint> {
         &self.changed_suspects
     }
 
     /// Back ends whose rate limits have to be published to peers.
     #[must_use]
-    pub(crate) const fn changed_rate_limits(&self) -> &Changed<Arc<str>> {
+    pub(crate) const fn changed_rate_limits(&self) -> &PendingSet<Arc<str>> {
         &self.changed_rate_limits
     }
 
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -274,7 +274,7 @@
     /// Counts a request that started to run towards its tenant's usage.
     pub(super) fn count_tenant_run(&self, job: &Job) {
         if let (Some(usage), Some(tenant)) = (&self.usage, &job.tenant) {
-            usage.began(&tenant.name);
+            usage.record_request(&tenant.name);
         }
     }
 
--- a/crates/serving/src/pipeline/intake.rs
+++ b/crates/serving/src/pipeline/intake.rs
@@ -18,7 +18,7 @@
 use super::guards::{HeldBytes, InProgress};
 use super::job::Job;
 use crate::dialect::RequestMetadata;
-use crate::fleet_state::InForce;
+use crate::fleet_state::ConfigurationInForce;
 use crate::request_trace::{RequestTrace, SERVED_LOG_TARGET, milliseconds};
 use crate::time::{self, now};
 
@@ -83,7 +83,7 @@
 impl Pipeline {
     /// Serves one request of a caller.
     pub async fn serve(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        time::notice_suspension();
+        time::detect_suspension();
         let arrived = now();
         let in_progress = InProgress::new(&self);
         let (head, body) = request.into_parts();
@@ -244,7 +244,7 @@
 /// Finds the tenant of a request. On a public route a key is optional, but a valid one still counts
 /// for its tenant.
 fn authenticate(
-    in_force: &InForce,
+    in_force: &ConfigurationInForce,
     route: &Route,
     credential: &Credential,
 ) -> Result<Option<Arc<Tenant>>, Failure> {
@@ -269,7 +269,7 @@
     lines.sum::<usize>() + head.uri.to_string().len()
 }
 
-fn find_route(in_force: &InForce, head: &request::Parts) -> Option<Arc<Route>> {
+fn find_route(in_force: &ConfigurationInForce, head: &request::Parts) -> Option<Arc<Route>> {
     let host = head
         .headers
         .get(header::HOST)
@@ -288,7 +288,7 @@
 
 async fn read_body(
     body: &mut Incoming,
-    in_force: &InForce,
+    in_force: &ConfigurationInForce,
     deadline: std::time::Instant,
 ) -> Result<Bytes, Failure> {
     let limit = in_force.configuration.limits.body_bytes;
