--- a/crates/serve/src/daemon.rs
+++ b/crates/serve/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One running daemon.
+//! Start, maintenance and graceful stop of one daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,36 +28,36 @@
 use crate::process;
 use crate::settings::Settings;
 
-/// Time between two looks at what is still in progress while stopping.
-const STOP_LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time at the end of a planned stop in which connections close.
-const CLOSE_LIMIT: Duration = Duration::from_millis(500);
+/// Interval at which a stopping daemon checks whether requests are still in progress.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for connections to close at the end of a graceful stop.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A running daemon.
 pub struct Daemon {
     settings: Settings,
     pipeline: Arc<Pipeline>,
-    callers: Server,
-    _status: Server,
-    _metrics: Option<Server>,
+    callers_server: Server,
+    _readiness_server: Server,
+    _metrics_server: Option<Server>,
 }
 
 impl Daemon {
-    /// Binds every address, and begins to follow the store.
+    /// Binds all listen addresses and starts the background tasks.
     ///
     /// # Errors
-    /// When an address cannot be bound.
+    /// When a listen address cannot be bound. A failure to bind `listen.metrics` is only logged.
     pub async fn start(runtime: &Runtime, settings: Settings) -> Result<Self> {
-        let store: Arc<dyn FleetStore> = Arc::new(PlatformStore::new(runtime, settings.store));
-        let own = Member {
+        let store: Arc<dyn FleetStore> = Arc::new(PlatformStore::new(runtime, settings.store_address));
+        let own_member = Member {
             name: Arc::clone(&settings.name),
             zone: Arc::clone(&settings.zone),
-            peer_address: settings.peers,
-            link_megabits: settings.link_megabits,
+            peer_address: settings.peers_address,
+            link_megabits: settings.link_megabits_per_second,
         };
-        let state = Arc::new(FleetState::new(Arc::clone(&store), own));
+        let state = Arc::new(FleetState::new(Arc::clone(&store), own_member));
         let metrics = Arc::new(Metrics::default());
-        let recorder = settings.usage.map(|usage| {
+        let usage_recorder = settings.usage.map(|usage| {
             let life = Life {
                 daemon: daemon_identity(&settings.name),
                 start: runtime.seed,
@@ -66,9 +66,9 @@
         });
         let pipeline_settings = PipelineSettings {
             zone: Arc::clone(&settings.zone),
-            budget: settings.budget,
-            bounds: settings.bounds,
-            usage: recorder.clone(),
+            budget: settings.retry_budget,
+            bounds: settings.intake_bounds,
+            usage: usage_recorder.clone(),
         };
         let dialect: Arc<dyn Dialect> = Arc::new(PlatformDialect);
         let pipeline = Pipeline::new(
@@ -78,16 +78,16 @@
             Arc::clone(&metrics),
             &pipeline_settings,
         );
-        let status = front::serve_status(runtime, settings.readiness, &pipeline, &metrics)
+        let readiness_server = front::serve_status(runtime, settings.readiness_address, &pipeline, &metrics)
             .await
-            .wrap_err("listen.readiness cannot be bound: is another process there?")?;
-        let metrics_server = match settings.metrics {
+            .wrap_err("cannot bind listen.readiness: is another process using this address?")?;
+        let metrics_server = match settings.metrics_address {
             Some(address) => serve_metrics(runtime, address, &pipeline, &metrics).await,
             None => None,
         };
-        let callers = front::serve_callers(runtime, settings.callers, &pipeline)
+        let callers_server = front::serve_callers(runtime, settings.callers_address, &pipeline)
             .await
-            .wrap_err("listen.callers cannot be bound: is another process there?")?;
+            .wrap_err("cannot bind listen.callers: is another process using this address?")?;
         let (following, unpublished) = Following::new();
         follow::start(
             runtime,
@@ -109,10 +109,10 @@
             unpublished,
         )
         .await
-        .wrap_err("listen.peers cannot be bound: is another process there?")?;
+        .wrap_err("cannot bind listen.peers: is another process using this address?")?;
         quarantine::start(runtime, &store, &state);
-        let probing = Arc::clone(&pipeline).probe_caches();
-        runtime.spawner.spawn(Box::pin(probing));
+        let cache_probe = Arc::clone(&pipeline).probe_caches();
+        runtime.spawner.spawn(Box::pin(cache_probe));
         let leader_settings = LeaderSettings {
             holder: Arc::clone(&settings.name),
             lease: settings.leader_lease,
@@ -129,127 +129,128 @@
             &state,
             &pipeline,
         );
-        if let Some(provider) = settings.provider {
+        if let Some(provider) = settings.provider_address {
             let provider = PlatformProvider::new(runtime, provider);
-            let parts = Parts {
+            let dependencies = ProviderTaskDependencies {
                 store,
                 state,
                 pipeline: Arc::clone(&pipeline),
                 metrics,
-                recorder,
+                usage_recorder,
                 leadership,
                 provider: Arc::new(provider),
             };
-            start_provider_tasks(runtime, &settings, &parts);
+            start_provider_tasks(runtime, &settings, &dependencies);
         }
         tracing::info!(
             daemon = &*settings.name,
             zone = &*settings.zone,
             version = env!("CARGO_PKG_VERSION"),
-            callers = %settings.callers,
-            store = %settings.store,
+            callers = %settings.callers_address,
+            store = %settings.store_address,
             store_reads_per_second = settings.store_reads_per_second,
-            budget_ratio = settings.budget.ratio,
-            budget_slack = settings.budget.slack,
+            budget_ratio = settings.retry_budget.ratio,
+            budget_slack = settings.retry_budget.slack,
             leader_lease_ms = u64::try_from(settings.leader_lease.as_millis()).unwrap_or(u64::MAX),
             fencing = ?settings.fencing,
             usage = ?settings.usage,
             capacity = ?settings.capacity,
-            stop_limit_ms = u64::try_from(settings.stop.limit.as_millis()).unwrap_or(u64::MAX),
+            stop_limit_ms = u64::try_from(settings.stop.exit_deadline.as_millis()).unwrap_or(u64::MAX),
             "started"
         );
         Ok(Self {
             settings,
             pipeline,
-            callers,
-            _status: status,
-            _metrics: metrics_server,
+            callers_server,
+            _readiness_server: readiness_server,
+            _metrics_server: metrics_server,
         })
     }
 
-    /// Its settings.
+    /// The settings the daemon was started with.
     #[must_use]
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Whether it says that it is ready.
+    /// Whether the readiness check succeeds.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.pipeline.is_ready()
     }
 
-    /// Forgets what is long past, and brings the figures up to date.
-    pub fn tidy(&self, dropped_log_lines: usize) {
+    /// Removes expired state and updates the gauges. Call it every few seconds.
+    pub fn run_maintenance(&self, dropped_log_lines: usize) {
         self.pipeline.tidy();
         let values = GaugeValues {
             log_lines_dropped: dropped_log_lines,
-            memory_bytes: process::memory_bytes(),
-            descriptors: process::descriptors(),
+            memory_bytes: process::resident_memory_bytes(),
+            descriptors: process::open_file_descriptors(),
             ..self.pipeline.gauge_values()
         };
         self.pipeline.metrics().set_gauges(&values);
     }
 
-    /// A planned stop.
+    /// Stops the daemon gracefully.
     ///
-    /// 1. Not ready at once; each answer closes its connection.
-    /// 2. After `stop.notice`, callers come no more: connections at rest are closed.
-    /// 3. After `stop.accept`, whoever comes all the same is told at once to go elsewhere.
-    /// 4. The end comes with the last request, and before `stop.limit` in any case.
+    /// 1. Readiness checks fail at once, and every response closes its connection.
+    /// 2. After `notice_period`, idle connections are closed.
+    /// 3. After `accept_period`, new requests are refused at once.
+    /// 4. The stop ends once no request is in progress, at the latest `CLOSE_TIMEOUT` after
+    ///    `exit_deadline`.
     pub async fn stop(&self) {
         let stop = &self.settings.stop;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         tracing::info!(in_progress = self.pipeline.in_progress(), "stop_begins");
         self.pipeline.begin_stop();
-        tokio::time::sleep_until(begun + stop.notice).await;
-        self.callers.close_connections();
-        tokio::time::sleep_until(begun + stop.accept).await;
+        tokio::time::sleep_until(started_at + stop.notice_period).await;
+        self.callers_server.close_connections();
+        tokio::time::sleep_until(started_at + stop.accept_period).await;
         self.pipeline.refuse_new();
-        self.await_last_request(begun + stop.limit).await;
-        let closing = tokio::time::timeout(CLOSE_LIMIT, self.callers.stop());
+        self.wait_until_idle(started_at + stop.exit_deadline).await;
+        let closing = tokio::time::timeout(CLOSE_TIMEOUT, self.callers_server.stop());
         if closing.await.is_err() {
             let in_progress = self.pipeline.in_progress();
             tracing::warn!(in_progress, "stop_cut_requests");
         }
         tracing::info!(
             in_progress = self.pipeline.in_progress(),
-            took_ms = u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX),
+            took_ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX),
             "stopped"
         );
     }
 
-    async fn await_last_request(&self, end: Instant) {
-        while self.pipeline.in_progress() > 0 && Instant::now() < end {
-            tokio::time::sleep(STOP_LOOK_INTERVAL).await;
+    async fn wait_until_idle(&self, deadline: Instant) {
+        while self.pipeline.in_progress() > 0 && Instant::now() < deadline {
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
     }
 }
 
-/// What the tasks are made of that speak with the provider.
-struct Parts {
+/// Dependencies of the tasks that call the provider.
+struct ProviderTaskDependencies {
     store: Arc<dyn FleetStore>,
     state: Arc<FleetState>,
     pipeline: Arc<Pipeline>,
     metrics: Arc<Metrics>,
-    recorder: Option<Arc<UsageRecorder>>,
+    usage_recorder: Option<Arc<UsageRecorder>>,
     leadership: Leadership,
     provider: Arc<dyn Provider>,
 }
 
-fn start_provider_tasks(runtime: &Runtime, settings: &Settings, parts: &Parts) {
-    if let (Some(usage), Some(recorder)) = (settings.usage, &parts.recorder) {
+fn start_provider_tasks(runtime: &Runtime, settings: &Settings, dependencies: &ProviderTaskDependencies) {
+    if let (Some(usage), Some(usage_recorder)) = (settings.usage, &dependencies.usage_recorder) {
         let report_settings = ReportSettings {
             holder: Arc::clone(&settings.name),
             due: usage.due,
         };
         let reporting = Reporting {
-            recorder: Arc::clone(recorder),
-            store: Arc::clone(&parts.store),
-            state: Arc::clone(&parts.state),
-            provider: Arc::clone(&parts.provider),
-            leadership: parts.leadership.clone(),
-            metrics: Arc::clone(&parts.metrics),
+            recorder: Arc::clone(usage_recorder),
+            store: Arc::clone(&dependencies.store),
+            state: Arc::clone(&dependencies.state),
+            provider: Arc::clone(&dependencies.provider),
+            leadership: dependencies.leadership.clone(),
+            metrics: Arc::clone(&dependencies.metrics),
         };
         report::start(runtime, report_settings, reporting);
     }
@@ -257,17 +258,17 @@
         let capacity_parts = CapacityParts {
             holder: Arc::clone(&settings.name),
             settings: capacity_settings,
-            state: Arc::clone(&parts.state),
-            pipeline: Arc::clone(&parts.pipeline),
-            provider: Arc::clone(&parts.provider),
-            leadership: parts.leadership.clone(),
+            state: Arc::clone(&dependencies.state),
+            pipeline: Arc::clone(&dependencies.pipeline),
+            provider: Arc::clone(&dependencies.provider),
+            leadership: dependencies.leadership.clone(),
         };
         capacity::start(runtime, capacity_parts);
     }
 }
 
-/// Figures at a place of their own. They are at the readiness address too, so that a place that is taken is no reason
-/// not to serve.
+/// Serves metrics at an address of their own. A failure to bind it is only logged: the readiness
+/// address serves the same metrics.
 async fn serve_metrics(
     runtime: &Runtime,
     address: SocketAddr,
--- a/crates/serve/src/lib.rs
+++ b/crates/serve/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon that runs on each machine of a platform with a store: settings, start, planned stop.
+//! The daemon that runs on each machine of a platform with a store: settings, start, graceful stop.
 //!
-//! It only wires: the pipeline decides in `ponddrift-fleet` and `ponddrift-serving`, the platform's words are in
-//! `ponddrift-platform-adapter`.
+//! This crate only connects the parts: `ponddrift-fleet` and `ponddrift-serving` make the
+//! decisions, `ponddrift-platform-adapter` holds the platform's names and formats.
 
 pub mod daemon;
 pub mod logging;
--- a/crates/serve/src/logging.rs
+++ b/crates/serve/src/logging.rs
@@ -1,5 +1,7 @@
-//! JSON lines to standard output, bounded and never blocking: a slow reader costs lines, which are counted. Lines of
-//! requests that were served in time wait apart: however many there are, they push out none of the others.
+//! JSON log lines on standard output through bounded, non-blocking buffers.
+//!
+//! If the reader of standard output is slow, lines are dropped and counted. Lines of requests that
+//! were served in time have a buffer of their own, so that they never displace other lines.
 
 use std::io;
 
@@ -11,37 +13,37 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Ways to standard output; each has room for its part of the lines that wait.
-const WAYS: usize = 2;
+/// Writers to standard output; the buffered lines are split evenly between them.
+const WRITER_COUNT: usize = 2;
 
-/// The running log; lines that wait are written when it is dropped.
-pub struct Log {
-    _guards: [WorkerGuard; WAYS],
-    dropped: [ErrorCounter; WAYS],
+/// Keeps the log writers running; buffered lines are written when it is dropped.
+pub struct LogGuard {
+    _worker_guards: [WorkerGuard; WRITER_COUNT],
+    dropped_counters: [ErrorCounter; WRITER_COUNT],
 }
 
-impl Log {
-    /// Lines that were dropped because the reader was slow.
+impl LogGuard {
+    /// Number of lines dropped because the reader of standard output was slow.
     pub fn dropped_lines(&self) -> usize {
-        self.dropped.iter().map(ErrorCounter::dropped_lines).sum()
+        self.dropped_counters.iter().map(ErrorCounter::dropped_lines).sum()
     }
 }
 
-/// Lines by what they are worth when there is no room for all.
-struct ByWorth {
+/// Selects the writer of a line: one for requests served in time, one for all other lines.
+struct WriterByTarget {
     served: NonBlocking,
     others: NonBlocking,
 }
 
-impl<'a> MakeWriter<'a> for ByWorth {
+impl<'a> MakeWriter<'a> for WriterByTarget {
     type Writer = NonBlocking;
 
     fn make_writer(&'a self) -> Self::Writer {
         self.others.clone()
     }
 
-    fn make_writer_for(&'a self, line: &Metadata<'_>) -> Self::Writer {
-        if line.target() == SERVED_TARGET {
+    fn make_writer_for(&'a self, metadata: &Metadata<'_>) -> Self::Writer {
+        if metadata.target() == SERVED_TARGET {
             self.served.clone()
         } else {
             self.others.clone()
@@ -49,34 +51,34 @@
     }
 }
 
-fn way(lines_waiting: usize) -> (NonBlocking, WorkerGuard) {
+fn stdout_writer(buffered_lines: usize) -> (NonBlocking, WorkerGuard) {
     NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(lines_waiting)
+        .buffered_lines_limit(buffered_lines)
         .finish(io::stdout())
 }
 
-/// Starts the log. `lines_waiting`: lines that wait for a slow reader, at most.
+/// Starts logging. `buffered_lines` is the greatest number of lines kept for a slow reader.
 ///
 /// # Errors
-/// When the filter cannot be read.
-pub fn start(filter: &str, lines_waiting: usize) -> eyre::Result<Log> {
-    let (served, served_guard) = way(lines_waiting / WAYS);
-    let (others, others_guard) = way(lines_waiting / WAYS);
-    let dropped = [served.error_counter(), others.error_counter()];
+/// When the filter is not valid or a global logger is already set.
+pub fn init(filter: &str, buffered_lines: usize) -> eyre::Result<LogGuard> {
+    let (served, served_guard) = stdout_writer(buffered_lines / WRITER_COUNT);
+    let (others, others_guard) = stdout_writer(buffered_lines / WRITER_COUNT);
+    let dropped_counters = [served.error_counter(), others.error_counter()];
     let layer = tracing_subscriber::fmt::layer()
         .json()
         .flatten_event(true)
         .with_current_span(false)
         .with_span_list(false)
         .with_target(false)
-        .with_writer(ByWorth { served, others });
+        .with_writer(WriterByTarget { served, others });
     tracing_subscriber::registry()
         .with(EnvFilter::try_new(filter)?)
         .with(layer)
         .try_init()?;
-    Ok(Log {
-        _guards: [served_guard, others_guard],
-        dropped,
+    Ok(LogGuard {
+        _worker_guards: [served_guard, others_guard],
+        dropped_counters,
     })
 }
--- a/crates/serve/src/main.rs
+++ b/crates/serve/src/main.rs
@@ -1,4 +1,4 @@
-//! `ponddrift-serve`: the program on each machine of a platform with a store.
+//! `ponddrift-serve`: the daemon program that runs on each machine of a platform with a store.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -8,23 +8,24 @@
 use eyre::{Context, Result};
 use ponddrift_runtime::Runtime;
 use ponddrift_serve::Daemon;
-use ponddrift_serve::logging::{self, Log};
+use ponddrift_serve::logging::{self, LogGuard};
 use ponddrift_serve::settings::{self, Settings};
 use rand::TryRng;
 use rand::rngs::SysRng;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code when the settings are refused.
-const EXIT_BAD_SETTINGS: u8 = 2;
-/// Time between two looks at what can be forgotten.
-const TIDY_INTERVAL: Duration = Duration::from_secs(5);
+/// Exit code when the settings file is invalid.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Time between two calls of [`Daemon::run_maintenance`].
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(5);
 
 fn command() -> Command {
     Command::new("ponddrift-serve")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Serves callers' requests over the fleet that a platform's store names")
+        .about("Routes requests to the engines and servers registered in a platform's store")
         .after_help(
-            "SIGTERM is a planned stop, SIGHUP reads the settings again.\n\n\
+            "SIGTERM starts a graceful stop. SIGHUP reads the settings file again and logs whether \
+             it changed; changes take effect at the next start.\n\n\
              Example: ponddrift-serve --config etc/ponddrift-serve.toml",
         )
         .arg(
@@ -40,7 +41,7 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Only checks the settings; exit code 2 if they have faults"),
+                .help("Only check the settings file; exit with code 2 if it is invalid"),
         )
 }
 
@@ -54,47 +55,50 @@
         Ok(settings) => settings,
         Err(faults) => {
             eprintln!("{faults}");
-            return Ok(ExitCode::from(EXIT_BAD_SETTINGS));
+            return Ok(ExitCode::from(EXIT_INVALID_SETTINGS));
         }
     };
     if matches.get_flag("check") {
-        println!("the settings are in order");
+        println!("the settings are valid");
         return Ok(ExitCode::SUCCESS);
     }
-    let log = logging::start(&settings.log_filter, settings.log_lines_waiting)?;
-    // One thread: a machine has a part of one core, and another thread would only add wake-ups.
+    let log_guard = logging::init(&settings.log_filter, settings.log_buffered_lines)?;
+    // One thread: a daemon gets less than one core, so more threads would only add wake-ups.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    runtime.block_on(run(&path, settings, &log))?;
+    runtime.block_on(run(&path, settings, &log_guard))?;
     Ok(ExitCode::SUCCESS)
 }
 
-async fn run(path: &Path, settings: Settings, log: &Log) -> Result<()> {
+async fn run(path: &Path, settings: Settings, log_guard: &LogGuard) -> Result<()> {
     ponddrift_serving::time::follow_system_clock();
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let seed = SysRng
         .try_next_u64()
-        .wrap_err("the system gives no random numbers")?;
+        .wrap_err("the operating system returned no random numbers")?;
     let daemon = Daemon::start(&Runtime::system(seed), settings).await?;
     loop {
         tokio::select! {
             biased;
             _ = terminate.recv() => break,
-            _ = hangup.recv() => reload(path, daemon.settings()),
-            () = tokio::time::sleep(TIDY_INTERVAL) => daemon.tidy(log.dropped_lines()),
+            _ = hangup.recv() => check_changed_settings(path, daemon.settings()),
+            () = tokio::time::sleep(MAINTENANCE_INTERVAL) =>
+                daemon.run_maintenance(log_guard.dropped_lines()),
         }
     }
     daemon.stop().await;
     Ok(())
 }
 
-/// Reads the settings again. What cannot change in a running process is told and stays.
-fn reload(path: &Path, before: &Settings) {
+/// Reads the settings file again and logs whether it differs from the settings in use.
+///
+/// The running daemon keeps its settings: changes take effect at the next start.
+fn check_changed_settings(path: &Path, in_use: &Settings) {
     match settings::read(path) {
         Ok(Ok(settings)) => {
-            let changed = settings != *before;
+            let changed = settings != *in_use;
             tracing::info!(changed, "settings_read_again");
         }
         Ok(Err(faults)) => tracing::warn!(%faults, "settings_refused"),
--- a/crates/serve/src/process.rs
+++ b/crates/serve/src/process.rs
@@ -1,13 +1,13 @@
-//! What the system tells of this process.
+//! Resource use of this process, as reported by the operating system.
 
 use std::fs;
 
-/// Bytes in a page of memory on the systems that this runs on.
+/// Size of a memory page on the supported systems.
 const PAGE_BYTES: u64 = 4096;
 
-/// Resident memory; 0 where the system does not tell.
+/// Resident memory in bytes; 0 if `/proc` does not report it.
 #[must_use]
-pub fn memory_bytes() -> u64 {
+pub fn resident_memory_bytes() -> u64 {
     let Ok(text) = fs::read_to_string("/proc/self/statm") else {
         return 0;
     };
@@ -16,8 +16,8 @@
     pages.unwrap_or_default() * PAGE_BYTES
 }
 
-/// Open descriptors; 0 where the system does not tell.
+/// Number of open file descriptors; 0 if `/proc` does not report it.
 #[must_use]
-pub fn descriptors() -> usize {
+pub fn open_file_descriptors() -> usize {
     fs::read_dir("/proc/self/fd").map_or(0, Iterator::count)
 }
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: a TOML file, checked as a whole before anything starts.
+//! Settings: a TOML file, validated completely before the daemon starts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,201 +16,203 @@
 /// Environment variable that names the settings file.
 pub const PATH_VARIABLE: &str = "PONDDRIFT_NODE_FILE";
 
-/// Among the provider's calls, usage reports.
-const USAGE_REPORT: &str = "usage_report";
-/// Among the provider's calls, orders of engines.
-const AUTOSCALE: &str = "autoscale";
+/// Name of the usage report call in `provider.calls`.
+const USAGE_REPORT_CALL: &str = "usage_report";
+/// Name of the call that orders engines in `provider.calls`.
+const AUTOSCALE_CALL: &str = "autoscale";
 const HOUR_MS: u64 = 3_600_000;
-/// A planned stop ends this long before whoever asked for it ends the process.
-const GRACE_MARGIN: Duration = Duration::from_millis(700);
+/// A graceful stop ends this long before the supervisor kills the process (`stop.grace_s`).
+const GRACE_PERIOD_MARGIN: Duration = Duration::from_millis(700);
 
-/// The checked settings.
+/// The validated settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Name of this daemon, alone among its peers.
+    /// Name of this daemon, unique among its peers.
     pub name: Arc<str>,
-    /// Zone.
+    /// Zone of this daemon's machine.
     pub zone: Arc<str>,
-    /// Whether no daemon of this fleet has run before.
+    /// Whether this is the first start of the fleet: no daemon of it has run before.
     pub is_first_start: bool,
-    /// Where callers connect.
-    pub callers: SocketAddr,
-    /// Where readiness is asked for, and figures.
-    pub readiness: SocketAddr,
-    /// Where figures are asked for beside that; none if there is no such place.
-    pub metrics: Option<SocketAddr>,
-    /// Where peers are heard (UDP and TCP).
-    pub peers: SocketAddr,
-    /// The store.
-    pub store: SocketAddr,
-    /// Reads that the store takes in a second from all daemons together.
+    /// Listen address for callers' requests.
+    pub callers_address: SocketAddr,
+    /// Listen address for readiness checks and metrics.
+    pub readiness_address: SocketAddr,
+    /// Further listen address for metrics, if any.
+    pub metrics_address: Option<SocketAddr>,
+    /// Listen address for peers (UDP and TCP).
+    pub peers_address: SocketAddr,
+    /// Address of the store.
+    pub store_address: SocketAddr,
+    /// Reads per second that the store accepts from all daemons together.
     pub store_reads_per_second: f64,
-    /// Speed of the machine's link in megabits a second; 0 where it is not known.
-    pub link_megabits: u32,
-    /// Peers to begin with; the port is that of `listen.peers`.
+    /// Bandwidth of the machine's network link; 0 if unknown.
+    pub link_megabits_per_second: u32,
+    /// Peers to contact first. Their ports are ignored; the port of `listen.peers` is used instead.
     pub seeds: Vec<SocketAddr>,
-    /// Bounds of repeats.
-    pub budget: BudgetSettings,
-    /// Bounds of what is taken in at a time.
-    pub bounds: IntakeBounds,
-    /// Life of the lease under which one daemon leads.
+    /// Limits on retries.
+    pub retry_budget: BudgetSettings,
+    /// Limits on the requests in progress and on their buffered bodies.
+    pub intake_bounds: IntakeBounds,
+    /// Duration of the leader's lease.
     pub leader_lease: Duration,
-    /// Whether receivers of the leader's calls check fencing tokens.
+    /// Whether the receivers of the leader's calls check fencing tokens.
     pub fencing: Fencing,
-    /// The provider's API; none where there is none.
-    pub provider: Option<SocketAddr>,
-    /// Usage reports; none where nobody takes them.
+    /// Address of the provider's API, if there is one.
+    pub provider_address: Option<SocketAddr>,
+    /// Usage reports; none if the provider does not accept them.
     pub usage: Option<UsageSettings>,
-    /// How the number of engines is planned; none where nobody takes orders, or operators do it themselves.
+    /// How the number of engines is planned; none if the provider accepts no orders or operators
+    /// set the number themselves.
     pub capacity: Option<CapacitySettings>,
-    /// A planned stop.
+    /// Time limits of a graceful stop.
     pub stop: StopSettings,
-    /// Filter of the log.
+    /// Filter of log lines, in the syntax of `tracing_subscriber::EnvFilter`.
     pub log_filter: String,
-    /// Lines of the log that wait for a slow reader, at most.
-    pub log_lines_waiting: usize,
+    /// Greatest number of log lines kept for a slow reader; lines beyond it are dropped.
+    pub log_buffered_lines: usize,
 }
 
-/// Usage reports.
+/// Timing of usage reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UsageSettings {
     /// Length of a reporting window.
     pub window: Duration,
-    /// A report is due so long after its window ends.
+    /// A report must be sent within this time after the end of its window.
     pub due: Duration,
 }
 
-/// Times of a planned stop, from its beginning.
+/// Time limits of a graceful stop, each measured from its beginning.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopSettings {
-    /// Until then callers may be sent here, since not all know of the stop.
-    pub notice: Duration,
-    /// Until then requests are taken that come all the same.
-    pub accept: Duration,
-    /// Then the process ends, whatever is in progress.
-    pub limit: Duration,
+    /// Until then, requests may still be sent here, because not every sender has learned of the
+    /// stop; afterwards idle connections are closed.
+    pub notice_period: Duration,
+    /// Until then, new requests are still accepted; afterwards they are refused.
+    pub accept_period: Duration,
+    /// After this time the process ends, even if requests are still in progress.
+    pub exit_deadline: Duration,
 }
 
 /// Reads and checks the file at `path`.
 ///
 /// # Errors
-/// When the file cannot be read. Faults of its contents are the inner result.
+/// The outer result fails if the file cannot be read, the inner one if its contents are invalid.
 pub fn read(path: &Path) -> Result<Result<Settings, Faults>> {
     let text = std::fs::read_to_string(path)
-        .wrap_err_with(|| format!("{} cannot be read: check --config", path.display()))?;
+        .wrap_err_with(|| format!("cannot read {}: check --config", path.display()))?;
     Ok(check(&text))
 }
 
-/// Checks the text of a settings file; all faults are told at once.
+/// Validates the text of a settings file.
 ///
 /// # Errors
-/// [`Faults`].
+/// [`Faults`] with all invalid, missing and unknown settings, or with the syntax error of the file.
 pub fn check(text: &str) -> Result<Settings, Faults> {
     let table: Table = text.parse().map_err(|error: toml::de::Error| {
         Faults(vec![Fault {
             key: String::from("(file)"),
             value: None,
-            remedy: format!("is not TOML: {error}"),
+            remedy: format!("is not valid TOML: {error}"),
         }])
     })?;
     let mut reader = Reader::new(table);
-    let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-    let name = text_of(
+    let unspecified_address = SocketAddr::from(([0, 0, 0, 0], 0));
+    let name = required_text(
         &mut reader,
         "daemon.name",
-        "a name that no other daemon has",
+        "a name that is unique among the daemons",
     );
-    let zone = text_of(&mut reader, "daemon.zone", "the zone's name");
+    let zone = required_text(&mut reader, "daemon.zone", "the name of the zone");
     let is_first_start = reader.flag("daemon.first_start", false);
-    let callers = address(&mut reader, "listen.callers").unwrap_or(nowhere);
-    let readiness = address(&mut reader, "listen.readiness").unwrap_or(nowhere);
-    let peers = address(&mut reader, "listen.peers").unwrap_or(nowhere);
-    let metrics = reader
+    let callers_address = socket_address(&mut reader, "listen.callers").unwrap_or(unspecified_address);
+    let readiness_address = socket_address(&mut reader, "listen.readiness").unwrap_or(unspecified_address);
+    let peers_address = socket_address(&mut reader, "listen.peers").unwrap_or(unspecified_address);
+    let metrics_address = reader
         .has("listen.metrics")
-        .then(|| address(&mut reader, "listen.metrics"))
+        .then(|| socket_address(&mut reader, "listen.metrics"))
         .flatten();
-    let store = address(&mut reader, "store.address").unwrap_or(nowhere);
+    let store_address = socket_address(&mut reader, "store.address").unwrap_or(unspecified_address);
     let store_reads_per_second = reader.fraction("store.reads_per_s", 2_000.0, 1.0..=1e9);
-    let link = reader.fraction("peers.link_mbps", 0.0, 0.0..=10_000_000.0);
+    let link_mbps = reader.fraction("peers.link_mbps", 0.0, 0.0..=10_000_000.0);
     let seeds = reader.addresses("peers.seeds", false);
-    let budget = BudgetSettings {
+    let retry_budget = BudgetSettings {
         ratio: reader.fraction("retry.budget_ratio", 0.2, 0.0..=10.0),
         slack: reader.fraction("retry.budget_slack", 10.0, 0.0..=100_000.0),
     };
-    let bounds = IntakeBounds {
-        requests: count(reader.number("limits.requests_in_progress", 2_000, 1..=1_000_000)),
-        body_bytes: count(reader.number("limits.held_body_bytes", 64 << 20, 1 << 16..=1 << 40)),
+    let intake_bounds = IntakeBounds {
+        requests: saturating_usize(reader.number("limits.requests_in_progress", 2_000, 1..=1_000_000)),
+        body_bytes: saturating_usize(reader.number("limits.held_body_bytes", 64 << 20, 1 << 16..=1 << 40)),
     };
     let leader_lease = reader.milliseconds("leader.lease_ms", 3_000, 1_000..=HOUR_MS);
     let fencing = fencing(&mut reader);
-    let provider = reader
+    let provider_address = reader
         .has("provider.address")
-        .then(|| address(&mut reader, "provider.address"))
+        .then(|| socket_address(&mut reader, "provider.address"))
         .flatten();
-    let calls = reader
+    let accepted_calls = reader
         .parsed(
             "provider.calls",
             Some(String::new()),
-            "names, parted by commas",
+            "names separated by commas",
         )
         .unwrap_or_default();
-    let takes = |call| provider.is_some() && calls.split(',').any(|name| name.trim() == call);
-    let usage = usage_settings(&mut reader, takes(USAGE_REPORT));
-    let capacity = capacity_settings(&mut reader, takes(AUTOSCALE));
+    let is_accepted_call = |call| provider_address.is_some() && accepted_calls.split(',').any(|name| name.trim() == call);
+    let usage = usage_settings(&mut reader, is_accepted_call(USAGE_REPORT_CALL));
+    let capacity = capacity_settings(&mut reader, is_accepted_call(AUTOSCALE_CALL));
     let stop = stop_settings(&mut reader);
     let log_filter = reader
         .parsed(
             "log.filter",
             Some(String::from("info")),
-            "a filter such as info",
+            "a log filter such as info",
         )
         .unwrap_or_default();
-    let log_lines_waiting = count(reader.number("log.lines_waiting", 8_192, 16..=1_000_000));
+    let log_buffered_lines = saturating_usize(reader.number("log.lines_waiting", 8_192, 16..=1_000_000));
     reader.finish()?;
     Ok(Settings {
         name: Arc::from(name),
         zone: Arc::from(zone),
         is_first_start,
-        callers,
-        readiness,
-        metrics,
-        peers,
-        store,
+        callers_address,
+        readiness_address,
+        metrics_address,
+        peers_address,
+        store_address,
         store_reads_per_second,
-        link_megabits: whole(link),
+        link_megabits_per_second: truncate_to_u32(link_mbps),
         seeds,
-        budget,
-        bounds,
+        retry_budget,
+        intake_bounds,
         leader_lease,
         fencing,
-        provider,
+        provider_address,
         usage,
         capacity,
         stop,
         log_filter,
-        log_lines_waiting,
+        log_buffered_lines,
     })
 }
 
-fn count(number: u64) -> usize {
+fn saturating_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "checked before: not negative, and far below the largest"
+    reason = "the reader accepts only values from 0 to ten million"
 )]
-const fn whole(number: f64) -> u32 {
+const fn truncate_to_u32(number: f64) -> u32 {
     number as u32
 }
 
-fn text_of(reader: &mut Reader, key: &str, what: &str) -> String {
-    reader.parsed(key, None, what).unwrap_or_default()
+fn required_text(reader: &mut Reader, key: &str, expected: &str) -> String {
+    reader.parsed(key, None, expected).unwrap_or_default()
 }
 
-fn address(reader: &mut Reader, key: &str) -> Option<SocketAddr> {
-    reader.parsed(key, None, "an IP number and a port")
+fn socket_address(reader: &mut Reader, key: &str) -> Option<SocketAddr> {
+    reader.parsed(key, None, "an IP address and a port")
 }
 
 fn fencing(reader: &mut Reader) -> Fencing {
@@ -221,41 +223,41 @@
     }
 }
 
-fn usage_settings(reader: &mut Reader, is_taken: bool) -> Option<UsageSettings> {
+fn usage_settings(reader: &mut Reader, is_accepted: bool) -> Option<UsageSettings> {
     let window = reader.fraction("usage.window_s", 60.0, 1.0..=86_400.0);
     let due = reader.fraction("usage.due_s", 60.0, 1.0..=86_400.0);
-    is_taken.then(|| UsageSettings {
+    is_accepted.then(|| UsageSettings {
         window: Duration::from_secs_f64(window),
         due: Duration::from_secs_f64(due),
     })
 }
 
-fn capacity_settings(reader: &mut Reader, is_taken: bool) -> Option<CapacitySettings> {
+fn capacity_settings(reader: &mut Reader, is_accepted: bool) -> Option<CapacitySettings> {
     let is_planned = reader.flag("capacity.planned", true);
     let busy_share = reader.fraction("capacity.busy_share", 0.35, 0.05..=0.95);
     let on_demand_share = reader.fraction("capacity.on_demand_share", 0.0, 0.0..=1.0);
-    (is_taken && is_planned).then_some(CapacitySettings {
+    (is_accepted && is_planned).then_some(CapacitySettings {
         busy_share,
         on_demand_share,
     })
 }
 
 fn stop_settings(reader: &mut Reader) -> StopSettings {
-    let notice = reader.milliseconds("stop.notice_ms", 2_300, 0..=HOUR_MS);
-    let accept = reader.milliseconds("stop.accept_ms", 3_000, 0..=HOUR_MS);
-    let grace = reader.fraction("stop.grace_s", 30.0, 1.0..=3_600.0);
-    let limit = Duration::from_secs_f64(grace).saturating_sub(GRACE_MARGIN);
-    if notice > accept {
-        let remedy = String::from("is longer than stop.accept_ms: set less");
+    let notice_period = reader.milliseconds("stop.notice_ms", 2_300, 0..=HOUR_MS);
+    let accept_period = reader.milliseconds("stop.accept_ms", 3_000, 0..=HOUR_MS);
+    let grace_period_s = reader.fraction("stop.grace_s", 30.0, 1.0..=3_600.0);
+    let exit_deadline = Duration::from_secs_f64(grace_period_s).saturating_sub(GRACE_PERIOD_MARGIN);
+    if notice_period > accept_period {
+        let remedy = String::from("is longer than stop.accept_ms: set a smaller value");
         reader.clash("stop.notice_ms", remedy);
     }
-    if accept > limit {
-        let remedy = String::from("is longer than stop.grace_s allows: set less");
+    if accept_period > exit_deadline {
+        let remedy = String::from("is longer than stop.grace_s allows: set a smaller value");
         reader.clash("stop.accept_ms", remedy);
     }
     StopSettings {
-        notice,
-        accept,
-        limit,
+        notice_period,
+        accept_period,
+        exit_deadline,
     }
 }
--- a/crates/serve/tests/announcements.rs
+++ b/crates/serve/tests/announcements.rs
@@ -30,7 +30,7 @@
 use ponddrift_platform_stand_ins::{
     Answer, Arrival, Behaviour, ClientRequest, EngineStandIn, StoreMode,
 };
-use support::{Fleet, Size};
+use support::{Fleet, FleetOptions};
 use tokio::time::{Instant, sleep};
 
 /// From this long after a back end's word nothing new may reach it.
@@ -50,7 +50,7 @@
     pause: Duration,
     request: impl Fn(u32) -> ClientRequest,
 ) -> Vec<Answer> {
-    let (client, target) = (fleet.client.clone(), fleet.daemons[daemon].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[daemon].callers_address);
     fleet.run(async move {
         let mut answers = Vec::new();
         for number in 0..count {
@@ -117,7 +117,7 @@
 #[test]
 fn a_back_end_that_says_in_an_answer_that_it_leaves_gets_nothing_new_while_the_store_is_away() {
     for mode in [StoreMode::Busy, StoreMode::Silent] {
-        let mut fleet = Fleet::new(Size::default());
+        let mut fleet = Fleet::new(FleetOptions::default());
         fleet.store.set_mode(mode);
         let leaver = fleet.records[0].clone();
         leaver.say_leaving();
@@ -135,9 +135,9 @@
 #[test]
 fn an_engine_that_leaves_while_prompts_are_read_generates_no_more() {
     for leaver_reads in [true, false] {
-        let mut fleet = Fleet::new(Size {
+        let mut fleet = Fleet::new(FleetOptions {
             prefill: 2,
-            ..Size::default()
+            ..FleetOptions::default()
         });
         fleet.store.set_mode(StoreMode::Busy);
         let leaver = if leaver_reads {
@@ -159,9 +159,9 @@
 
 #[test]
 fn a_back_end_that_asks_for_rest_gets_nothing_from_that_daemon_until_its_end() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         records: 4,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     earn_retries(&mut fleet, plain("earn", "fetch"));
     for engine in &fleet.records[..2] {
@@ -178,10 +178,10 @@
 
 #[test]
 fn engines_that_ask_for_rest_get_nothing_whatever_they_do() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         prefill: 3,
         decode: 4,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     earn_retries(&mut fleet, prompts("earn", "tag"));
     let resting = [&fleet.prefill[0], &fleet.decode[0], &fleet.decode[1]].map(Clone::clone);
@@ -200,7 +200,7 @@
 /// Rounds of prompts, one to each daemon, and in which of them one was refused.
 fn refused_rounds(fleet: &mut Fleet, rounds: u32, pause: Duration) -> Vec<u32> {
     let client = fleet.client.clone();
-    let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers).collect();
+    let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     fleet.run(async move {
         let mut asked = Vec::new();
         for round in 0..rounds {
@@ -223,11 +223,11 @@
 /// served: else callers are refused whenever several rests end at once.
 #[test]
 fn callers_are_served_while_half_of_the_engines_ask_for_rest_again_and_again() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         prefill: 4,
         decode: 6,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let pause = Duration::from_millis(15);
     refused_rounds(&mut fleet, 100, pause);
@@ -245,7 +245,7 @@
 fn a_caller_is_refused_at_once_and_told_when_to_come_back_while_all_rest() {
     let requests = [("fetch", false), ("tag", true)];
     for (route, is_prompt) in requests {
-        let mut fleet = Fleet::new(Size::default());
+        let mut fleet = Fleet::new(FleetOptions::default());
         let engines: Vec<EngineStandIn> = if is_prompt {
             fleet.decode.clone()
         } else {
@@ -295,7 +295,7 @@
 /// end may have written it before it said that it leaves.
 #[test]
 fn a_back_end_that_starts_again_under_its_identity_takes_requests() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let leaver = fleet.records[0].clone();
     leaver.start_again(1_000);
     leaver.record(&fleet.store, "ready");
@@ -320,9 +320,9 @@
 
 #[test]
 fn what_is_no_time_of_rest_is_passed_over() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         prefill: 0,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     earn_retries(&mut fleet, prompts("earn", "tag"));
     let odd = fleet.decode[0].clone();
@@ -339,12 +339,12 @@
 /// engine was asked all the same where no other was left.
 #[test]
 fn a_prompt_that_was_read_does_not_go_to_an_engine_that_began_to_drain_meanwhile() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         decode: 1,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let (reader, drained) = (fleet.prefill[0].clone(), fleet.decode[0].clone());
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     let store = fleet.store.clone();
     let engine = drained.clone();
     let answer = fleet.run(async move {
--- a/crates/serve/tests/capacity.rs
+++ b/crates/serve/tests/capacity.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use ponddrift_platform_stand_ins::{EngineOrderNote, EngineStandIn, ProviderMode};
-use support::{Fleet, MODELS, Size, configuration, routes};
+use support::{Fleet, MODELS, FleetOptions, configuration, routes};
 
-const SIZE: Size = Size {
+const OPTIONS: FleetOptions = FleetOptions {
     daemons: 3,
     records: 1,
     prefill: 0,
@@ -43,7 +43,7 @@
 }
 
 /// A fleet with on-demand engines in both zones, whose engines may be ordered.
-fn fleet(size: Size) -> (Fleet, Vec<EngineStandIn>) {
+fn fleet(size: FleetOptions) -> (Fleet, Vec<EngineStandIn>) {
     let mut fleet = Fleet::without_configuration(size);
     let mut engines = Vec::new();
     for zone in ZONES {
@@ -79,7 +79,7 @@
 
 #[test]
 fn on_demand_engines_are_given_back_only_once_spot_engines_serve() {
-    let (mut fleet, _engines) = fleet(SIZE);
+    let (mut fleet, _engines) = fleet(OPTIONS);
     fleet.wait(Duration::from_secs(8));
     for zone in ZONES {
         assert_eq!(newest(&fleet, zone, true), Some(SPOT), "zone {zone}");
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_refused_order_is_given_again_until_it_is_taken_and_not_in_a_hurry() {
-    let (mut fleet, _engines) = fleet(SIZE);
+    let (mut fleet, _engines) = fleet(OPTIONS);
     fleet.provider.set_spot_unavailable(true);
     fleet.wait(Duration::from_secs(14));
     let refused = orders(&fleet, true);
@@ -126,7 +126,7 @@
 
 #[test]
 fn an_order_whose_answer_is_lost_names_the_same_number_again() {
-    let (mut fleet, _engines) = fleet(SIZE);
+    let (mut fleet, _engines) = fleet(OPTIONS);
     fleet.provider.set_mode(ProviderMode::LosesAnswers);
     fleet.wait(Duration::from_secs(12));
     let given = orders(&fleet, true);
@@ -136,7 +136,7 @@
 
 #[test]
 fn spot_engines_that_are_taken_away_are_ordered_again() {
-    let (mut fleet, _engines) = fleet(SIZE);
+    let (mut fleet, _engines) = fleet(OPTIONS);
     fleet.wait(Duration::from_secs(8));
     let mut spot = Vec::new();
     for zone in ZONES {
@@ -162,13 +162,13 @@
 
 #[test]
 fn nothing_is_ordered_where_the_configuration_allows_none_or_operators_do_it_themselves() {
-    let (mut fleet, _engines) = fleet(Size {
+    let (mut fleet, _engines) = fleet(FleetOptions {
         orders_engines: false,
-        ..SIZE
+        ..OPTIONS
     });
     fleet.wait(Duration::from_secs(8));
     assert!(fleet.provider.engine_orders().is_empty());
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     fleet.wait(Duration::from_secs(8));
     assert!(fleet.provider.engine_orders().is_empty());
 }
--- a/crates/serve/tests/crashing_requests.rs
+++ b/crates/serve/tests/crashing_requests.rs
@@ -23,7 +23,7 @@
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Answer, Behaviour, ClientRequest};
 use ponddrift_simulation::{DatagramFaults, HostId};
-use support::{Fleet, Size, crash_engines};
+use support::{Fleet, FleetOptions, crash_engines};
 use tokio::time::{Instant, sleep};
 
 /// Mark in the body of a request that crashes engines.
@@ -44,17 +44,17 @@
     every: Duration,
 }
 
-fn size() -> Size {
-    Size {
+fn size() -> FleetOptions {
+    FleetOptions {
         daemons: 4,
         prefill: 1,
         decode: 6,
         zones: 2,
-        ..Size::default()
+        ..FleetOptions::default()
     }
 }
 
-fn crashing_fleet(size: Size) -> Fleet {
+fn crashing_fleet(size: FleetOptions) -> Fleet {
     let fleet = Fleet::new(size);
     for engine in &fleet.decode {
         engine.crash_on(MARK);
@@ -93,14 +93,14 @@
     repeats: Repeats,
     request: impl Fn(usize) -> ClientRequest,
 ) -> Vec<Answer> {
-    let engines = fleet.decoders();
+    let engines = fleet.decode_engines_and_hosts();
     let crashes = crash_engines(
         fleet.simulation.handle(),
         fleet.store.clone(),
         engines,
         DOWN,
     );
-    let targets: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers).collect();
+    let targets: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     let calls: FuturesUnordered<_> = (0..repeats.times)
         .map(|number| {
             let client = fleet.client.clone();
@@ -354,14 +354,14 @@
         engine.behave_always(Behaviour::Hang);
     }
     let simulation = fleet.simulation.handle();
-    let engines = fleet.decoders();
+    let engines = fleet.decode_engines_and_hosts();
     let store = fleet.store.clone();
     let popular = |number: usize| ClientRequest {
         body: String::from("a popular question"),
         ..innocent(number)
     };
     let client = fleet.client.clone();
-    let targets: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers).collect();
+    let targets: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     let calls: FuturesUnordered<_> = (0..12)
         .map(|number| {
             let client = client.clone();
@@ -412,7 +412,7 @@
     }
     for round in 0..4 {
         let client = fleet.client.clone();
-        let target = fleet.daemons[0].callers;
+        let target = fleet.daemons[0].callers_address;
         let cutting = async {
             sleep(Duration::from_millis(200)).await;
             simulation.partition(&daemons, &engines);
--- a/crates/serve/tests/fleet_changes.rs
+++ b/crates/serve/tests/fleet_changes.rs
@@ -6,12 +6,12 @@
 
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Answer, Behaviour, ClientRequest, StoreMode};
-use support::{Fleet, Size, routes, until};
+use support::{Fleet, FleetOptions, routes, wait_until};
 use tokio::time::sleep;
 
 fn ask_at(fleet: &mut Fleet, daemon: usize, request: &ClientRequest) -> Option<Answer> {
     let client = fleet.client.clone();
-    let target = fleet.daemons[daemon].callers;
+    let target = fleet.daemons[daemon].callers_address;
     fleet.run(async move { client.ask(target, request).await })
 }
 
@@ -30,7 +30,7 @@
 #[test]
 fn an_engine_that_leaves_gets_nothing_new_whether_or_not_it_says_so() {
     for says_so in [true, false] {
-        let mut fleet = Fleet::new(Size::default());
+        let mut fleet = Fleet::new(FleetOptions::default());
         if says_so {
             fleet.records[0].record(&fleet.store, "draining");
         } else {
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_drain_in_a_gap_of_the_history_is_seen_by_reading_anew() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let store_host = fleet.store_host;
     let handle = fleet.simulation.handle();
     handle.freeze(store_host);
@@ -70,7 +70,7 @@
 
 #[test]
 fn entries_that_lapse_while_the_store_is_away_do_not_empty_the_fleet() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     fleet.store.set_mode(StoreMode::Busy);
     fleet.wait(Duration::from_secs(4));
     for engine in &fleet.records {
@@ -85,7 +85,7 @@
 #[test]
 fn the_last_known_state_serves_while_the_store_is_away() {
     for mode in [StoreMode::Busy, StoreMode::Silent] {
-        let mut fleet = Fleet::new(Size::default());
+        let mut fleet = Fleet::new(FleetOptions::default());
         fleet.store.set_mode(mode);
         fleet.wait(Duration::from_secs(20));
         let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_newer_configuration_is_in_force_soon_after_a_silent_store_returns() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     fleet.store.set_mode(StoreMode::Silent);
     fleet.wait(Duration::from_secs(5));
     let mut changed = routes();
@@ -109,12 +109,12 @@
 
 #[test]
 fn a_daemon_that_the_store_refuses_gets_the_news_from_its_peers() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     fleet.wait(Duration::from_secs(1));
-    fleet.store.refuse(fleet.daemons[1].machine);
+    fleet.store.refuse(fleet.daemons[1].daemon_ip);
     fleet.wait(Duration::from_secs(3));
     let mut changed = routes();
     changed.truncate(1);
@@ -133,7 +133,7 @@
 
 #[test]
 fn an_older_configuration_never_replaces_a_newer_one() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let mut changed = routes();
     changed.truncate(1);
     fleet.configure(5, &changed);
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_configuration_that_cannot_be_read_leaves_the_last_good_one_in_force() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     fleet
         .store
         .put("op/config", "{\"version\": 9, \"routes\": 3}");
@@ -157,7 +157,7 @@
 
 #[test]
 fn a_planned_stop_ends_what_it_has_and_is_not_ready_at_once() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Stream {
             events: 20,
@@ -168,14 +168,14 @@
     let client = fleet.client.clone();
     let answer = fleet.run(async move {
         let request = patient(ClientRequest::prompt("1", "verdict", 40, 200));
-        let (asked, ready) = tokio::join!(client.ask(daemon.callers, &request), async {
+        let (asked, ready) = tokio::join!(client.ask(daemon.callers_address, &request), async {
             sleep(Duration::from_millis(200)).await;
             daemon.terminate();
             sleep(Duration::from_millis(20)).await;
-            client.status(daemon.readiness, "/readiness").await
+            client.status(daemon.readiness_address, "/readiness").await
         });
         assert_eq!(ready, Some(StatusCode::SERVICE_UNAVAILABLE));
-        until(|| daemon.has_stopped()).await;
+        wait_until(|| daemon.has_stopped()).await;
         asked
     });
     let answer = answer.expect("an answer");
@@ -184,7 +184,7 @@
 
 #[test]
 fn whoever_comes_late_to_a_stopping_daemon_is_sent_elsewhere_at_once() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Stream {
             events: 40,
@@ -195,18 +195,18 @@
     let client = fleet.client.clone();
     fleet.run(async move {
         let long = patient(ClientRequest::prompt("1", "verdict", 40, 200));
-        let asked = client.ask(daemon.callers, &long);
+        let asked = client.ask(daemon.callers_address, &long);
         let late = async {
             sleep(Duration::from_millis(100)).await;
             daemon.terminate();
             sleep(Duration::from_millis(1_000)).await;
             let early = ClientRequest::plain("2", "post");
-            let early = client.ask(daemon.callers, &early).await.expect("an answer");
+            let early = client.ask(daemon.callers_address, &early).await.expect("an answer");
             assert_eq!(early.status, StatusCode::OK);
             assert_eq!(early.headers["connection"], "close");
             sleep(Duration::from_millis(2_500)).await;
             let late = ClientRequest::plain("3", "post");
-            let late = client.ask(daemon.callers, &late).await.expect("an answer");
+            let late = client.ask(daemon.callers_address, &late).await.expect("an answer");
             assert_eq!(late.status, StatusCode::SERVICE_UNAVAILABLE);
             assert!(late.retry_after_s().is_some());
         };
@@ -217,9 +217,9 @@
 
 #[test]
 fn a_daemon_that_starts_anew_finds_out_which_engine_keeps_a_prompt() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         prefill: 6,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let prompt = |id: &str| ClientRequest::prompt(id, "verdict", 6_000, 900);
     let reader = |fleet: &Fleet, id: &str| {
@@ -256,9 +256,9 @@
 
 #[test]
 fn an_address_that_another_service_took_over_runs_nothing() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         records: 1,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     // An entry that is out of date: its address belongs to an engine of another service now.
     let old =
@@ -279,15 +279,15 @@
 
 #[test]
 fn a_configuration_of_hundreds_of_routes_reaches_a_refused_daemon_too() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     fleet.wait(Duration::from_secs(1));
-    fleet.store.refuse(fleet.daemons[1].machine);
+    fleet.store.refuse(fleet.daemons[1].daemon_ip);
     fleet
         .store
-        .put("op/config", support::configuration_of_hundreds_of_routes(2));
+        .put("op/config", support::configuration_with_many_routes(2));
     fleet.wait(Duration::from_millis(1_900));
     let request = ClientRequest::plain("1", "more-399");
     for daemon in 0..3 {
@@ -299,9 +299,9 @@
 /// An engine that never said that it drains serves on as long as one that did: its entry going is no failure.
 #[test]
 fn a_stream_goes_on_at_an_engine_whose_entry_goes_in_calm() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         decode: 1,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let engine = fleet.decode[0].clone();
     engine.behave_always(Behaviour::Stream {
@@ -312,7 +312,7 @@
     let store = fleet.store.clone();
     let answer = fleet.run(async move {
         let request = patient(ClientRequest::prompt("1", "verdict", 40, 200));
-        let (answer, ()) = tokio::join!(client.ask(daemon.callers, &request), async {
+        let (answer, ()) = tokio::join!(client.ask(daemon.callers_address, &request), async {
             sleep(Duration::from_millis(500)).await;
             engine.vanish(&store);
         });
@@ -325,7 +325,7 @@
 
 #[test]
 fn an_engine_with_a_nonsensical_slow_start_serves_all_the_same() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.record_with_cold_time(&fleet.store, serde_json::json!("soon"));
     }
--- a/crates/serve/tests/hostile_peers.rs
+++ b/crates/serve/tests/hostile_peers.rs
@@ -10,7 +10,7 @@
 use ponddrift_runtime::{BoxedStream, Runtime};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use support::{Fleet, Size, spec};
+use support::{Fleet, FleetOptions, host_spec};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const RAW_IP: [u8; 4] = [10, 0, 1, 200];
@@ -66,20 +66,20 @@
 #[test]
 fn an_answer_behind_the_answer_reaches_no_caller() {
     for pause_ms in [0, 1, 5, 40] {
-        let mut fleet = Fleet::without_configuration(Size {
+        let mut fleet = Fleet::without_configuration(FleetOptions {
             records: 0,
-            ..Size::default()
+            ..FleetOptions::default()
         });
         fleet
             .simulation
-            .add_host(spec("raw", RAW_IP), move |runtime| {
+            .add_host(host_spec("raw", RAW_IP), move |runtime| {
                 answer_twice(runtime, Duration::from_millis(pause_ms))
             });
         let entry = r#"{"service":"records","address":"10.0.1.200:8080","zone":"a","slots":8,"state":"ready"}"#;
         fleet.store.put("servers/raw", entry);
         fleet.configure(1, &support::routes());
         fleet.wait(Duration::from_millis(300));
-        let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+        let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
         fleet.run(async move {
             for number in 0..20 {
                 let request = ClientRequest::plain(&format!("r{number}"), "post");
@@ -96,10 +96,10 @@
 
 #[test]
 fn nonsense_from_a_peer_changes_nothing() {
-    let mut fleet = Fleet::new(Size::default());
-    let (_host, runtime) = fleet.simulation.add_client(spec("stranger", [10, 0, 3, 9]));
+    let mut fleet = Fleet::new(FleetOptions::default());
+    let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
     let peers = SocketAddr::from(([10, 0, 2, 1], 7660));
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
         let own = SocketAddr::from(([10, 0, 3, 9], 5000));
         let socket = runtime.network.bind_datagram(own).await.expect("binds");
@@ -138,11 +138,11 @@
 /// The store has never come back from a copy. Believed, each digest would make the daemon read everything and drop what it reads.
 #[test]
 fn a_peer_that_names_an_era_that_the_store_does_not_is_not_believed_for_long() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     fleet.store.name_era(1);
     fleet.wait(Duration::from_secs(2));
     let before = fleet.store.pages_read().len();
-    let (_host, runtime) = fleet.simulation.add_client(spec("stranger", [10, 0, 3, 9]));
+    let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
     let daemon = SocketAddr::from(([10, 0, 2, 1], 7660));
     fleet.run(async move {
         let own = SocketAddr::from(([10, 0, 3, 9], 5000));
@@ -189,7 +189,7 @@
 #[test]
 fn a_build_without_eras_is_heard_in_the_first_era_and_brings_nothing_older_in_a_later_one() {
     for returns in [0, 1] {
-        let mut fleet = Fleet::new(Size::default());
+        let mut fleet = Fleet::new(FleetOptions::default());
         fleet.store.name_era(1);
         fleet.wait(Duration::from_secs(2));
         let known = fleet.store.revision();
@@ -198,7 +198,7 @@
             fleet.store.come_back_from(&copy);
             fleet.wait(Duration::from_secs(2));
         }
-        let (_host, runtime) = fleet.simulation.add_client(spec("stranger", [10, 0, 3, 9]));
+        let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
         let daemon = SocketAddr::from(([10, 0, 2, 1], 7660));
         let dropped = support::configuration(2, &support::routes()[..1]);
         fleet.run(async move {
--- a/crates/serve/tests/neighbours.rs
+++ b/crates/serve/tests/neighbours.rs
@@ -6,16 +6,16 @@
 
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{ClientRequest, EngineStandIn, Run, StoreMode};
-use support::{Fleet, Size, routes};
+use support::{Fleet, FleetOptions, routes};
 
 /// Daemons of a fleet that is more than one neighbourhood.
 const MANY: u8 = 28;
 
 fn of_daemons(daemons: u8, zones: u8) -> Fleet {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons,
         zones,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     fleet.wait(Duration::from_secs(3));
     fleet
@@ -29,7 +29,7 @@
     fleet.run(async move {
         let mut found = Vec::new();
         for daemon in daemons {
-            let answer = client.ask(daemon.callers, &request).await;
+            let answer = client.ask(daemon.callers_address, &request).await;
             found.push(answer.is_some_and(|answer| answer.status != StatusCode::NOT_FOUND));
         }
         found
@@ -86,14 +86,14 @@
     let mut fleet = of_daemons(8, 2);
     fleet
         .store
-        .put("op/config", support::configuration_of_hundreds_of_routes(2));
+        .put("op/config", support::configuration_with_many_routes(2));
     fleet.wait(Duration::from_millis(500));
     let request = ClientRequest::plain("1", "more-399");
     let client = fleet.client.clone();
     let daemons = fleet.daemons.clone();
     fleet.run(async move {
         for (number, daemon) in daemons.iter().enumerate() {
-            let answer = client.ask(daemon.callers, &request).await;
+            let answer = client.ask(daemon.callers_address, &request).await;
             let status = answer.expect("an answer").status;
             assert_eq!(status, StatusCode::OK, "daemon {number}");
         }
@@ -113,8 +113,8 @@
         drop_the_route(&mut fleet);
         fleet.wait(Duration::from_millis(1_900));
         fleet.daemons.retain({
-            let frozen = [first, second].map(|number| fleet.daemons[number].callers);
-            move |daemon| !frozen.contains(&daemon.callers)
+            let frozen = [first, second].map(|number| fleet.daemons[number].callers_address);
+            move |daemon| !frozen.contains(&daemon.callers_address)
         });
         let found = has_route(&mut fleet, "1");
         assert!(
@@ -129,7 +129,7 @@
     for first in 0..8 {
         let mut fleet = of_daemons(8, 2);
         for refused in [first, (first + 1) % 8] {
-            fleet.store.refuse(fleet.daemons[refused].machine);
+            fleet.store.refuse(fleet.daemons[refused].daemon_ip);
         }
         drop_the_route(&mut fleet);
         fleet.wait(Duration::from_millis(1_900));
@@ -149,7 +149,7 @@
     fleet.store.set_mode(StoreMode::Up);
     fleet.wait(Duration::from_millis(600));
     for daemon in 0..8 {
-        let target = fleet.daemons[daemon].callers;
+        let target = fleet.daemons[daemon].callers_address;
         let client = fleet.client.clone();
         let request = ClientRequest::plain(&format!("r-{daemon}"), "post");
         let answer = fleet.run(async move { client.ask(target, &request).await });
@@ -176,12 +176,12 @@
     const HEADS: [&str; 12] = [
         "h0", "h1", "h2", "h3", "h4", "h5", "h6", "h7", "h8", "h9", "ha", "hb",
     ];
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: MANY,
         zones: 2,
         prefill: 6,
         decode: 4,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     fleet.wait(Duration::from_secs(3));
     let daemons = fleet.daemons.clone();
@@ -193,7 +193,7 @@
                 ..ClientRequest::prompt(&format!("first-{number}"), "verdict", 9_000, 900)
             };
             // Some of both zones, all at about the same time.
-            let target = daemons[number].callers;
+            let target = daemons[number].callers_address;
             let client = client.clone();
             async move { client.ask(target, &request).await.expect("an answer") }
         });
@@ -206,7 +206,7 @@
             ..ClientRequest::prompt(&format!("second-{number}"), "verdict", 9_000, 900)
         };
         // A daemon of the other zone, whose number is of the other parity.
-        let target = fleet.daemons[number + 13].callers;
+        let target = fleet.daemons[number + 13].callers_address;
         let client = fleet.client.clone();
         fleet.run(async move { client.ask(target, &request).await });
     }
--- a/crates/serve/tests/orders.rs
+++ b/crates/serve/tests/orders.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use ponddrift_platform_stand_ins::{ClientRequest, OrderNote, StoreMode};
-use support::{Fleet, Size};
+use support::{Fleet, FleetOptions};
 use tokio::time::sleep;
 
 /// As in the daemons' settings.
 const LEASE: Duration = Duration::from_secs(3);
 
-const SIZE: Size = Size {
+const OPTIONS: FleetOptions = FleetOptions {
     daemons: 3,
     records: 1,
     prefill: 2,
@@ -24,7 +24,7 @@
 /// Long prompts for `time`: prefill engines have much to do, decode engines little.
 fn read_much(fleet: &mut Fleet, time: Duration) {
     let client = fleet.client.clone();
-    let daemons: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers).collect();
+    let daemons: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     fleet.run(async move {
         let end = tokio::time::Instant::now() + time;
         let mut number = 0_u32;
@@ -60,7 +60,7 @@
 
 #[test]
 fn much_reading_moves_engines_and_one_holder_orders_it() {
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     read_much(&mut fleet, Duration::from_secs(20));
     let orders = orders(&fleet);
     assert!(orders.iter().any(|order| order.taken), "{orders:?}");
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_holder_that_is_cut_from_the_store_stops_and_another_waits_its_turn() {
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     read_much(&mut fleet, Duration::from_secs(12));
     let first = orders(&fleet).last().expect("an order").holder.clone();
     let number = usize::from(first.as_bytes().last().expect("a digit") - b'1');
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_holder_frozen_past_its_lease_orders_nothing_when_it_wakes() {
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     read_much(&mut fleet, Duration::from_secs(12));
     let first = orders(&fleet).last().expect("an order").clone();
     let number = usize::from(first.holder.as_bytes().last().expect("a digit") - b'1');
@@ -106,7 +106,7 @@
 /// The copy is from before anybody led, and gives out numbers again that tokens were made of.
 #[test]
 fn orders_of_the_next_era_have_higher_tokens_and_wait_until_those_before_have_arrived() {
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     fleet.store.name_era(1);
     let copy = fleet.store.copy().from_before("ponddrift/");
     read_much(&mut fleet, Duration::from_secs(15));
@@ -130,7 +130,7 @@
 #[test]
 fn the_next_leader_waits_for_one_that_does_not_see_the_store_come_back_from_an_older_copy() {
     for seconds in [9, 10, 11, 12, 13, 14] {
-        let mut fleet = Fleet::new(SIZE);
+        let mut fleet = Fleet::new(OPTIONS);
         fleet.store.name_era(1);
         let copy = fleet.store.copy().from_before("ponddrift/");
         read_much(&mut fleet, Duration::from_secs(seconds));
@@ -154,7 +154,7 @@
 
 #[test]
 fn no_order_leaves_while_the_store_is_away() {
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     fleet.wait(Duration::from_secs(8));
     fleet.store.set_mode(StoreMode::Silent);
     fleet.wait(LEASE);
@@ -164,7 +164,7 @@
 
 #[test]
 fn an_order_without_an_answer_is_not_given_again_for_long() {
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     for engine in &fleet.decode {
         engine.lose_order_answers();
     }
@@ -177,14 +177,14 @@
 /// An engine that leaves gets no requests and is the least busy, which made it the first to be changed.
 #[test]
 fn an_engine_that_says_that_it_leaves_is_not_ordered() {
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     read_much(&mut fleet, Duration::from_secs(20));
     let is_ordered = |fleet: &Fleet| -> Vec<bool> {
         let engines = fleet.decode.iter();
         engines.map(|engine| !engine.orders().is_empty()).collect()
     };
     let usual = is_ordered(&fleet);
-    let mut fleet = Fleet::new(SIZE);
+    let mut fleet = Fleet::new(OPTIONS);
     for (engine, _ordered) in fleet
         .decode
         .iter()
--- a/crates/serve/tests/overload.rs
+++ b/crates/serve/tests/overload.rs
@@ -7,7 +7,7 @@
 use futures::future::join_all;
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Answer, Behaviour, ClientRequest, EngineStandIn};
-use support::{Fleet, Size};
+use support::{Fleet, FleetOptions};
 
 /// Rank from which on a request stands behind those that can be in time.
 const BEHIND: u8 = 5;
@@ -24,7 +24,7 @@
     tokens: u32,
     deadline_ms: Option<u64>,
 ) -> Vec<(Answer, Duration)> {
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
         let asked = (0..prompts).map(|number| {
             let client = client.clone();
@@ -47,9 +47,9 @@
 }
 
 fn hanging() -> Fleet {
-    let fleet = Fleet::new(Size {
+    let fleet = Fleet::new(FleetOptions {
         decode: 1,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     for engine in fleet.prefill.iter().chain(&fleet.decode) {
         engine.behave_always(Behaviour::Hang);
@@ -100,7 +100,7 @@
     }
     fleet.wait(Duration::from_secs(6));
     let client = fleet.client.clone();
-    let target = fleet.daemons[0].callers;
+    let target = fleet.daemons[0].callers_address;
     let request = ClientRequest::prompt("after", "verdict", 0, 900);
     let answer = fleet.run(async move { client.ask(target, &request).await });
     assert_eq!(answer.expect("an answer").status, StatusCode::OK);
--- a/crates/serve/tests/rate_limits.rs
+++ b/crates/serve/tests/rate_limits.rs
@@ -25,7 +25,7 @@
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Answer, Behaviour, ClientRequest, EngineStandIn, StoreMode};
 use ponddrift_simulation::HostId;
-use support::{DaemonHost, Fleet, Size};
+use support::{DaemonHost, Fleet, FleetOptions};
 use tokio::time::{Instant, sleep};
 
 /// Rate that back ends name here, in requests a second.
@@ -107,7 +107,7 @@
 /// Asks every daemon. Returns the answers' statuses.
 fn ask_all(fleet: &mut Fleet, name: &str, load: Load) -> Vec<StatusCode> {
     let client = fleet.client.clone();
-    let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers).collect();
+    let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     let name = name.to_owned();
     fleet.run(async move {
         let daemons = u32::try_from(targets.len()).expect("few");
@@ -138,13 +138,13 @@
 
 /// A fleet of so many daemons, with engines that are enough without the one that sets a limit.
 fn fleet_of(daemons: u8, zones: u8) -> Fleet {
-    Fleet::new(Size {
+    Fleet::new(FleetOptions {
         daemons,
         zones,
         records: 6,
         prefill: 2,
         decode: 6,
-        ..Size::default()
+        ..FleetOptions::default()
     })
 }
 
@@ -199,7 +199,7 @@
 
 /// Sends one request to a daemon. Returns the answer and how long it took.
 fn ask(fleet: &mut Fleet, daemon: usize, request: &ClientRequest) -> (Answer, Duration) {
-    let (client, target) = (fleet.client.clone(), fleet.daemons[daemon].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[daemon].callers_address);
     fleet.run(async move {
         let begun = Instant::now();
         let answer = client.ask(target, request).await;
@@ -211,11 +211,11 @@
 #[test]
 fn what_one_daemon_hears_of_a_limit_all_know_at_once() {
     for (daemons, zones) in [(3, 3), (9, 3), (95, 3)] {
-        let mut fleet = Fleet::new(Size {
+        let mut fleet = Fleet::new(FleetOptions {
             daemons,
             zones,
             records: 1,
-            ..Size::default()
+            ..FleetOptions::default()
         });
         // The daemons have to hear of each other first.
         fleet.wait(Duration::from_secs(3));
@@ -231,10 +231,10 @@
 
 /// Three daemons before one back end, whose limit of a request in ten seconds has been named.
 fn fleet_before_one_limited_back_end() -> (Fleet, EngineStandIn) {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         records: 1,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let engine = fleet.records[0].clone();
     engine.limit_rate(&["0.1"]);
@@ -351,10 +351,10 @@
 /// All back ends set a limit. Who can be in time waits for its turn; the others are refused at once and told when to come back.
 #[test]
 fn callers_wait_for_their_turn_or_are_refused_at_once_where_all_back_ends_set_limits() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         records: 4,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let engines = fleet.records.clone();
     for engine in &engines {
@@ -413,12 +413,12 @@
 #[test]
 fn a_request_that_waited_since_its_engine_was_chosen_is_checked_again_before_it_leaves() {
     for word in [Word::Leaves, Word::BacksOff, Word::TakesNothing] {
-        let mut fleet = Fleet::new(Size {
+        let mut fleet = Fleet::new(FleetOptions {
             decode: 1,
-            ..Size::default()
+            ..FleetOptions::default()
         });
         let engine = fleet.decode[0].clone();
-        let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+        let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
         let told = engine.clone();
         let (long, short) = fleet.run(async move {
             let mut request = ClientRequest::prompt("long", "verdict", 0, 12_000);
--- a/crates/serve/tests/recovery.rs
+++ b/crates/serve/tests/recovery.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{ClientRequest, StoreMode};
 use ponddrift_runtime::Runtime;
-use support::{Fleet, Size, spec};
+use support::{Fleet, FleetOptions, host_spec};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Time for each answer of a store that is busy with all daemons.
@@ -23,7 +23,7 @@
 
 /// The same with entries whose names begin so; those of the fleet's engines begin with `i`.
 fn with_entries_named(prefix: &str) -> Fleet {
-    let fleet = Fleet::new(Size::default());
+    let fleet = Fleet::new(FleetOptions::default());
     for number in 0..MORE_ENTRIES {
         let entry = format!(
             r#"{{"service":"others","address":"10.9.0.{}:80","zone":"a","slots":1,"state":"ready","sequence":1}}"#,
@@ -45,7 +45,7 @@
 
 fn status_of(fleet: &mut Fleet, request: &str) -> Option<StatusCode> {
     let client = fleet.client.clone();
-    let target = fleet.daemons[0].callers;
+    let target = fleet.daemons[0].callers_address;
     let request = ClientRequest::plain(request, "fetch");
     let answer = fleet.run(async move { client.ask(target, &request).await });
     answer.map(|answer| answer.status)
@@ -115,9 +115,9 @@
 
 /// A zone of many daemons that has been up for long enough that its distributors are known to the store.
 fn large_zone() -> Fleet {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: MANY_DAEMONS,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     for number in 0..MORE_ENTRIES {
         let entry = r#"{"service":"others","address":"10.9.0.1:80","zone":"a","slots":1,"state":"ready","sequence":1}"#;
@@ -250,7 +250,7 @@
         let name = format!("nonsense-{}", ip[3]);
         fleet
             .simulation
-            .add_host(spec(&name, ip), move |runtime| answer_nonsense(runtime, ip));
+            .add_host(host_spec(&name, ip), move |runtime| answer_nonsense(runtime, ip));
     }
     let list = ips.map(|ip| SocketAddr::from((ip, 7660)).to_string());
     let list = serde_json::to_string(&list).expect("a list");
--- a/crates/serve/tests/requests.rs
+++ b/crates/serve/tests/requests.rs
@@ -6,7 +6,7 @@
 
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Behaviour, ClientRequest, EngineStandIn, RunEnd};
-use support::{Fleet, Size, routes};
+use support::{Fleet, FleetOptions, routes};
 
 fn total_runs(engines: &[EngineStandIn]) -> usize {
     engines.iter().map(|engine| engine.runs().len()).sum()
@@ -14,7 +14,7 @@
 
 fn ask(fleet: &mut Fleet, request: &ClientRequest) -> ponddrift_platform_stand_ins::Answer {
     let client = fleet.client.clone();
-    let target = fleet.daemons[0].callers;
+    let target = fleet.daemons[0].callers_address;
     fleet
         .run(async move { client.ask(target, request).await })
         .expect("never a bare close")
@@ -22,9 +22,9 @@
 
 #[test]
 fn a_daemon_without_a_configuration_is_not_ready_and_promises_that_nothing_ran() {
-    let mut fleet = Fleet::without_configuration(Size::default());
+    let mut fleet = Fleet::without_configuration(FleetOptions::default());
     let (client, daemon) = (fleet.client.clone(), fleet.daemons[0].clone());
-    let ready = fleet.run(async move { client.status(daemon.readiness, "/readiness").await });
+    let ready = fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
     assert_eq!(ready, Some(StatusCode::SERVICE_UNAVAILABLE));
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -34,9 +34,9 @@
 
 #[test]
 fn plain_answers_come_back_unchanged() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let (client, daemon) = (fleet.client.clone(), fleet.daemons[0].clone());
-    let ready = fleet.run(async move { client.status(daemon.readiness, "/readiness").await });
+    let ready = fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
     assert_eq!(ready, Some(StatusCode::OK));
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::OK);
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_host_or_path_without_a_route_is_told_so() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "nowhere"));
     assert_eq!(answer.status, StatusCode::NOT_FOUND);
 }
@@ -59,7 +59,7 @@
         Behaviour::BreakOff,
         Behaviour::AnswerAnother,
     ] {
-        let mut fleet = Fleet::new(Size::default());
+        let mut fleet = Fleet::new(FleetOptions::default());
         for engine in &fleet.records {
             engine.behave_always(behaviour);
         }
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_hanging_run_that_may_not_be_repeated_is_unsure_at_its_deadline() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Hang);
     }
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_rejected_request_goes_to_another_back_end_and_runs_once() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     warm_budget(&mut fleet, "fetch", 12);
     let before = total_runs(&fleet.records);
     fleet.records[0].behave_next(&[Behaviour::Refuse]);
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_failed_run_is_repeated_elsewhere_only_where_the_route_allows() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     warm_budget(&mut fleet, "fetch", 12);
     fleet.records[0].behave_always(Behaviour::Fail);
     for number in 0..6 {
@@ -132,7 +132,7 @@
 
 #[test]
 fn repeats_stay_within_the_budget_while_every_back_end_fails() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Fail);
     }
@@ -150,8 +150,8 @@
 
 #[test]
 fn a_caller_that_leaves_ends_the_work_at_its_back_end() {
-    let mut fleet = Fleet::new(Size::default());
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let mut fleet = Fleet::new(FleetOptions::default());
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     for engine in fleet.records.iter().chain(&fleet.decode) {
         engine.behave_always(Behaviour::Hang);
     }
@@ -172,8 +172,8 @@
 
 #[test]
 fn a_caller_that_leaves_in_mid_stream_ends_the_work_at_its_engine() {
-    let mut fleet = Fleet::new(Size::default());
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let mut fleet = Fleet::new(FleetOptions::default());
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Stream {
             events: 50,
@@ -193,7 +193,7 @@
 
 #[test]
 fn deadlines_passed_on_are_never_longer_than_what_is_left() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let mut request = ClientRequest::plain("1", "post");
     request.deadline_ms = 700;
     ask(&mut fleet, &request);
@@ -209,7 +209,7 @@
 
 #[test]
 fn a_split_route_gives_each_service_its_share() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let (other, _host) = fleet.add_engine("others", None);
     let mut split = routes();
     split[1].split = vec![("records", 75), ("others", 25)];
@@ -234,13 +234,13 @@
 
 #[test]
 fn beyond_its_bounds_a_daemon_refuses_at_once_and_nothing_runs() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Hang);
     }
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     let refused = fleet.run(async move {
-        for number in 0..support::MOST_IN_PROGRESS {
+        for number in 0..support::MAX_REQUESTS_IN_PROGRESS {
             let client = client.clone();
             let request = ClientRequest::plain(&format!("held-{number}"), "post");
             tokio::task::spawn_local(async move { client.ask(target, &request).await });
@@ -259,7 +259,7 @@
 
 #[test]
 fn heads_and_bodies_beyond_the_configurations_limits_are_told_so() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let long_head = ClientRequest {
         padding: 20_000,
         ..ClientRequest::plain("1", "post")
@@ -279,7 +279,7 @@
 
 #[test]
 fn callers_that_leave_a_back_end_no_time_do_not_make_it_unwell() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for number in 0..20 {
         let mut request = ClientRequest::plain(&number.to_string(), "post");
         request.deadline_ms = 35;
@@ -289,7 +289,7 @@
         ask(&mut fleet, &request);
     }
     let (client, daemon) = (fleet.client.clone(), fleet.daemons[0].clone());
-    let figures = fleet.run(async move { client.text(daemon.readiness, "/metrics").await });
+    let figures = fleet.run(async move { client.text(daemon.readiness_address, "/metrics").await });
     let figures = figures.expect("figures");
     assert!(figures.contains("ponddrift_ejections_total 0"), "{figures}");
 }
--- a/crates/serve/tests/restored_store.rs
+++ b/crates/serve/tests/restored_store.rs
@@ -27,7 +27,7 @@
 use futures::future::join_all;
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{ClientRequest, StoreCopy, StoreMode, UsageNote};
-use support::{Fleet, Size, routes};
+use support::{Fleet, FleetOptions, routes};
 
 /// Sizes of fleets: all daemons read the store, two follow it for all, three zones that are neighbourhoods of their own.
 const SIZES: [u8; 3] = [3, 9, 95];
@@ -41,10 +41,10 @@
 const ROUNDS: u32 = 4;
 
 fn fleet_of(daemons: u8) -> Fleet {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons,
         zones: if daemons > 24 { 3 } else { 1 },
-        ..Size::default()
+        ..FleetOptions::default()
     });
     fleet.store.name_era(FIRST_ERA);
     fleet.wait(Duration::from_secs(6));
@@ -90,7 +90,7 @@
             let asked = daemons.iter().map(|daemon| {
                 number += 1;
                 let (client, request) = (client.clone(), request(number));
-                let target = daemon.callers;
+                let target = daemon.callers_address;
                 async move { client.ask(target, &request).await }
             });
             let answers = join_all(asked).await;
@@ -276,7 +276,7 @@
         let copy = fleet.store.copy();
         write_versions(&mut fleet, 2..=20);
         for refused in fleet.daemons.iter().take(usize::from(daemons / 3)) {
-            fleet.store.refuse(refused.machine);
+            fleet.store.refuse(refused.daemon_ip);
         }
         fleet.wait(Duration::from_secs(2));
         come_back(&mut fleet, &copy);
@@ -418,10 +418,10 @@
 
 #[test]
 fn one_daemon_leads_in_the_next_era_with_a_higher_token_and_reports_no_window_with_other_figures() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: 9,
         reports_usage: true,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     fleet.store.name_era(FIRST_ERA);
     let copy = fleet.store.copy().from_before("ponddrift/");
--- a/crates/serve/tests/retry_pool.rs
+++ b/crates/serve/tests/retry_pool.rs
@@ -6,15 +6,15 @@
 
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Behaviour, ClientRequest};
-use support::{Fleet, Size};
+use support::{Fleet, FleetOptions};
 
 /// More daemons than retries in the slack that the tests' settings give.
 const DAEMONS: u8 = 40;
 
 fn fleet() -> Fleet {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: DAEMONS,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     fleet.wait(Duration::from_secs(3));
     fleet
@@ -62,7 +62,7 @@
         engine.behave_always(Behaviour::Fail);
     }
     let client = fleet.client.clone();
-    let target = fleet.daemons[0].callers;
+    let target = fleet.daemons[0].callers_address;
     let request = ClientRequest::plain("alone", "fetch");
     let answer = fleet.run(async move { client.ask(target, &request).await });
     let status = answer.map(|answer| answer.status);
--- a/crates/serve/tests/settings.rs
+++ b/crates/serve/tests/settings.rs
@@ -1,22 +1,22 @@
-//! Settings: the platform's template filled, and every fault at once.
+//! Settings: the rendered deployment template is valid, and all faults are reported at once.
 
 use ponddrift_fleet::leadership::Fencing;
 use ponddrift_serve::settings::check;
 
 const TEMPLATE: &str = include_str!("../../../deploy/serve.toml.template");
 
-/// A section that stands only where the value is given.
-fn section(text: &str, name: &str, is_given: bool) -> String {
-    let (open, close) = (format!("{{{{#{name}}}}}"), format!("{{{{/{name}}}}}"));
-    let begin = text.find(&open).expect("its begin");
-    let end = text.find(&close).expect("its end");
-    let inner = &text[begin + open.len()..end];
-    let kept = if is_given { inner } else { "" };
-    format!("{}{kept}{}", &text[..begin], &text[end + close.len()..])
+/// Renders the template section `name`: its contents if the value is given, nothing otherwise.
+fn render_section(text: &str, name: &str, is_given: bool) -> String {
+    let (opening_tag, closing_tag) = (format!("{{{{#{name}}}}}"), format!("{{{{/{name}}}}}"));
+    let begin = text.find(&opening_tag).expect("the start of the section");
+    let end = text.find(&closing_tag).expect("the end of the section");
+    let contents = &text[begin + opening_tag.len()..end];
+    let kept = if is_given { contents } else { "" };
+    format!("{}{kept}{}", &text[..begin], &text[end + closing_tag.len()..])
 }
 
-/// What a deployment may lack.
-const OPTIONAL: [&str; 11] = [
+/// Template values that a deployment may leave out.
+const OPTIONAL_VALUES: [&str; 11] = [
     "bootstrap",
     "limits.linkMbps",
     "platform.reads_per_s",
@@ -30,27 +30,27 @@
     "bounds.usageLateS",
 ];
 
-/// Those of them that are true or false.
-const FLAGS: [&str; 2] = ["bootstrap", "bounds.fencingRequired"];
+/// Optional values that are booleans; their sections have an alternative for false.
+const OPTIONAL_FLAGS: [&str; 2] = ["bootstrap", "bounds.fencingRequired"];
 
-/// The template as the platform fills it.
-fn filled() -> String {
-    filled_with(true)
+/// The template rendered with all optional values.
+fn rendered_template() -> String {
+    render_template(true)
 }
 
-fn sections(optional: bool) -> String {
-    let otherwise = if optional { "" } else { "false" };
-    let text = FLAGS.iter().fold(TEMPLATE.to_owned(), |text, flag| {
-        let without = format!("{{{{^{flag}}}}}false{{{{/{flag}}}}}");
-        assert!(text.contains(&without));
-        text.replace(&without, otherwise)
+fn render_sections(has_optional_values: bool) -> String {
+    let replacement = if has_optional_values { "" } else { "false" };
+    let text = OPTIONAL_FLAGS.iter().fold(TEMPLATE.to_owned(), |text, flag| {
+        let false_section = format!("{{{{^{flag}}}}}false{{{{/{flag}}}}}");
+        assert!(text.contains(&false_section));
+        text.replace(&false_section, replacement)
     });
-    OPTIONAL
+    OPTIONAL_VALUES
         .iter()
-        .fold(text, |text, name| section(&text, name, optional))
+        .fold(text, |text, name| render_section(&text, name, has_optional_values))
 }
 
-fn filled_with(optional: bool) -> String {
+fn render_template(has_optional_values: bool) -> String {
     let seeds = "seeds = [{{#seeds}}{{.|json}}{{,}}{{/seeds}}]";
     assert!(TEMPLATE.contains(seeds));
     [
@@ -74,51 +74,51 @@
         ("{{bounds.usageLateS}}", "10"),
     ]
     .iter()
-    .fold(sections(optional), |text, (gap, value)| {
-        text.replace(gap, value)
+    .fold(render_sections(has_optional_values), |text, (placeholder, value)| {
+        text.replace(placeholder, value)
     })
 }
 
 #[test]
-fn the_filled_template_is_accepted_and_says_what_the_platform_bounds() {
-    let text = filled();
-    assert!(!text.contains("{{"), "a gap is left: {text}");
-    let settings = check(&text).expect("in order");
+fn the_rendered_template_is_valid_and_sets_the_limits_of_the_platform() {
+    let text = rendered_template();
+    assert!(!text.contains("{{"), "a placeholder is left: {text}");
+    let settings = check(&text).expect("valid settings");
     assert_eq!(&*settings.name, "frontend-a-1");
-    assert_eq!(settings.peers.to_string(), "10.1.0.35:7660");
+    assert_eq!(settings.peers_address.to_string(), "10.1.0.35:7660");
     assert_eq!(settings.seeds.len(), 2);
-    assert_eq!(settings.link_megabits, 1000);
-    assert!((settings.budget.slack - 54.0).abs() < f64::EPSILON);
-    assert!(settings.stop.accept < settings.stop.limit);
-    assert!(settings.stop.limit.as_secs_f64() < 8.0, "inside the grace");
+    assert_eq!(settings.link_megabits_per_second, 1000);
+    assert!((settings.retry_budget.slack - 54.0).abs() < f64::EPSILON);
+    assert!(settings.stop.accept_period < settings.stop.exit_deadline);
+    assert!(settings.stop.exit_deadline.as_secs_f64() < 8.0, "within the grace period");
     assert_eq!(settings.fencing, Fencing::Checked);
     assert!(settings.is_first_start);
-    let usage = settings.usage.expect("usage is reported");
-    let provider = settings.provider.expect("an address");
+    let usage = settings.usage.expect("usage reports are enabled");
+    let provider = settings.provider_address.expect("a provider address");
     assert_eq!(provider.to_string(), "10.200.0.175:8763");
-    assert!(settings.capacity.is_some(), "engines are ordered");
+    assert!(settings.capacity.is_some(), "engine orders are enabled");
     assert_eq!((usage.window.as_secs(), usage.due.as_secs()), (5, 10));
 }
 
 #[test]
-fn usage_is_reported_only_where_the_provider_takes_it() {
-    let text = filled().replace("usage_report,autoscale", "autoscale");
-    assert_eq!(check(&text).expect("in order").usage, None);
-    let text = filled().replace("usage_report,autoscale", "usage_report");
-    assert_eq!(check(&text).expect("in order").capacity, None);
-    let text = filled() + "\n[capacity]\nplanned = false\n";
-    assert_eq!(check(&text).expect("in order").capacity, None);
-    let text = filled().replace("usage_report,autoscale", "autoscale, usage_report");
-    assert!(check(&text).expect("in order").usage.is_some());
-    let text = filled().replace("fencing_checked = true", "fencing_checked = \"yes\"");
-    let faults = check(&text).expect_err("faulty");
+fn usage_reports_and_engine_orders_are_enabled_only_if_the_provider_accepts_them() {
+    let text = rendered_template().replace("usage_report,autoscale", "autoscale");
+    assert_eq!(check(&text).expect("valid settings").usage, None);
+    let text = rendered_template().replace("usage_report,autoscale", "usage_report");
+    assert_eq!(check(&text).expect("valid settings").capacity, None);
+    let text = rendered_template() + "\n[capacity]\nplanned = false\n";
+    assert_eq!(check(&text).expect("valid settings").capacity, None);
+    let text = rendered_template().replace("usage_report,autoscale", "autoscale, usage_report");
+    assert!(check(&text).expect("valid settings").usage.is_some());
+    let text = rendered_template().replace("fencing_checked = true", "fencing_checked = \"yes\"");
+    let faults = check(&text).expect_err("invalid settings");
     assert_eq!(faults.0[0].key, "leader.fencing_checked");
 }
 
 #[test]
-fn every_fault_is_told_at_once_with_its_remedy() {
+fn every_fault_is_reported_at_once_with_its_remedy() {
     let text = "[daemon]\nzone = 3\n[listen]\ncallers = \"localhost:1\"\n[stop]\ngrace_s = 0\n[retry]\nratio = 1\n";
-    let faults = check(text).expect_err("faulty");
+    let faults = check(text).expect_err("invalid settings");
     let keys: Vec<&str> = faults.0.iter().map(|fault| fault.key.as_str()).collect();
     for key in [
         "daemon.name",
@@ -136,23 +136,23 @@
 }
 
 #[test]
-fn a_stop_longer_than_the_grace_is_a_fault() {
-    let text = filled().replace("grace_s = 8", "grace_s = 2");
-    let faults = check(&text).expect_err("faulty");
+fn a_stop_longer_than_the_grace_period_is_a_fault() {
+    let text = rendered_template().replace("grace_s = 8", "grace_s = 2");
+    let faults = check(&text).expect_err("invalid settings");
     assert!(faults.0.iter().any(|fault| fault.key == "stop.accept_ms"));
 }
 
 #[test]
-fn what_is_no_toml_is_told_so() {
-    assert_eq!(check("= 3").expect_err("faulty").0.len(), 1);
+fn text_that_is_not_toml_is_one_fault() {
+    assert_eq!(check("= 3").expect_err("invalid settings").0.len(), 1);
 }
 
 #[test]
-fn a_deployment_without_the_optional_values_gets_the_defaults() {
-    let text = filled_with(false);
-    assert!(!text.contains("{{"), "a gap is left: {text}");
-    let settings = check(&text).expect("in order");
-    assert!((settings.budget.slack - 10.0).abs() < f64::EPSILON);
-    assert_eq!(settings.fencing, Fencing::Ignored, "the platform says so");
+fn a_deployment_without_optional_values_gets_the_defaults() {
+    let text = render_template(false);
+    assert!(!text.contains("{{"), "a placeholder is left: {text}");
+    let settings = check(&text).expect("valid settings");
+    assert!((settings.retry_budget.slack - 10.0).abs() < f64::EPSILON);
+    assert_eq!(settings.fencing, Fencing::Ignored, "the platform sets it to false");
     assert_eq!((settings.usage, settings.capacity), (None, None));
 }
--- a/crates/serve/tests/silent_connections.rs
+++ b/crates/serve/tests/silent_connections.rs
@@ -6,7 +6,7 @@
 
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Answer, ClientRequest};
-use support::{Fleet, Size, routes};
+use support::{Fleet, FleetOptions, routes};
 use tokio::time::Instant;
 
 /// Time in which a change of the configuration is to be in force.
@@ -14,7 +14,7 @@
 
 fn ask(fleet: &mut Fleet, request: &ClientRequest) -> (Answer, Duration) {
     let client = fleet.client.clone();
-    let target = fleet.daemons[0].callers;
+    let target = fleet.daemons[0].callers_address;
     fleet.run(async move {
         let begun = Instant::now();
         let answer = client.ask(target, request).await;
@@ -25,7 +25,7 @@
 /// As many at a time as a pool holds connections.
 fn ask_at_once(fleet: &mut Fleet, number: usize) {
     let client = fleet.client.clone();
-    let target = fleet.daemons[0].callers;
+    let target = fleet.daemons[0].callers_address;
     let requests: Vec<ClientRequest> = (0..number)
         .map(|number| ClientRequest::plain(&format!("w{number}"), "fetch"))
         .collect();
@@ -37,7 +37,7 @@
 
 #[test]
 fn one_request_finds_out_that_an_engines_connections_are_silent_and_is_served_elsewhere() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.tell_keep_alive(60);
     }
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_daemon_whose_connections_to_the_store_are_silent_learns_of_a_change_in_time() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let handle = fleet.simulation.handle();
     handle.silence_connections(fleet.daemons[0].host, fleet.store_host);
     let mut changed = routes();
@@ -71,9 +71,9 @@
 
 #[test]
 fn daemons_whose_connections_to_each_other_are_silent_hand_changes_on_in_time() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: 4,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let handle = fleet.simulation.handle();
     for first in fleet.daemons.clone() {
--- a/crates/serve/tests/streams.rs
+++ b/crates/serve/tests/streams.rs
@@ -6,14 +6,14 @@
 
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Answer, Behaviour, ClientRequest, EngineStandIn};
-use support::{Fleet, Size};
+use support::{Fleet, FleetOptions};
 
 /// Tokens that are worth a reading apart.
 const LONG: u32 = 6_000;
 
 fn ask(fleet: &mut Fleet, request: &ClientRequest) -> Answer {
     let client = fleet.client.clone();
-    let target = fleet.daemons[0].callers;
+    let target = fleet.daemons[0].callers_address;
     fleet
         .run(async move { client.ask(target, request).await })
         .expect("never a bare close")
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_short_prompt_goes_straight_to_a_decode_engine() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let answer = ask(&mut fleet, &ClientRequest::prompt("1", "tag", 40, 200));
     assert_eq!(answer.status, StatusCode::OK);
     assert!(answer.is_whole);
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_long_prompt_is_read_apart_and_goes_on_by_its_handle() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     let answer = ask(
         &mut fleet,
         &ClientRequest::prompt("1", "verdict", LONG, 900),
@@ -65,7 +65,7 @@
 
 #[test]
 fn without_a_prefill_engine_the_decode_engine_reads() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     fleet.prefill[0].vanish(&fleet.store);
     fleet.wait(Duration::from_millis(100));
     let answer = ask(
@@ -79,7 +79,7 @@
 #[test]
 fn a_failed_reading_is_no_run_and_the_request_is_served_all_the_same() {
     for behaviour in [Behaviour::Refuse, Behaviour::Fail, Behaviour::LoseAnswer] {
-        let mut fleet = Fleet::new(Size::default());
+        let mut fleet = Fleet::new(FleetOptions::default());
         earn(&mut fleet);
         let before: usize = fleet.decode.iter().map(|engine| engine.runs().len()).sum();
         fleet.prefill[0].behave_always(behaviour);
@@ -95,11 +95,11 @@
 
 #[test]
 fn a_caller_that_leaves_between_reading_and_generating_frees_the_handle() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Hang);
     }
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
         let request = ClientRequest::prompt("1", "verdict", LONG, 900);
         let wait_policy = Duration::from_millis(300);
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_resumable_stream_goes_on_elsewhere_without_loss_or_repetition() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     earn(&mut fleet);
     for engine in &fleet.decode {
         engine.behave_next(&[Behaviour::BreakOff]);
@@ -143,9 +143,9 @@
 
 #[test]
 fn a_stream_resumed_at_a_sound_engine_is_whole() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         decode: 1,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     earn(&mut fleet);
     let (second, _host) = fleet.add_engine(support::MODELS, Some("decode"));
@@ -167,7 +167,7 @@
 
 #[test]
 fn a_stream_that_may_not_be_resumed_never_looks_complete_when_it_breaks() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::BreakOff);
     }
@@ -181,9 +181,9 @@
 
 #[test]
 fn a_prefill_engine_that_falls_dark_is_left_before_the_caller_leaves() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         prefill: 2,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     earn(&mut fleet);
     let prompts = |from: u32| -> Vec<ClientRequest> {
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_slow_stream_is_not_broken_off_where_the_budget_has_no_place_for_another() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Stream {
             events: 4,
@@ -231,9 +231,9 @@
 
 #[test]
 fn an_engine_that_falls_dark_in_mid_stream_is_left_for_another() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         decode: 1,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     earn(&mut fleet);
     fleet.decode[0].behave_always(Behaviour::Stream {
@@ -243,7 +243,7 @@
     let (second, _host) = fleet.add_engine(support::MODELS, Some("decode"));
     second.behave_always(Behaviour::Refuse);
     fleet.wait(Duration::from_millis(100));
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     let handle = fleet.simulation.handle();
     let dark = fleet.decode_hosts[0];
     let answer = fleet.run(async move {
@@ -262,9 +262,9 @@
 
 #[test]
 fn a_caller_that_leaves_while_its_prompt_is_read_ends_the_reading() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     fleet.prefill[0].behave_always(Behaviour::Hang);
-    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers);
+    let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
         let request = ClientRequest::prompt("1", "verdict", LONG, 900);
         let wait_policy = Duration::from_millis(100);
@@ -283,9 +283,9 @@
 #[test]
 fn readings_that_engines_reject_stay_within_the_budget() {
     const REQUESTS: usize = 60;
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         prefill: 6,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     for engine in &fleet.prefill {
         engine.behave_always(Behaviour::Refuse);
--- a/crates/serve/tests/support/mod.rs
+++ b/crates/serve/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated platform: a store, engines, daemons and a client on a virtual network.
+//! A simulated platform: store, provider, engines, daemons and a client on a virtual network.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses only a part of it")]
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -20,31 +20,31 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// Requests that a daemon of these tests has in progress, at most.
-pub const MOST_IN_PROGRESS: usize = 60;
-/// Time between two tidyings of a daemon; less than in the program, so that short tests see some.
-const TIDY_INTERVAL: Duration = Duration::from_secs(1);
-/// Service of plain servers.
+/// `limits.requests_in_progress` of the daemons in these tests.
+pub const MAX_REQUESTS_IN_PROGRESS: usize = 60;
+/// Shorter than in the program, so that short tests include maintenance runs.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Name of the service of plain back ends.
 pub const RECORDS: &str = "records";
-/// Service of model engines.
+/// Name of the service of model engines.
 pub const MODELS: &str = "models";
 
-/// Which engines a fleet has.
+/// Numbers of hosts of each kind in a fleet, and what the daemons call the provider for.
 #[derive(Debug, Clone, Copy)]
-pub struct Size {
+pub struct FleetOptions {
     pub daemons: u8,
     pub records: u8,
     pub prefill: u8,
     pub decode: u8,
-    /// Zones over which the daemons are spread.
+    /// Number of zones; the daemons are assigned to them in turn.
     pub zones: u8,
-    /// Whether usage is reported.
+    /// Whether the daemons report usage to the provider.
     pub reports_usage: bool,
-    /// Whether engines are ordered.
+    /// Whether the daemons order engines from the provider.
     pub orders_engines: bool,
 }
 
-impl Default for Size {
+impl Default for FleetOptions {
     fn default() -> Self {
         Self {
             daemons: 1,
@@ -58,29 +58,29 @@
     }
 }
 
-/// One daemon of the fleet.
+/// A daemon of the fleet and the host that it runs on.
 #[derive(Clone)]
 pub struct DaemonHost {
     pub host: HostId,
-    pub callers: SocketAddr,
-    pub readiness: SocketAddr,
-    pub machine: IpAddr,
-    stop: Arc<Notify>,
-    stopped: Rc<RefCell<bool>>,
+    pub callers_address: SocketAddr,
+    pub readiness_address: SocketAddr,
+    pub daemon_ip: IpAddr,
+    stop_requested: Arc<Notify>,
+    is_stopped: Rc<RefCell<bool>>,
 }
 
 impl DaemonHost {
-    /// A planned stop, as by a signal.
+    /// Starts a graceful stop, as SIGTERM does.
     pub fn terminate(&self) {
-        self.stop.notify_one();
+        self.stop_requested.notify_one();
     }
 
     pub fn has_stopped(&self) -> bool {
-        *self.stopped.borrow()
+        *self.is_stopped.borrow()
     }
 }
 
-/// A simulated platform.
+/// A simulated platform with its daemons, and handles to change its state.
 pub struct Fleet {
     pub simulation: Simulation,
     pub store: StoreStandIn,
@@ -95,29 +95,29 @@
     pub client: ClientStandIn,
     pub provider: ProviderStandIn,
     pub provider_host: HostId,
-    next_engine: u8,
+    engine_count: u8,
 }
 
-const PROVIDER: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 2)), 7000);
-const STORE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1)), 7000);
+const PROVIDER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 2)), 7000);
+const STORE_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1)), 7000);
 
 impl Fleet {
-    /// A fleet whose configuration and engines are in the store, with daemons that are ready.
-    pub fn new(size: Size) -> Self {
-        let mut fleet = Self::without_configuration(size);
+    /// Starts a fleet, writes a configuration to the store and gives the daemons time to read it.
+    pub fn new(options: FleetOptions) -> Self {
+        let mut fleet = Self::without_configuration(options);
         fleet.store.put("op/config", configuration(1, &routes()));
         fleet.wait(Duration::from_millis(500));
         fleet
     }
 
-    /// A fleet before the operator's first configuration.
-    pub fn without_configuration(size: Size) -> Self {
+    /// Starts a fleet whose store holds no configuration yet.
+    pub fn without_configuration(options: FleetOptions) -> Self {
         let mut simulation = Simulation::new(SimulationSettings::with_seed(7));
         let store = StoreStandIn::default();
         let store_host = add_store(&mut simulation, &store);
         let provider = ProviderStandIn::default();
         let provider_host = add_provider(&mut simulation, &provider);
-        let (_host, runtime) = simulation.add_client(spec("client", [10, 0, 3, 1]));
+        let (_host, runtime) = simulation.add_client(host_spec("client", [10, 0, 3, 1]));
         let mut fleet = Self {
             simulation,
             store,
@@ -132,33 +132,33 @@
             client: ClientStandIn::new(runtime),
             provider,
             provider_host,
-            next_engine: 0,
+            engine_count: 0,
         };
-        for _ in 0..size.records {
+        for _ in 0..options.records {
             let (engine, host) = fleet.add_engine(RECORDS, None);
             fleet.records.push(engine);
             fleet.records_hosts.push(host);
         }
-        for _ in 0..size.prefill {
+        for _ in 0..options.prefill {
             let (engine, host) = fleet.add_engine(MODELS, Some("prefill"));
             fleet.prefill.push(engine);
             fleet.prefill_hosts.push(host);
         }
-        for _ in 0..size.decode {
+        for _ in 0..options.decode {
             let (engine, host) = fleet.add_engine(MODELS, Some("decode"));
             fleet.decode.push(engine);
             fleet.decode_hosts.push(host);
         }
-        for number in 0..size.daemons {
-            let zone = char::from(b'a' + number % size.zones);
-            let settings = daemon_settings(number + 1, zone, size);
+        for number in 0..options.daemons {
+            let zone = char::from(b'a' + number % options.zones);
+            let settings = daemon_settings(number + 1, zone, options);
             fleet.add_daemon(number + 1, settings);
         }
         fleet.wait(Duration::from_millis(200));
         fleet
     }
 
-    /// Adds an engine that records itself as ready.
+    /// Adds an engine in zone a that is registered in the store as ready.
     pub fn add_engine(
         &mut self,
         service: &str,
@@ -167,7 +167,7 @@
         self.add_engine_in("a", service, stage, false)
     }
 
-    /// The same in another zone, or one that may be taken away.
+    /// Adds an engine in any zone; `spot` makes it a spot instance, which the provider may reclaim.
     pub fn add_engine_in(
         &mut self,
         zone: &str,
@@ -175,10 +175,10 @@
         stage: Option<&'static str>,
         spot: bool,
     ) -> (EngineStandIn, HostId) {
-        self.next_engine += 1;
-        let ip = [10, 0, 1, self.next_engine];
+        self.engine_count += 1;
+        let ip = [10, 0, 1, self.engine_count];
         let engine = EngineStandIn::new(EngineSettings {
-            id: format!("i-{}", self.next_engine),
+            id: format!("i-{}", self.engine_count),
             service: service.to_owned(),
             address: SocketAddr::from((ip, 8080)),
             zone: zone.to_owned(),
@@ -187,12 +187,12 @@
             spot,
         });
         engine.record(&self.store, "ready");
-        let served = engine.clone();
-        let name = format!("engine-{}", self.next_engine);
-        let host = self.simulation.add_host(spec(&name, ip), move |runtime| {
-            let served = served.clone();
+        let serving_engine = engine.clone();
+        let name = format!("engine-{}", self.engine_count);
+        let host = self.simulation.add_host(host_spec(&name, ip), move |runtime| {
+            let serving_engine = serving_engine.clone();
             async move {
-                let _server = served.serve(&runtime).await.expect("binds");
+                let _server = serving_engine.serve(&runtime).await.expect("the address is free");
                 std::future::pending().await
             }
         });
@@ -201,148 +201,149 @@
 
     fn add_daemon(&mut self, number: u8, settings: Settings) {
         let ip = [10, 0, 2, number];
-        let stop = Arc::new(Notify::new());
-        let stopped = Rc::new(RefCell::new(false));
+        let stop_requested = Arc::new(Notify::new());
+        let is_stopped = Rc::new(RefCell::new(false));
         let daemon = DaemonHost {
             host: HostId(0),
-            callers: settings.callers,
-            readiness: settings.readiness,
-            machine: IpAddr::from(ip),
-            stop: Arc::clone(&stop),
-            stopped: Rc::clone(&stopped),
+            callers_address: settings.callers_address,
+            readiness_address: settings.readiness_address,
+            daemon_ip: IpAddr::from(ip),
+            stop_requested: Arc::clone(&stop_requested),
+            is_stopped: Rc::clone(&is_stopped),
         };
         let name = format!("daemon-{number}");
-        let host = self.simulation.add_host(spec(&name, ip), move |runtime| {
+        let host = self.simulation.add_host(host_spec(&name, ip), move |runtime| {
             let settings = settings.clone();
-            let stop = Arc::clone(&stop);
-            let stopped = Rc::clone(&stopped);
+            let stop_requested = Arc::clone(&stop_requested);
+            let is_stopped = Rc::clone(&is_stopped);
             async move {
-                let daemon = Daemon::start(&runtime, settings).await.expect("starts");
-                // As the program does: what tidying holds must not hold up requests.
-                let tidying = async {
+                let daemon = Daemon::start(&runtime, settings).await.expect("the daemon starts");
+                // Concurrent with requests, as in the program: maintenance must not delay them.
+                let maintenance = async {
                     loop {
-                        sleep(TIDY_INTERVAL).await;
-                        daemon.tidy(0);
+                        sleep(MAINTENANCE_INTERVAL).await;
+                        daemon.run_maintenance(0);
                     }
                 };
                 tokio::select! {
                     biased;
-                    () = stop.notified() => {}
-                    () = tidying => {}
+                    () = stop_requested.notified() => {}
+                    () = maintenance => {}
                 }
                 daemon.stop().await;
-                *stopped.borrow_mut() = true;
+                *is_stopped.borrow_mut() = true;
                 std::future::pending().await
             }
         });
         self.daemons.push(DaemonHost { host, ..daemon });
     }
 
-    /// All model engines that generate, with their hosts.
-    pub fn decoders(&self) -> Vec<(EngineStandIn, HostId)> {
+    /// All decode engines with their hosts.
+    pub fn decode_engines_and_hosts(&self) -> Vec<(EngineStandIn, HostId)> {
         let engines = self.decode.iter().cloned();
         engines.zip(self.decode_hosts.iter().copied()).collect()
     }
 
-    /// Lets virtual time pass.
+    /// Runs the simulation for `time` of virtual time.
     pub fn wait(&mut self, time: Duration) {
         self.simulation.run_for(time);
     }
 
-    /// Runs a driver outside of the hosts.
+    /// Runs the simulation until `driver`, which belongs to no host, has completed.
     pub fn run<D: Future>(&mut self, driver: D) -> D::Output {
         self.simulation.block_on(driver)
     }
 
-    /// Sends a safe request to each daemon, `name-0` and on. Returns how many were answered with success.
+    /// Sends one request of the retryable route `fetch` to each daemon, with identities `name-0`,
+    /// `name-1` and so on. Returns the number of responses with status 200.
     pub fn ask_each_daemon(&mut self, name: &str) -> usize {
         let client = self.client.clone();
         let daemons = self.daemons.clone();
         let name = name.to_owned();
         self.run(async move {
-            let mut served = 0;
+            let mut served_count = 0;
             for (number, daemon) in daemons.iter().enumerate() {
                 let request = ClientRequest::plain(&format!("{name}-{number}"), "fetch");
-                let answer = client.ask(daemon.callers, &request).await;
-                served += usize::from(answer.is_some_and(|answer| answer.status == StatusCode::OK));
+                let answer = client.ask(daemon.callers_address, &request).await;
+                served_count += usize::from(answer.is_some_and(|answer| answer.status == StatusCode::OK));
             }
-            served
+            served_count
         })
     }
 
-    /// Index of the daemon that reported usage last, which leads.
+    /// Index of the daemon that sent the newest usage report, which is the leader.
     pub fn last_reporter(&self) -> usize {
-        let notes = self.provider.usage();
-        let holder = &notes.last().expect("a report").holder;
+        let reports = self.provider.usage();
+        let holder = &reports.last().expect("at least one report").holder;
         let number = holder.trim_start_matches("daemon-");
-        number.parse::<usize>().expect("a number") - 1
+        number.parse::<usize>().expect("a daemon name that ends in a number") - 1
     }
 
-    /// Writes a newer configuration.
+    /// Writes a configuration with these routes to the store.
     pub fn configure(&self, version: u64, routes: &[RouteText]) {
         self.store.put("op/config", configuration(version, routes));
     }
 }
 
 fn add_store(simulation: &mut Simulation, store: &StoreStandIn) -> HostId {
-    let served = store.clone();
-    simulation.add_host(spec("store", [10, 0, 0, 1]), move |runtime| {
-        let served = served.clone();
+    let serving_store = store.clone();
+    simulation.add_host(host_spec("store", [10, 0, 0, 1]), move |runtime| {
+        let serving_store = serving_store.clone();
         async move {
-            let _server = served.serve(&runtime, STORE).await.expect("binds");
+            let _server = serving_store.serve(&runtime, STORE_ADDRESS).await.expect("the address is free");
             std::future::pending().await
         }
     })
 }
 
 fn add_provider(simulation: &mut Simulation, provider: &ProviderStandIn) -> HostId {
-    let served = provider.clone();
-    simulation.add_host(spec("provider", [10, 0, 0, 2]), move |runtime| {
-        let served = served.clone();
+    let serving_provider = provider.clone();
+    simulation.add_host(host_spec("provider", [10, 0, 0, 2]), move |runtime| {
+        let serving_provider = serving_provider.clone();
         async move {
-            let _server = served.serve(&runtime, PROVIDER).await.expect("binds");
+            let _server = serving_provider.serve(&runtime, PROVIDER_ADDRESS).await.expect("the address is free");
             std::future::pending().await
         }
     })
 }
 
-fn daemon_settings(number: u8, zone: char, size: Size) -> Settings {
+fn daemon_settings(number: u8, zone: char, options: FleetOptions) -> Settings {
     let mut text = format!(
         "[daemon]\nname = \"daemon-{number}\"\nzone = \"{zone}\"\n\
          [listen]\ncallers = \"10.0.2.{number}:8144\"\nreadiness = \"10.0.2.{number}:8140\"\n\
-         peers = \"10.0.2.{number}:7660\"\n[store]\naddress = \"{STORE}\"\n\
+         peers = \"10.0.2.{number}:7660\"\n[store]\naddress = \"{STORE_ADDRESS}\"\n\
          [peers]\nseeds = [\"10.0.2.1:1\", \"10.0.2.2:1\"]\n\
          [retry]\nbudget_ratio = 0.2\nbudget_slack = 20\n[stop]\ngrace_s = 8\n\
-         [limits]\nrequests_in_progress = {MOST_IN_PROGRESS}\n"
+         [limits]\nrequests_in_progress = {MAX_REQUESTS_IN_PROGRESS}\n"
     );
-    let calls: Vec<&str> = [
-        (size.reports_usage, "usage_report"),
-        (size.orders_engines, "autoscale"),
+    let provider_calls: Vec<&str> = [
+        (options.reports_usage, "usage_report"),
+        (options.orders_engines, "autoscale"),
     ]
     .into_iter()
-    .filter_map(|(is_made, call)| is_made.then_some(call))
+    .filter_map(|(is_enabled, call)| is_enabled.then_some(call))
     .collect();
-    if !calls.is_empty() {
-        let calls = calls.join(",");
+    if !provider_calls.is_empty() {
+        let provider_calls = provider_calls.join(",");
         text += &format!(
-            "[provider]\naddress = \"{PROVIDER}\"\ncalls = \"{calls}\"\n\
+            "[provider]\naddress = \"{PROVIDER_ADDRESS}\"\ncalls = \"{provider_calls}\"\n\
              [usage]\nwindow_s = 5\ndue_s = 10\n"
         );
     }
-    settings::check(&text).expect("in order")
+    settings::check(&text).expect("valid settings")
 }
 
-/// A machine of zone a.
-pub fn spec(name: &str, ip: [u8; 4]) -> HostSpec {
+/// Specification of a host in zone a.
+pub fn host_spec(name: &str, ip: [u8; 4]) -> HostSpec {
     HostSpec {
         name: name.to_owned(),
         ip: IpAddr::from(ip),
-        zone: ZoneName::new("a").expect("a name"),
-        region: RegionName::new("central").expect("a name"),
+        zone: ZoneName::new("a").expect("a valid name"),
+        region: RegionName::new("central").expect("a valid name"),
     }
 }
 
-/// The usual routes.
+/// The routes of most tests: two of plain back ends, two of model engines.
 pub fn routes() -> Vec<RouteText> {
     vec![
         RouteText {
@@ -362,7 +363,7 @@
     ]
 }
 
-/// The usual services.
+/// Text of a configuration with these routes and the services of most tests.
 pub fn configuration(version: u64, routes: &[RouteText]) -> String {
     let services = [
         ServiceText {
@@ -377,60 +378,60 @@
     config(version, routes, &services)
 }
 
-/// The usual routes, and 400 more like `fetch`, `more-0` to `more-399`.
-pub fn configuration_of_hundreds_of_routes(version: u64) -> String {
+/// Text of a configuration with [`routes`] and 400 copies of `fetch`, `more-0` to `more-399`.
+pub fn configuration_with_many_routes(version: u64) -> String {
     let text = configuration(version, &routes());
-    let mut value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-    let all = value["routes"].as_array_mut().expect("a list");
-    let model = all[1].clone();
+    let mut value: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
+    let all_routes = value["routes"].as_array_mut().expect("a list of routes");
+    let template_route = all_routes[1].clone();
     for number in 0..400 {
-        let mut route = model.clone();
+        let mut route = template_route.clone();
         route["name"] = serde_json::json!(format!("more-{number}"));
         route["pathPrefix"] = serde_json::json!(format!("/more-{number}/"));
-        all.push(route);
+        all_routes.push(route);
     }
     value.to_string()
 }
 
-/// Brings crashes about, for good: an engine that is about to crash is killed, and is back under another identity after
-/// `down`. Its old entry lapses then.
+/// Kills each engine that reports that it is crashing, and restarts it after `restart_delay` under
+/// a new identity. Its old store entry is removed at the restart. Never completes.
 pub async fn crash_engines(
     simulation: SimulationHandle,
     store: StoreStandIn,
     engines: Vec<(EngineStandIn, HostId)>,
-    down: Duration,
+    restart_delay: Duration,
 ) {
-    let mut starts: Vec<(Instant, usize, String)> = Vec::new();
+    let mut pending_restarts: Vec<(Instant, usize, String)> = Vec::new();
     loop {
         for (index, (engine, host)) in engines.iter().enumerate() {
             if engine.is_crashing() {
                 simulation.kill(*host);
                 let entry = engine.key();
                 engine.has_crashed();
-                starts.push((Instant::now() + down, index, entry));
+                pending_restarts.push((Instant::now() + restart_delay, index, entry));
             }
         }
-        starts.retain(|(at, index, old_entry)| {
-            let is_due = *at <= Instant::now();
-            if is_due {
+        pending_restarts.retain(|(restart_at, index, old_entry)| {
+            let is_restart_due = *restart_at <= Instant::now();
+            if is_restart_due {
                 let (engine, host) = &engines[*index];
                 store.remove(old_entry);
                 engine.record(&store, "ready");
                 simulation.restart(*host);
             }
-            !is_due
+            !is_restart_due
         });
         sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Waits in virtual time until `condition` holds.
-pub async fn until(mut condition: impl FnMut() -> bool) {
+/// Waits until `condition` holds; panics after about 20 s of virtual time.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
     for _ in 0..20_000 {
         if condition() {
             return;
         }
         sleep(Duration::from_millis(1)).await;
     }
-    panic!("the condition did not come true within 20 s of virtual time");
+    panic!("the condition did not hold within 20 s of virtual time");
 }
--- a/crates/serve/tests/suspension.rs
+++ b/crates/serve/tests/suspension.rs
@@ -11,7 +11,7 @@
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Behaviour, ClientRequest, TenantText, with_tenants};
 use ponddrift_serving::time::{self, notice_suspension, simulate_suspension};
-use support::{Fleet, Size, configuration, routes, until};
+use support::{Fleet, FleetOptions, configuration, routes, wait_until};
 use tokio::time::{Instant, sleep};
 
 const ALICE: TenantText = TenantText {
@@ -54,12 +54,12 @@
 /// The caller of a request that waited through a suspension has no time left: it is answered at once, and not sent again.
 #[test]
 fn a_request_whose_deadline_passed_in_a_suspension_is_answered_at_once() {
-    let mut fleet = Fleet::new(Size::default());
+    let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Hang);
     }
     let client = fleet.client.clone();
-    let target = fleet.daemons[0].callers;
+    let target = fleet.daemons[0].callers_address;
     let request = ClientRequest {
         deadline_ms: 15_000,
         ..ClientRequest::plain("1", "post")
@@ -71,7 +71,7 @@
             (answer, Instant::now())
         };
         let suspended = async {
-            until(|| records.iter().any(|engine| !engine.runs().is_empty())).await;
+            wait_until(|| records.iter().any(|engine| !engine.runs().is_empty())).await;
             simulate_suspension(SUSPENSION);
             notice_suspension();
             Instant::now()
@@ -89,10 +89,10 @@
 /// A leader that was suspended for longer than its lease leads no more from its first instant awake.
 #[test]
 fn a_leader_that_was_suspended_beyond_its_lease_does_not_report_on_it() {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         reports_usage: true,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let text = configuration(2, &routes());
     fleet.store.put("op/config", with_tenants(&text, &[ALICE]));
--- a/crates/serve/tests/tenants.rs
+++ b/crates/serve/tests/tenants.rs
@@ -8,7 +8,7 @@
 use ponddrift_platform_stand_ins::{
     Answer, ClientRequest, RouteText, Run, StoreMode, TenantText, with_tenants,
 };
-use support::{Fleet, RECORDS, Size, configuration, routes};
+use support::{Fleet, RECORDS, FleetOptions, configuration, routes};
 
 const ALICE: TenantText = TenantText {
     name: "alice",
@@ -35,7 +35,7 @@
     fleet.wait(Duration::from_millis(600));
 }
 
-fn fleet_of(size: Size, tenants: &[TenantText]) -> Fleet {
+fn fleet_of(size: FleetOptions, tenants: &[TenantText]) -> Fleet {
     let mut fleet = Fleet::new(size);
     configure(&mut fleet, 2, tenants);
     fleet
@@ -47,7 +47,7 @@
 
 fn ask_at(fleet: &mut Fleet, daemon: usize, request: &ClientRequest) -> Answer {
     let client = fleet.client.clone();
-    let target = fleet.daemons[daemon].callers;
+    let target = fleet.daemons[daemon].callers_address;
     fleet
         .run(async move { client.ask(target, request).await })
         .expect("never a bare close")
@@ -64,7 +64,7 @@
 
 #[test]
 fn engines_learn_the_tenant_and_never_the_key() {
-    let mut fleet = fleet_of(Size::default(), &[ALICE, BOB]);
+    let mut fleet = fleet_of(FleetOptions::default(), &[ALICE, BOB]);
     let requests = [
         ClientRequest::plain("1", "post").with_key("second-of-alice"),
         ClientRequest::plain("2", "fetch").with_key("key-of-bob"),
@@ -91,7 +91,7 @@
 
 #[test]
 fn whatever_is_no_valid_key_gets_the_same_refusal_and_nothing_runs() {
-    let mut fleet = fleet_of(Size::default(), &[ALICE, BOB]);
+    let mut fleet = fleet_of(FleetOptions::default(), &[ALICE, BOB]);
     let plain = |id: &str| ClientRequest::plain(id, "fetch");
     let doubled = plain("2").with_key("key-of-alice").with_key("key-of-alice");
     let requests = [
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_public_route_needs_no_key_and_counts_a_valid_one() {
-    let mut fleet = fleet_of(Size::default(), &[ALICE]);
+    let mut fleet = fleet_of(FleetOptions::default(), &[ALICE]);
     let requests = [
         (ClientRequest::plain("1", "open"), None),
         (ClientRequest::plain("2", "open").with_key("nobody's"), None),
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_key_that_moves_to_another_tenant_in_one_revision_counts_there() {
-    let mut fleet = fleet_of(Size::default(), &[ALICE, BOB]);
+    let mut fleet = fleet_of(FleetOptions::default(), &[ALICE, BOB]);
     let moved = TenantText {
         api_keys: &["key-of-bob", "key-of-alice"],
         ..BOB
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_revoked_key_is_refused_and_the_tenants_other_key_goes_on() {
-    let mut fleet = fleet_of(Size::default(), &[ALICE]);
+    let mut fleet = fleet_of(FleetOptions::default(), &[ALICE]);
     let request = ClientRequest::plain("1", "fetch").with_key("key-of-alice");
     assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
     let left = TenantText {
@@ -172,9 +172,9 @@
 /// Its peers pass the revocation on.
 #[test]
 fn a_daemon_cut_off_from_the_store_refuses_a_revoked_key() {
-    let size = Size {
+    let size = FleetOptions {
         daemons: 4,
-        ..Size::default()
+        ..FleetOptions::default()
     };
     let mut fleet = fleet_of(size, &[ALICE, BOB]);
     let handle = fleet.simulation.handle();
@@ -195,7 +195,7 @@
 /// Nothing is kept, so a daemon that starts while the store is away must not take requests for a key that may be revoked.
 #[test]
 fn a_daemon_without_a_configuration_promises_that_nothing_ran() {
-    let mut fleet = fleet_of(Size::default(), &[ALICE]);
+    let mut fleet = fleet_of(FleetOptions::default(), &[ALICE]);
     fleet.store.set_mode(StoreMode::Silent);
     let handle = fleet.simulation.handle();
     handle.restart(fleet.daemons[0].host);
@@ -209,7 +209,7 @@
 /// The prompt's reader ranks requests; a tenant's own rank goes before its route's.
 #[test]
 fn a_tenants_rank_goes_before_that_of_the_route() {
-    let mut fleet = fleet_of(Size::default(), &[ALICE, BOB]);
+    let mut fleet = fleet_of(FleetOptions::default(), &[ALICE, BOB]);
     for (id, key) in [("1", "key-of-alice"), ("2", "key-of-bob")] {
         let request = ClientRequest::prompt(id, "verdict", 4_000, 800).with_key(key);
         assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -12,7 +12,7 @@
 use ponddrift_platform_stand_ins::{
     ClientRequest, ProviderMode, StoreMode, TenantText, UsageNote, with_tenants,
 };
-use support::{Fleet, Size, configuration, routes};
+use support::{Fleet, FleetOptions, configuration, routes};
 use tokio::time::sleep;
 
 const TENANTS: [TenantText; 2] = [
@@ -33,10 +33,10 @@
 const FIRST_WINDOW: u64 = 353_445_120;
 
 fn fleet(daemons: u8) -> Fleet {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons,
         reports_usage: true,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let text = configuration(2, &routes());
     fleet.store.put("op/config", with_tenants(&text, &TENANTS));
@@ -49,7 +49,7 @@
     let client = fleet.client.clone();
     let targets: Vec<_> = daemons
         .iter()
-        .map(|daemon| fleet.daemons[*daemon].callers)
+        .map(|daemon| fleet.daemons[*daemon].callers_address)
         .collect();
     fleet.run(async move {
         let end = tokio::time::Instant::now() + time;
@@ -322,11 +322,11 @@
 const MANY: u8 = 26;
 
 fn fleet_of_two_zones() -> Fleet {
-    let mut fleet = Fleet::new(Size {
+    let mut fleet = Fleet::new(FleetOptions {
         daemons: MANY,
         zones: 2,
         reports_usage: true,
-        ..Size::default()
+        ..FleetOptions::default()
     });
     let text = configuration(2, &routes());
     fleet.store.put("op/config", with_tenants(&text, &TENANTS));
@@ -343,7 +343,7 @@
         .map(|(number, daemon)| Member {
             name: Arc::from(format!("daemon-{}", number + 1)),
             zone: Arc::from((number % 2).to_string()),
-            peer_address: SocketAddr::new(daemon.machine, 7660),
+            peer_address: SocketAddr::new(daemon.daemon_ip, 7660),
             link_megabits: 0,
         })
         .collect();
