--- a/crates/serve/tests/announcements.rs
+++ b/crates/serve/tests/announcements.rs
@@ -1,24 +1,8 @@
-//! Back ends that say in their answers that they leave, or that they want no requests for a while.
+//! Back ends that announce in responses that they are draining, or that reject requests and ask for
+//! a backoff with `Retry-After`.
 //!
-//! While the store was away, a records server could not write there that it was leaving. It said so in every answer instead.
-//! Daemons passed these answers on, did not read what they said of the server, and went on sending it requests for as long as the
-//! store named it as ready: 2.5 s after its word, and as often as before. On another day model engines turned requests away
-//! and asked for three seconds of rest. Daemons did not read that either: they left such an engine alone for a fifth of a second
-//! of their own, and then asked it first, because an engine that turns everything away has nothing to do. Callers were refused after
-//! two such refusals while engines that had asked for nothing stood beside.
-//!
-//! What settled it, from a daemon that only logged what the answers said:
-//!
-//! ```text
-//! {"message":"back_end_announced","back_end":"i-1","availability":"leaving","source":"serve","directory_ready":true}
-//! {"message":"sent_to_unavailable","back_end":"i-1","purpose":"serve","availability":"leaving","others":1,"directory_ready":true}
-//! {"message":"back_end_announced","back_end":"i-3","availability":"resting","rest_ms":3000.0,"source":"prefill","directory_ready":true}
-//! {"message":"sent_to_unavailable","back_end":"i-3","purpose":"prefill","availability":"resting","others":2,"directory_ready":true}
-//! ```
-//!
-//! Each send went against a word that the same daemon had heard, and each time there were others to send to. The time between two
-//! refusals of one engine to one daemon was 0.21 s at the least and 0.36 s in the median: the daemons' own pause, not the three
-//! seconds that were asked for. In the code a back end that leaves is draining, and one that wants rest asks to back off.
+//! Guards against daemons that ignore these announcements while the store cannot report the change,
+//! and keep sending requests to such back ends although others are available.
 
 mod support;
 
@@ -33,17 +17,17 @@
 use support::{Fleet, FleetOptions};
 use tokio::time::{Instant, sleep};
 
-/// From this long after a back end's word nothing new may reach it.
-const HEARD: Duration = Duration::from_secs(2);
-/// Rest that back ends ask for here.
-const REST: Duration = Duration::from_secs(3);
-/// The same as they say it.
-const REST_TEXT: &str = "3";
-/// Requests on their way when a back end asks for rest may still reach it for this long.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+/// Nothing new may reach a back end this long after its announcement.
+const ANNOUNCEMENT_DELAY: Duration = Duration::from_secs(2);
+/// Backoff that back ends ask for in these tests.
+const BACKOFF: Duration = Duration::from_secs(3);
+/// The same as a value of `Retry-After`, in seconds.
+const BACKOFF_TEXT: &str = "3";
+/// Requests already in flight when a back end asks for a backoff may reach it for this long.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// Asks one daemon so often, this far apart.
-fn ask_often(
+/// Sends `count` requests to one daemon, one after the other with a pause between them.
+fn send_requests(
     fleet: &mut Fleet,
     daemon: usize,
     count: u32,
@@ -55,33 +39,33 @@
         let mut answers = Vec::new();
         for number in 0..count {
             let answer = client.ask(target, &request(number)).await;
-            answers.push(answer.expect("never a bare close"));
+            answers.push(answer.expect("a response, not a closed connection"));
             sleep(pause).await;
         }
         answers
     })
 }
 
-fn plain(name: &str, route: &'static str) -> impl Fn(u32) -> ClientRequest + use<> {
+fn plain_requests(name: &str, route: &'static str) -> impl Fn(u32) -> ClientRequest + use<> {
     let name = name.to_owned();
     move |number| ClientRequest::plain(&format!("{name}-{number}"), route)
 }
 
-/// Prompts that share nothing.
-fn prompts(name: &str, route: &'static str) -> impl Fn(u32) -> ClientRequest + use<> {
+/// Prompts without a shared prefix.
+fn prompt_requests(name: &str, route: &'static str) -> impl Fn(u32) -> ClientRequest + use<> {
     let name = name.to_owned();
     move |number| ClientRequest::prompt(&format!("{name}-{number}"), route, 0, 900)
 }
 
-/// Time on the clock of the simulation.
+/// Current virtual time of the simulation.
 fn virtual_now(fleet: &mut Fleet) -> Instant {
     fleet.run(async { Instant::now() })
 }
 
-/// Earns the daemon some retries: those that the first refusals take must not fail their callers.
-fn earn_retries(fleet: &mut Fleet, request: impl Fn(u32) -> ClientRequest) {
-    let answers = ask_often(fleet, 0, 40, Duration::from_millis(20), request);
-    assert!(all_served(&answers), "before anything is amiss");
+/// Sends requests until the retry budget covers the retries after the first rejections.
+fn build_up_retry_budget(fleet: &mut Fleet, request: impl Fn(u32) -> ClientRequest) {
+    let answers = send_requests(fleet, 0, 40, Duration::from_millis(20), request);
+    assert!(all_served(&answers), "all back ends are healthy");
 }
 
 fn arrivals_since(engine: &EngineStandIn, since: Instant) -> Vec<Arrival> {
@@ -90,24 +74,25 @@
     arrivals
 }
 
-/// Requests that reached the engine from a daemon that it had asked for rest, later than those on the way.
-fn arrivals_during_rest(engine: &EngineStandIn, rest: Duration) -> usize {
+/// Number of requests that daemons sent during a backoff that the engine had asked them for.
+/// Requests that may have been in flight do not count.
+fn arrivals_during_backoff(engine: &EngineStandIn, backoff: Duration) -> usize {
     let arrivals = engine.arrivals();
-    let is_during_rest = |arrival: &Arrival| {
-        arrivals.iter().any(|word| {
-            let after = arrival.at.saturating_duration_since(word.at);
-            word.sent_to_rest && word.from == arrival.from && after > ON_THE_WAY && after < rest
+    let is_during_backoff = |arrival: &Arrival| {
+        arrivals.iter().any(|announcement| {
+            let elapsed = arrival.at.saturating_duration_since(announcement.at);
+            announcement.sent_to_rest && announcement.from == arrival.from && elapsed > IN_FLIGHT_TIME && elapsed < backoff
         })
     };
     arrivals
         .iter()
-        .filter(|arrival| is_during_rest(arrival))
+        .filter(|arrival| is_during_backoff(arrival))
         .count()
 }
 
-fn turn_away(engine: &EngineStandIn) {
+fn reject_with_backoff(engine: &EngineStandIn) {
     engine.behave_always(Behaviour::Refuse);
-    engine.ask_for_rest(&[REST_TEXT]);
+    engine.ask_for_rest(&[BACKOFF_TEXT]);
 }
 
 fn all_served(answers: &[Answer]) -> bool {
@@ -115,90 +100,90 @@
 }
 
 #[test]
-fn a_back_end_that_says_in_an_answer_that_it_leaves_gets_nothing_new_while_the_store_is_away() {
+fn a_back_end_that_announces_draining_gets_no_new_requests_while_the_store_is_unavailable() {
     for mode in [StoreMode::Busy, StoreMode::Silent] {
         let mut fleet = Fleet::new(FleetOptions::default());
         fleet.store.set_mode(mode);
-        let leaver = fleet.records[0].clone();
-        leaver.say_leaving();
+        let draining = fleet.records[0].clone();
+        draining.say_leaving();
         let pause = Duration::from_millis(20);
-        ask_often(&mut fleet, 0, 20, pause, plain("first", "post"));
-        assert!(!leaver.arrivals().is_empty(), "it was asked once");
-        fleet.wait(HEARD);
+        send_requests(&mut fleet, 0, 20, pause, plain_requests("first", "post"));
+        assert!(!draining.arrivals().is_empty(), "it received requests at first");
+        fleet.wait(ANNOUNCEMENT_DELAY);
         let since = virtual_now(&mut fleet);
-        let answers = ask_often(&mut fleet, 0, 40, pause, plain("later", "post"));
-        assert!(all_served(&answers), "another serves");
-        assert_eq!(arrivals_since(&leaver, since), [], "{mode:?}");
+        let answers = send_requests(&mut fleet, 0, 40, pause, plain_requests("later", "post"));
+        assert!(all_served(&answers), "another back end serves");
+        assert_eq!(arrivals_since(&draining, since), [], "{mode:?}");
     }
 }
 
 #[test]
-fn an_engine_that_leaves_while_prompts_are_read_generates_no_more() {
-    for leaver_reads in [true, false] {
+fn a_prefill_or_decode_engine_that_announces_draining_gets_no_new_requests() {
+    for is_prefill in [true, false] {
         let mut fleet = Fleet::new(FleetOptions {
             prefill: 2,
             ..FleetOptions::default()
         });
         fleet.store.set_mode(StoreMode::Busy);
-        let leaver = if leaver_reads {
+        let draining = if is_prefill {
             fleet.prefill[0].clone()
         } else {
             fleet.decode[0].clone()
         };
-        leaver.say_leaving();
+        draining.say_leaving();
         let pause = Duration::from_millis(20);
-        ask_often(&mut fleet, 0, 20, pause, prompts("first", "tag"));
-        assert!(!leaver.arrivals().is_empty(), "it was asked once");
-        fleet.wait(HEARD);
+        send_requests(&mut fleet, 0, 20, pause, prompt_requests("first", "tag"));
+        assert!(!draining.arrivals().is_empty(), "it received requests at first");
+        fleet.wait(ANNOUNCEMENT_DELAY);
         let since = virtual_now(&mut fleet);
-        let answers = ask_often(&mut fleet, 0, 40, pause, prompts("later", "tag"));
-        assert!(all_served(&answers), "another serves");
-        assert_eq!(arrivals_since(&leaver, since), [], "reads: {leaver_reads}");
+        let answers = send_requests(&mut fleet, 0, 40, pause, prompt_requests("later", "tag"));
+        assert!(all_served(&answers), "another back end serves");
+        assert_eq!(arrivals_since(&draining, since), [], "prefill engine: {is_prefill}");
     }
 }
 
 #[test]
-fn a_back_end_that_asks_for_rest_gets_nothing_from_that_daemon_until_its_end() {
+fn a_back_end_that_asks_for_a_backoff_gets_no_requests_from_that_daemon_until_it_ends() {
     let mut fleet = Fleet::new(FleetOptions {
         records: 4,
         ..FleetOptions::default()
     });
-    earn_retries(&mut fleet, plain("earn", "fetch"));
+    build_up_retry_budget(&mut fleet, plain_requests("earn", "fetch"));
     for engine in &fleet.records[..2] {
-        turn_away(engine);
+        reject_with_backoff(engine);
     }
     let pause = Duration::from_millis(30);
-    let answers = ask_often(&mut fleet, 0, 150, pause, plain("ask", "fetch"));
+    let answers = send_requests(&mut fleet, 0, 150, pause, plain_requests("ask", "fetch"));
     for engine in &fleet.records[..2] {
-        assert!(!engine.arrivals().is_empty(), "it was asked once");
-        assert_eq!(arrivals_during_rest(engine, REST), 0);
+        assert!(!engine.arrivals().is_empty(), "it received requests at first");
+        assert_eq!(arrivals_during_backoff(engine, BACKOFF), 0);
     }
-    assert!(all_served(&answers), "two others serve");
+    assert!(all_served(&answers), "the two other back ends serve");
 }
 
 #[test]
-fn engines_that_ask_for_rest_get_nothing_whatever_they_do() {
+fn prefill_and_decode_engines_that_ask_for_a_backoff_get_no_requests_until_it_ends() {
     let mut fleet = Fleet::new(FleetOptions {
         prefill: 3,
         decode: 4,
         ..FleetOptions::default()
     });
-    earn_retries(&mut fleet, prompts("earn", "tag"));
-    let resting = [&fleet.prefill[0], &fleet.decode[0], &fleet.decode[1]].map(Clone::clone);
-    for engine in &resting {
-        turn_away(engine);
+    build_up_retry_budget(&mut fleet, prompt_requests("earn", "tag"));
+    let backing_off = [&fleet.prefill[0], &fleet.decode[0], &fleet.decode[1]].map(Clone::clone);
+    for engine in &backing_off {
+        reject_with_backoff(engine);
     }
     let pause = Duration::from_millis(30);
-    let answers = ask_often(&mut fleet, 0, 150, pause, prompts("ask", "tag"));
-    for engine in &resting {
-        assert!(!engine.arrivals().is_empty(), "it was asked once");
-        assert_eq!(arrivals_during_rest(engine, REST), 0);
+    let answers = send_requests(&mut fleet, 0, 150, pause, prompt_requests("ask", "tag"));
+    for engine in &backing_off {
+        assert!(!engine.arrivals().is_empty(), "it received requests at first");
+        assert_eq!(arrivals_during_backoff(engine, BACKOFF), 0);
     }
-    assert!(all_served(&answers), "the others serve");
+    assert!(all_served(&answers), "the other engines serve");
 }
 
-/// Rounds of prompts, one to each daemon, and in which of them one was refused.
-fn refused_rounds(fleet: &mut Fleet, rounds: u32, pause: Duration) -> Vec<u32> {
+/// Sends rounds of prompts, one to each daemon. Returns the round of each request that failed.
+fn failed_rounds(fleet: &mut Fleet, rounds: u32, pause: Duration) -> Vec<u32> {
     let client = fleet.client.clone();
     let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     fleet.run(async move {
@@ -210,7 +195,7 @@
                 asked.push(async move {
                     sleep(pause * round).await;
                     let answer = client.ask(target, &request).await;
-                    let status = answer.expect("never a bare close").status;
+                    let status = answer.expect("a response, not a closed connection").status;
                     (status != StatusCode::OK).then_some(round)
                 });
             }
@@ -219,10 +204,11 @@
     })
 }
 
-/// After a rest an engine may ask for rest again. One request finds out, and one that was turned away before goes where it is
-/// served: else callers are refused whenever several rests end at once.
+/// An engine may ask for a backoff again as soon as one has ended. Only one request may probe it,
+/// and a retried request must go to an engine that serves: otherwise callers are refused whenever
+/// several backoffs end at once.
 #[test]
-fn callers_are_served_while_half_of_the_engines_ask_for_rest_again_and_again() {
+fn callers_are_served_while_half_of_the_engines_repeatedly_ask_for_a_backoff() {
     let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         prefill: 4,
@@ -230,19 +216,19 @@
         ..FleetOptions::default()
     });
     let pause = Duration::from_millis(15);
-    refused_rounds(&mut fleet, 100, pause);
+    failed_rounds(&mut fleet, 100, pause);
     for engine in fleet.prefill[..2].iter().chain(&fleet.decode[..3]) {
         engine.behave_always(Behaviour::Refuse);
         engine.ask_for_rest(&["1"]);
     }
-    let refused = refused_rounds(&mut fleet, 700, pause);
-    // In the first second nobody knows yet which engines rest.
-    let later: Vec<u32> = refused.into_iter().filter(|round| *round > 67).collect();
+    let failed = failed_rounds(&mut fleet, 700, pause);
+    // In the first second the daemons do not know yet which engines asked for a backoff.
+    let later: Vec<u32> = failed.into_iter().filter(|round| *round > 67).collect();
     assert!(later.is_empty(), "{later:?}");
 }
 
 #[test]
-fn a_caller_is_refused_at_once_and_told_when_to_come_back_while_all_rest() {
+fn a_caller_is_refused_at_once_with_retry_after_while_all_back_ends_ask_for_a_backoff() {
     let requests = [("fetch", false), ("tag", true)];
     for (route, is_prompt) in requests {
         let mut fleet = Fleet::new(FleetOptions::default());
@@ -252,101 +238,101 @@
             fleet.records.clone()
         };
         for engine in &engines {
-            turn_away(engine);
+            reject_with_backoff(engine);
         }
         let pause = Duration::from_millis(5);
         let request = |name: &str| -> Box<dyn Fn(u32) -> ClientRequest> {
             if is_prompt {
-                Box::new(prompts(name, route))
+                Box::new(prompt_requests(name, route))
             } else {
-                Box::new(plain(name, route))
+                Box::new(plain_requests(name, route))
             }
         };
-        ask_often(&mut fleet, 0, 20, pause, request("first"));
-        fleet.wait(ON_THE_WAY);
-        let reached: usize = engines.iter().map(|engine| engine.arrivals().len()).sum();
-        let begun = virtual_now(&mut fleet);
-        let answers = ask_often(&mut fleet, 0, 10, Duration::ZERO, request("later"));
-        let took = virtual_now(&mut fleet) - begun;
+        send_requests(&mut fleet, 0, 20, pause, request("first"));
+        fleet.wait(IN_FLIGHT_TIME);
+        let arrivals_before: usize = engines.iter().map(|engine| engine.arrivals().len()).sum();
+        let started_at = virtual_now(&mut fleet);
+        let answers = send_requests(&mut fleet, 0, 10, Duration::ZERO, request("later"));
+        let took = virtual_now(&mut fleet) - started_at;
         assert!(took < Duration::from_millis(500), "at once: {took:?}");
         for answer in answers {
             assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{route}");
-            let back = answer.retry_after_s().expect("when to come back");
+            let retry_after_s = answer.retry_after_s().expect("a Retry-After header");
             assert!(
-                (1.5..=4.0).contains(&back),
-                "when one takes requests: {back}"
+                (1.5..=4.0).contains(&retry_after_s),
+                "the end of the first backoff: {retry_after_s}"
             );
         }
-        let after: usize = engines.iter().map(|engine| engine.arrivals().len()).sum();
-        assert_eq!(after, reached, "{route}: nothing reaches those that rest");
+        let arrivals_after: usize = engines.iter().map(|engine| engine.arrivals().len()).sum();
+        assert_eq!(arrivals_after, arrivals_before, "{route}: no request during the backoff");
         for engine in &engines {
             engine.behave_well();
         }
-        fleet.wait(REST);
-        let answers = ask_often(&mut fleet, 0, 5, pause, request("after"));
+        fleet.wait(BACKOFF);
+        let answers = send_requests(&mut fleet, 0, 5, pause, request("after"));
         assert!(
             all_served(&answers),
-            "{route}: they serve when their rest is over"
+            "{route}: they serve once the backoff has ended"
         );
     }
 }
 
-/// A new life under the same identity has said nothing yet. An entry that is written anew in the same life ends nothing: the back
-/// end may have written it before it said that it leaves.
+/// A restarted back end has announced nothing yet. A new store entry of the same incarnation does
+/// not revoke an announcement, because the back end may have written it before the announcement.
 #[test]
-fn a_back_end_that_starts_again_under_its_identity_takes_requests() {
+fn a_back_end_that_restarts_under_the_same_identity_gets_requests_again() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    let leaver = fleet.records[0].clone();
-    leaver.start_again(1_000);
-    leaver.record(&fleet.store, "ready");
-    leaver.say_leaving();
+    let draining = fleet.records[0].clone();
+    draining.start_again(1_000);
+    draining.record(&fleet.store, "ready");
+    draining.say_leaving();
     let pause = Duration::from_millis(20);
-    ask_often(&mut fleet, 0, 20, pause, plain("first", "post"));
+    send_requests(&mut fleet, 0, 20, pause, plain_requests("first", "post"));
     let since = virtual_now(&mut fleet);
-    ask_often(&mut fleet, 0, 20, pause, plain("leaving", "post"));
-    assert_eq!(arrivals_since(&leaver, since), [], "it leaves");
-    // Its entry is written anew in the same life: it leaves all the same.
-    leaver.record(&fleet.store, "ready");
+    send_requests(&mut fleet, 0, 20, pause, plain_requests("leaving", "post"));
+    assert_eq!(arrivals_since(&draining, since), [], "it is draining");
+    // A new store entry of the same incarnation: it is still draining.
+    draining.record(&fleet.store, "ready");
     fleet.wait(Duration::from_millis(50));
-    ask_often(&mut fleet, 0, 20, pause, plain("written", "post"));
-    assert_eq!(arrivals_since(&leaver, since), [], "it still leaves");
-    leaver.start_again(2_000);
-    leaver.record(&fleet.store, "ready");
+    send_requests(&mut fleet, 0, 20, pause, plain_requests("written", "post"));
+    assert_eq!(arrivals_since(&draining, since), [], "it is still draining");
+    draining.start_again(2_000);
+    draining.record(&fleet.store, "ready");
     fleet.records[1].vanish(&fleet.store);
     fleet.wait(Duration::from_millis(50));
-    let answers = ask_often(&mut fleet, 0, 20, pause, plain("again", "post"));
-    assert!(all_served(&answers), "it is back, and the only one");
+    let answers = send_requests(&mut fleet, 0, 20, pause, plain_requests("again", "post"));
+    assert!(all_served(&answers), "it has restarted and is the only back end");
 }
 
 #[test]
-fn what_is_no_time_of_rest_is_passed_over() {
+fn invalid_retry_after_values_are_ignored() {
     let mut fleet = Fleet::new(FleetOptions {
         prefill: 0,
         ..FleetOptions::default()
     });
-    earn_retries(&mut fleet, prompts("earn", "tag"));
-    let odd = fleet.decode[0].clone();
-    odd.behave_always(Behaviour::Refuse);
-    odd.ask_for_rest(&["Wed, 21 Oct 2026 07:28:00 GMT", "soon", "-4", "NaN"]);
+    build_up_retry_budget(&mut fleet, prompt_requests("earn", "tag"));
+    let engine = fleet.decode[0].clone();
+    engine.behave_always(Behaviour::Refuse);
+    engine.ask_for_rest(&["Wed, 21 Oct 2026 07:28:00 GMT", "soon", "-4", "NaN"]);
     let since = virtual_now(&mut fleet);
     let pause = Duration::from_millis(50);
-    ask_often(&mut fleet, 0, 40, pause, prompts("ask", "tag"));
-    let asked = arrivals_since(&odd, since).len();
-    assert!(asked > 2, "it gave no time: it is asked again soon");
+    send_requests(&mut fleet, 0, 40, pause, prompt_requests("ask", "tag"));
+    let asked = arrivals_since(&engine, since).len();
+    assert!(asked > 2, "it named no valid backoff, so it is tried again soon");
 }
 
-/// Reading a prompt takes seconds, in which the engine that was to go on with it may begin to leave. The store says so here; the
-/// engine was asked all the same where no other was left.
+/// The chosen decode engine may start to drain while the prompt is prefilled, which takes seconds.
+/// The prompt must not be sent to it, even if no other decode engine is left.
 #[test]
-fn a_prompt_that_was_read_does_not_go_to_an_engine_that_began_to_drain_meanwhile() {
+fn a_prefilled_prompt_is_not_sent_to_a_decode_engine_that_began_to_drain_meanwhile() {
     let mut fleet = Fleet::new(FleetOptions {
         decode: 1,
         ..FleetOptions::default()
     });
-    let (reader, drained) = (fleet.prefill[0].clone(), fleet.decode[0].clone());
+    let (prefill_engine, decode_engine) = (fleet.prefill[0].clone(), fleet.decode[0].clone());
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     let store = fleet.store.clone();
-    let engine = drained.clone();
+    let engine = decode_engine.clone();
     let answer = fleet.run(async move {
         let mut request = ClientRequest::prompt("long", "verdict", 0, 12_000);
         request.deadline_ms = 10_000;
@@ -354,11 +340,11 @@
             sleep(Duration::from_millis(100)).await;
             engine.record(&store, "draining");
         });
-        answer.expect("never a bare close")
+        answer.expect("a response, not a closed connection")
     });
-    assert!(!reader.arrivals().is_empty(), "the prompt was read apart");
-    assert_eq!(drained.arrivals(), []);
+    assert!(!prefill_engine.arrivals().is_empty(), "the prompt was prefilled separately");
+    assert_eq!(decode_engine.arrivals(), []);
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     fleet.wait(Duration::from_millis(100));
-    assert_eq!(reader.freed_handles().len(), 1, "its memory is given back");
+    assert_eq!(prefill_engine.freed_handles().len(), 1, "its handle is freed");
 }
--- a/crates/serve/tests/crashing_requests.rs
+++ b/crates/serve/tests/crashing_requests.rs
@@ -106,7 +106,7 @@
             let client = fleet.client.clone();
             let target = targets[number % targets.len()];
             let request = request(number);
-            let pause = repeats.every * u32::try_from(number).expect("few");
+            let pause = repeats.every * u32::try_from(number).expect("a small number");
             async move {
                 sleep(pause).await;
                 client.ask(target, &request).await
--- a/crates/serve/tests/fleet_changes.rs
+++ b/crates/serve/tests/fleet_changes.rs
@@ -24,7 +24,7 @@
 }
 
 fn ask(fleet: &mut Fleet, request: &ClientRequest) -> Answer {
-    ask_at(fleet, 0, request).expect("never a bare close")
+    ask_at(fleet, 0, request).expect("a response, not a closed connection")
 }
 
 #[test]
@@ -121,11 +121,11 @@
     fleet.configure(2, &changed);
     fleet.records[0].record(&fleet.store, "draining");
     fleet.wait(Duration::from_millis(1_900));
-    let gone = ask_at(&mut fleet, 1, &ClientRequest::plain("1", "fetch")).expect("an answer");
+    let gone = ask_at(&mut fleet, 1, &ClientRequest::plain("1", "fetch")).expect("a response");
     assert_eq!(gone.status, StatusCode::NOT_FOUND);
     for number in 2..6 {
         let request = ClientRequest::plain(&number.to_string(), "post");
-        let answer = ask_at(&mut fleet, 1, &request).expect("an answer");
+        let answer = ask_at(&mut fleet, 1, &request).expect("a response");
         assert_eq!(answer.status, StatusCode::OK);
     }
     assert!(fleet.records[0].runs().is_empty(), "it drains");
@@ -178,7 +178,7 @@
         wait_until(|| daemon.has_stopped()).await;
         asked
     });
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("a response");
     assert!(answer.is_whole);
 }
 
@@ -201,17 +201,17 @@
             daemon.terminate();
             sleep(Duration::from_millis(1_000)).await;
             let early = ClientRequest::plain("2", "post");
-            let early = client.ask(daemon.callers_address, &early).await.expect("an answer");
+            let early = client.ask(daemon.callers_address, &early).await.expect("a response");
             assert_eq!(early.status, StatusCode::OK);
             assert_eq!(early.headers["connection"], "close");
             sleep(Duration::from_millis(2_500)).await;
             let late = ClientRequest::plain("3", "post");
-            let late = client.ask(daemon.callers_address, &late).await.expect("an answer");
+            let late = client.ask(daemon.callers_address, &late).await.expect("a response");
             assert_eq!(late.status, StatusCode::SERVICE_UNAVAILABLE);
             assert!(late.retry_after_s().is_some());
         };
         let (asked, ()) = tokio::join!(asked, late);
-        assert!(asked.expect("an answer").is_whole);
+        assert!(asked.expect("a response").is_whole);
     });
 }
 
@@ -291,7 +291,7 @@
     fleet.wait(Duration::from_millis(1_900));
     let request = ClientRequest::plain("1", "more-399");
     for daemon in 0..3 {
-        let answer = ask_at(&mut fleet, daemon, &request).expect("an answer");
+        let answer = ask_at(&mut fleet, daemon, &request).expect("a response");
         assert_eq!(answer.status, StatusCode::OK, "daemon {daemon}");
     }
 }
@@ -316,7 +316,7 @@
             sleep(Duration::from_millis(500)).await;
             engine.vanish(&store);
         });
-        answer.expect("an answer")
+        answer.expect("a response")
     });
     assert_eq!(answer.status, StatusCode::OK);
     assert!(answer.is_whole, "the stream was cut");
--- a/crates/serve/tests/hostile_peers.rs
+++ b/crates/serve/tests/hostile_peers.rs
@@ -18,7 +18,7 @@
 /// A server that sends each answer, and then another that belongs to nobody, at once or a little later.
 async fn answer_twice(runtime: Runtime, pause: Duration) {
     let address = SocketAddr::from((RAW_IP, 8080));
-    let listener = runtime.network.listen(address).await.expect("binds");
+    let listener = runtime.network.listen(address).await.expect("the address is free");
     loop {
         let (stream, _peer) = listener.accept().await.expect("accepts");
         runtime.spawner.spawn(Box::pin(serve_twice(stream, pause)));
@@ -83,7 +83,7 @@
         fleet.run(async move {
             for number in 0..20 {
                 let request = ClientRequest::plain(&format!("r{number}"), "post");
-                let answer = client.ask(target, &request).await.expect("an answer");
+                let answer = client.ask(target, &request).await.expect("a response");
                 // What crosses a surplus answer may be unsure, but is never another's.
                 let own = format!("answer to r{number}");
                 let is_own = answer.status == StatusCode::OK && answer.text() == own;
@@ -102,7 +102,7 @@
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
         let own = SocketAddr::from(([10, 0, 3, 9], 5000));
-        let socket = runtime.network.bind_datagram(own).await.expect("binds");
+        let socket = runtime.network.bind_datagram(own).await.expect("the address is free");
         let mut random = Pcg64Mcg::seed_from_u64(11);
         for length in 0..600 {
             let mut bytes = vec![0; length];
@@ -117,7 +117,7 @@
         drop(stream.write_all(&[7; 3]).await);
         tokio::time::sleep(Duration::from_millis(200)).await;
         let request = ClientRequest::plain("after", "post");
-        let answer = client.ask(target, &request).await.expect("an answer");
+        let answer = client.ask(target, &request).await.expect("a response");
         assert_eq!(answer.status, StatusCode::OK);
     });
 }
@@ -146,7 +146,7 @@
     let daemon = SocketAddr::from(([10, 0, 2, 1], 7660));
     fleet.run(async move {
         let own = SocketAddr::from(([10, 0, 3, 9], 5000));
-        let socket = runtime.network.bind_datagram(own).await.expect("binds");
+        let socket = runtime.network.bind_datagram(own).await.expect("the address is free");
         let many_eras_ahead = 1 << 50;
         for _ in 0..24 {
             let sent = socket.send_to(&digest_at(many_eras_ahead), daemon).await;
@@ -203,7 +203,7 @@
         let dropped = support::configuration(2, &support::routes()[..1]);
         fleet.run(async move {
             let own = SocketAddr::from(([10, 0, 3, 9], 5000));
-            let socket = runtime.network.bind_datagram(own).await.expect("binds");
+            let socket = runtime.network.bind_datagram(own).await.expect("the address is free");
             let changes = configuration_at(known, known + 1, &dropped);
             socket.send_to(&changes, daemon).await.expect("sent");
             tokio::time::sleep(Duration::from_millis(50)).await;
--- a/crates/serve/tests/neighbours.rs
+++ b/crates/serve/tests/neighbours.rs
@@ -94,7 +94,7 @@
     fleet.run(async move {
         for (number, daemon) in daemons.iter().enumerate() {
             let answer = client.ask(daemon.callers_address, &request).await;
-            let status = answer.expect("an answer").status;
+            let status = answer.expect("a response").status;
             assert_eq!(status, StatusCode::OK, "daemon {number}");
         }
     });
@@ -153,7 +153,7 @@
         let client = fleet.client.clone();
         let request = ClientRequest::plain(&format!("r-{daemon}"), "post");
         let answer = fleet.run(async move { client.ask(target, &request).await });
-        let status = answer.expect("an answer").status;
+        let status = answer.expect("a response").status;
         assert_eq!(status, StatusCode::OK, "daemon {daemon}");
     }
 }
@@ -195,7 +195,7 @@
             // Some of both zones, all at about the same time.
             let target = daemons[number].callers_address;
             let client = client.clone();
-            async move { client.ask(target, &request).await.expect("an answer") }
+            async move { client.ask(target, &request).await.expect("a response") }
         });
         futures::future::join_all(first).await;
     });
--- a/crates/serve/tests/rate_limits.rs
+++ b/crates/serve/tests/rate_limits.rs
@@ -110,9 +110,9 @@
     let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     let name = name.to_owned();
     fleet.run(async move {
-        let daemons = u32::try_from(targets.len()).expect("few");
+        let daemons = u32::try_from(targets.len()).expect("a small number");
         let pause = Duration::from_secs(1) * daemons / load.per_second;
-        let rounds = u32::try_from(load.time.as_micros() / pause.as_micros()).expect("few");
+        let rounds = u32::try_from(load.time.as_micros() / pause.as_micros()).expect("a small number");
         let mut asked = Vec::new();
         for (daemon, target) in (0..).zip(targets.iter().copied()) {
             // Daemons are not asked at one moment.
@@ -123,7 +123,7 @@
                 asked.push(async move {
                     sleep(offset + pause * round).await;
                     let answer = client.ask(target, &request).await;
-                    answer.expect("never a bare close").status
+                    answer.expect("a response, not a closed connection").status
                 });
             }
         }
@@ -203,7 +203,7 @@
     fleet.run(async move {
         let begun = Instant::now();
         let answer = client.ask(target, request).await;
-        (answer.expect("never a bare close"), begun.elapsed())
+        (answer.expect("a response, not a closed connection"), begun.elapsed())
     })
 }
 
@@ -266,7 +266,7 @@
         let number = start % 3;
         let host = fleet.daemons[number].host;
         fleet.simulation.handle().kill(host);
-        let down = u64::try_from(start).expect("few") * 130 + 200;
+        let down = u64::try_from(start).expect("a small number") * 130 + 200;
         fleet.wait(Duration::from_millis(down));
         fleet.simulation.handle().restart(host);
         fleet.wait(Duration::from_millis(150));
@@ -289,7 +289,7 @@
             .store
             .set_mode(StoreMode::Slow(Duration::from_secs(1)));
         fleet.simulation.handle().restart(host);
-        let late = u64::try_from(start).expect("few") * 10;
+        let late = u64::try_from(start).expect("a small number") * 10;
         fleet.wait(Duration::from_millis(1_155 + late));
         let before = engine.arrivals().len();
         let request = ClientRequest::plain(&format!("late-{start}"), "fetch");
@@ -439,7 +439,7 @@
             tokio::join!(client.ask(target, &request), short)
         });
         assert!(short.is_some(), "it brought the engine's word");
-        let long = long.expect("never a bare close");
+        let long = long.expect("a response, not a closed connection");
         assert_eq!(long.status, StatusCode::SERVICE_UNAVAILABLE, "{word:?}");
         let reached: Vec<String> = engine
             .arrivals()
--- a/crates/serve/tests/recovery.rs
+++ b/crates/serve/tests/recovery.rs
@@ -231,7 +231,7 @@
         .network
         .listen(SocketAddr::from((ip, 7660)))
         .await
-        .expect("binds");
+        .expect("the address is free");
     for answer in answers.iter().cycle() {
         let (mut stream, _peer) = listener.accept().await.expect("accepts");
         let mut question = [0; 64];
--- a/crates/serve/tests/requests.rs
+++ b/crates/serve/tests/requests.rs
@@ -17,7 +17,7 @@
     let target = fleet.daemons[0].callers_address;
     fleet
         .run(async move { client.ask(target, request).await })
-        .expect("never a bare close")
+        .expect("a response, not a closed connection")
 }
 
 #[test]
@@ -214,7 +214,7 @@
     let mut split = routes();
     split[1].split = vec![("records", 75), ("others", 25)];
     let text = support::configuration(2, &split);
-    let mut value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+    let mut value: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
     let mut service = value["services"][0].clone();
     service["name"] = serde_json::json!("others");
     let services = value["services"].as_array_mut().expect("a list");
@@ -250,7 +250,7 @@
             .ask(target, &ClientRequest::plain("late", "post"))
             .await
     });
-    let refused = refused.expect("never a bare close");
+    let refused = refused.expect("a response, not a closed connection");
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(refused.retry_after_s().is_some());
     let runs = fleet.records.iter().flat_map(EngineStandIn::runs);
--- a/crates/serve/tests/restored_store.rs
+++ b/crates/serve/tests/restored_store.rs
@@ -97,7 +97,7 @@
             statuses.extend(
                 answers
                     .into_iter()
-                    .map(|answer| answer.expect("an answer").status),
+                    .map(|answer| answer.expect("a response").status),
             );
         }
         statuses
--- a/crates/serve/tests/retry_pool.rs
+++ b/crates/serve/tests/retry_pool.rs
@@ -1,4 +1,4 @@
-//! Retries in a fleet of so many daemons that none of them earns a whole one before long.
+//! The shared retry pool of a fleet in which each daemon earns only a fraction of a retry.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use ponddrift_platform_stand_ins::{Behaviour, ClientRequest};
 use support::{Fleet, FleetOptions};
 
-/// More daemons than retries in the slack that the tests' settings give.
+/// More daemons than the `retry.budget_slack` of the test settings.
 const DAEMONS: u8 = 40;
 
 fn fleet() -> Fleet {
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn a_daemon_that_has_earned_little_retries_with_what_others_earned() {
+fn a_daemon_with_little_budget_uses_the_retries_that_others_earned() {
     let mut fleet = fleet();
-    // Each earns a sixth of a retry.
+    // Each daemon earns a sixth of a retry.
     assert_eq!(fleet.ask_each_daemon("good"), usize::from(DAEMONS));
     fleet.wait(Duration::from_millis(1_500));
     fleet.records[0].behave_next(&[Behaviour::Fail, Behaviour::Fail]);
@@ -31,26 +31,26 @@
 }
 
 #[test]
-fn retries_of_all_daemons_stay_within_what_was_earned_while_every_back_end_fails() {
+fn retries_of_all_daemons_stay_within_the_earned_budget_while_every_back_end_fails() {
     let mut fleet = fleet();
     assert_eq!(fleet.ask_each_daemon("good"), usize::from(DAEMONS));
     fleet.wait(Duration::from_millis(1_500));
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Fail);
     }
-    let before: usize = fleet.records.iter().map(|engine| engine.runs().len()).sum();
+    let runs_before: usize = fleet.records.iter().map(|engine| engine.runs().len()).sum();
     for round in 0..5 {
         assert_eq!(fleet.ask_each_daemon(&format!("bad-{round}")), 0);
     }
-    let after: usize = fleet.records.iter().map(|engine| engine.runs().len()).sum();
+    let runs_after: usize = fleet.records.iter().map(|engine| engine.runs().len()).sum();
     let requests = usize::from(DAEMONS) * 5;
-    let retries = after - before - requests;
-    // 0.16 of 40 requests before, and of those until now; never the slack of 20 beside it, which nobody had saved up.
+    let retries = runs_after - runs_before - requests;
+    // 0.16 of the requests so far. The slack of 20 must not be added: no daemon has saved it up.
     assert!((1..=38).contains(&retries), "{retries} retries");
 }
 
 #[test]
-fn where_the_keeper_of_the_pool_is_gone_the_caller_gets_the_first_answer() {
+fn a_caller_gets_the_first_response_if_the_daemon_that_holds_the_pool_is_gone() {
     let mut fleet = fleet();
     assert_eq!(fleet.ask_each_daemon("good"), usize::from(DAEMONS));
     fleet.wait(Duration::from_millis(1_500));
--- a/crates/serve/tests/streams.rs
+++ b/crates/serve/tests/streams.rs
@@ -16,7 +16,7 @@
     let target = fleet.daemons[0].callers_address;
     fleet
         .run(async move { client.ask(target, request).await })
-        .expect("never a bare close")
+        .expect("a response, not a closed connection")
 }
 
 fn events(answer: &Answer) -> Vec<String> {
@@ -255,7 +255,7 @@
         };
         tokio::join!(client.ask(target, &request), strike).0
     });
-    let answer = answer.expect("never a bare close");
+    let answer = answer.expect("a response, not a closed connection");
     assert!(answer.is_whole);
     assert_eq!(events(&answer), ["1", "2", "3", "4"]);
 }
--- a/crates/serve/tests/suspension.rs
+++ b/crates/serve/tests/suspension.rs
@@ -1,7 +1,7 @@
-//! Machines that are suspended for seconds: their steady clock stands, all else goes on.
+//! Machines that are suspended for seconds: their monotonic clock stops while other hosts go on.
 //!
-//! The time that a suspension adds is simulated on the clock for decisions alone: timers stay as they were set, as on a
-//! machine that was suspended.
+//! `simulate_suspension` only moves the clock used for decisions. Timers keep their settings, as on
+//! a machine that was suspended.
 
 mod support;
 
@@ -24,36 +24,36 @@
 const SUSPENSION: Duration = Duration::from_secs(20);
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_ends_when_a_suspension_has_taken_its_time() {
-    let begun = Instant::now();
-    let end = time::now() + Duration::from_secs(15);
-    let suspended = async {
+async fn a_wait_ends_when_its_deadline_passed_during_a_suspension() {
+    let started_at = Instant::now();
+    let deadline = time::now() + Duration::from_secs(15);
+    let suspension = async {
         sleep(Duration::from_secs(1)).await;
         simulate_suspension(SUSPENSION);
         notice_suspension();
     };
-    join(time::sleep_until(end), suspended).await;
-    assert_eq!(begun.elapsed(), Duration::from_secs(1));
+    join(time::sleep_until(deadline), suspension).await;
+    assert_eq!(started_at.elapsed(), Duration::from_secs(1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_wait_after_a_suspension_is_no_longer_than_asked() {
+async fn a_wait_that_begins_after_a_suspension_has_its_normal_length() {
     simulate_suspension(SUSPENSION);
     notice_suspension();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(begun.elapsed(), Duration::from_secs(2));
-    let none = time::timeout_at(
+    assert_eq!(started_at.elapsed(), Duration::from_secs(2));
+    let timeout = time::timeout_at(
         time::now() + Duration::from_secs(3),
         std::future::pending::<()>(),
     );
-    assert_eq!(none.await, None);
-    assert_eq!(begun.elapsed(), Duration::from_secs(5));
+    assert_eq!(timeout.await, None);
+    assert_eq!(started_at.elapsed(), Duration::from_secs(5));
 }
 
-/// The caller of a request that waited through a suspension has no time left: it is answered at once, and not sent again.
+/// A request whose deadline passed during a suspension must be answered at once and not retried.
 #[test]
-fn a_request_whose_deadline_passed_in_a_suspension_is_answered_at_once() {
+fn a_request_whose_deadline_passed_during_a_suspension_is_answered_at_once() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Hang);
@@ -66,29 +66,29 @@
     };
     let records = fleet.records.clone();
     let (answer, took) = fleet.run(async move {
-        let asking = async {
+        let request_sent = async {
             let answer = client.ask(target, &request).await;
             (answer, Instant::now())
         };
-        let suspended = async {
+        let suspension = async {
             wait_until(|| records.iter().any(|engine| !engine.runs().is_empty())).await;
             simulate_suspension(SUSPENSION);
             notice_suspension();
             Instant::now()
         };
-        let ((answer, answered), suspended) = join(asking, suspended).await;
-        (answer, answered - suspended)
+        let ((answer, answered_at), suspension) = join(request_sent, suspension).await;
+        (answer, answered_at - suspension)
     });
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("a response");
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
     assert!(took < Duration::from_millis(100), "{took:?}");
     let runs: usize = fleet.records.iter().map(|engine| engine.runs().len()).sum();
     assert_eq!(runs, 1);
 }
 
-/// A leader that was suspended for longer than its lease leads no more from its first instant awake.
+/// A leader that was suspended for longer than its lease must not act as leader after it resumes.
 #[test]
-fn a_leader_that_was_suspended_beyond_its_lease_does_not_report_on_it() {
+fn a_leader_suspended_for_longer_than_its_lease_does_not_report_with_it() {
     let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         reports_usage: true,
@@ -97,18 +97,18 @@
     let text = configuration(2, &routes());
     fleet.store.put("op/config", with_tenants(&text, &[ALICE]));
     fleet.wait(Duration::from_secs(16));
-    let before = fleet.provider.usage();
-    let last = before.last().expect("it reports").clone();
+    let earlier_reports = fleet.provider.usage();
+    let last = earlier_reports.last().expect("at least one report").clone();
     let fence_before = last.fence;
-    let right_before_the_next = last.at + WINDOW - Duration::from_millis(50);
-    fleet.run(async move { tokio::time::sleep_until(right_before_the_next).await });
+    let just_before_next_report = last.at + WINDOW - Duration::from_millis(50);
+    fleet.run(async move { tokio::time::sleep_until(just_before_next_report).await });
     simulate_suspension(SUSPENSION);
     fleet.store.let_leases_run_out();
     fleet.wait(Duration::from_secs(30));
     let reports = fleet.provider.usage();
-    let after = &reports[before.len()..];
-    assert!(!after.is_empty(), "somebody reports again");
-    for report in after {
+    let later_reports = &reports[earlier_reports.len()..];
+    assert!(!later_reports.is_empty(), "reports continue");
+    for report in later_reports {
         assert!(report.fence > fence_before, "{report:?}");
     }
 }
--- a/crates/serve/tests/tenants.rs
+++ b/crates/serve/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Keys and tenants through a daemon, over a simulated platform.
+//! API keys and tenants: which requests are accepted, and what engines learn about the tenant.
 
 mod support;
 
@@ -22,11 +22,11 @@
 };
 
 fn with_public_route() -> Vec<RouteText> {
-    let open = RouteText {
+    let public_route = RouteText {
         public: true,
         ..RouteText::new("open", "safe", RECORDS)
     };
-    routes().into_iter().chain([open]).collect()
+    routes().into_iter().chain([public_route]).collect()
 }
 
 fn configure(fleet: &mut Fleet, version: u64, tenants: &[TenantText]) {
@@ -50,7 +50,7 @@
     let target = fleet.daemons[daemon].callers_address;
     fleet
         .run(async move { client.ask(target, request).await })
-        .expect("never a bare close")
+        .expect("a response, not a closed connection")
 }
 
 fn runs(fleet: &Fleet) -> Vec<Run> {
@@ -77,26 +77,26 @@
         assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
     }
     let runs = runs(&fleet);
-    assert!(runs.iter().any(|run| run.is_prefill), "one is read apart");
+    assert!(runs.iter().any(|run| run.is_prefill), "one prompt is prefilled separately");
     for run in runs {
-        let expected = if matches!(&*run.request, "1" | "3") {
+        let expected_tenant = if matches!(&*run.request, "1" | "3") {
             "alice"
         } else {
             "bob"
         };
-        assert_eq!(run.tenant.as_deref(), Some(expected), "{run:?}");
+        assert_eq!(run.tenant.as_deref(), Some(expected_tenant), "{run:?}");
         assert!(!run.saw_key, "{run:?}");
     }
 }
 
 #[test]
-fn whatever_is_no_valid_key_gets_the_same_refusal_and_nothing_runs() {
+fn requests_without_a_valid_key_get_the_same_refusal_and_do_not_run() {
     let mut fleet = fleet_of(FleetOptions::default(), &[ALICE, BOB]);
     let plain = |id: &str| ClientRequest::plain(id, "fetch");
-    let doubled = plain("2").with_key("key-of-alice").with_key("key-of-alice");
+    let repeated_key = plain("2").with_key("key-of-alice").with_key("key-of-alice");
     let requests = [
         plain("1"),
-        doubled,
+        repeated_key,
         plain("3").with_key(""),
         plain("4").with_key("key-of-nobody"),
         plain("5").with_key("key-of-alice,key-of-bob"),
@@ -108,14 +108,14 @@
         .collect();
     for answer in &answers {
         assert_eq!(answer.status, StatusCode::UNAUTHORIZED);
-        assert_eq!(answer.text(), answers[0].text(), "tells nothing of why");
-        assert_eq!(answer.retry_after_s(), None, "coming back does not help");
+        assert_eq!(answer.text(), answers[0].text(), "does not reveal the reason");
+        assert_eq!(answer.retry_after_s(), None, "a retry would not help");
     }
     assert!(runs(&fleet).is_empty());
 }
 
 #[test]
-fn a_public_route_needs_no_key_and_counts_a_valid_one() {
+fn a_public_route_needs_no_key_but_attributes_requests_with_a_valid_key() {
     let mut fleet = fleet_of(FleetOptions::default(), &[ALICE]);
     let requests = [
         (ClientRequest::plain("1", "open"), None),
@@ -130,46 +130,46 @@
         let run = runs(&fleet)
             .into_iter()
             .find(|run| run.request == request.id);
-        let run = run.expect("it ran");
+        let run = run.expect("the request ran");
         assert_eq!(run.tenant.as_deref(), tenant);
         assert!(!run.saw_key);
     }
 }
 
 #[test]
-fn a_key_that_moves_to_another_tenant_in_one_revision_counts_there() {
+fn a_key_moved_to_another_tenant_in_one_revision_belongs_to_that_tenant() {
     let mut fleet = fleet_of(FleetOptions::default(), &[ALICE, BOB]);
     let moved = TenantText {
         api_keys: &["key-of-bob", "key-of-alice"],
         ..BOB
     };
-    let left = TenantText {
+    let remaining = TenantText {
         api_keys: &["second-of-alice"],
         ..ALICE
     };
-    configure(&mut fleet, 3, &[left, moved]);
+    configure(&mut fleet, 3, &[remaining, moved]);
     let request = ClientRequest::plain("1", "fetch").with_key("key-of-alice");
     assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
     assert_eq!(runs(&fleet)[0].tenant.as_deref(), Some("bob"));
 }
 
 #[test]
-fn a_revoked_key_is_refused_and_the_tenants_other_key_goes_on() {
+fn a_revoked_key_is_refused_and_the_other_key_of_the_tenant_still_works() {
     let mut fleet = fleet_of(FleetOptions::default(), &[ALICE]);
     let request = ClientRequest::plain("1", "fetch").with_key("key-of-alice");
     assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
-    let left = TenantText {
+    let remaining = TenantText {
         api_keys: &["second-of-alice"],
         ..ALICE
     };
-    configure(&mut fleet, 3, &[left]);
+    configure(&mut fleet, 3, &[remaining]);
     let request = ClientRequest::plain("2", "fetch").with_key("key-of-alice");
     assert_eq!(ask(&mut fleet, &request).status, StatusCode::UNAUTHORIZED);
     let request = ClientRequest::plain("3", "fetch").with_key("second-of-alice");
     assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
 }
 
-/// Its peers pass the revocation on.
+/// The revocation must reach it through its peers.
 #[test]
 fn a_daemon_cut_off_from_the_store_refuses_a_revoked_key() {
     let size = FleetOptions {
@@ -192,9 +192,10 @@
     }
 }
 
-/// Nothing is kept, so a daemon that starts while the store is away must not take requests for a key that may be revoked.
+/// Daemons keep no configuration on disk: one that starts while the store is unavailable must not
+/// accept a key, which may have been revoked.
 #[test]
-fn a_daemon_without_a_configuration_promises_that_nothing_ran() {
+fn a_daemon_without_a_configuration_refuses_requests_with_a_key() {
     let mut fleet = fleet_of(FleetOptions::default(), &[ALICE]);
     fleet.store.set_mode(StoreMode::Silent);
     let handle = fleet.simulation.handle();
@@ -206,19 +207,19 @@
     assert!(runs(&fleet).is_empty());
 }
 
-/// The prompt's reader ranks requests; a tenant's own rank goes before its route's.
+/// Prefill engines order requests by rank; the rank of a tenant overrides that of the route.
 #[test]
-fn a_tenants_rank_goes_before_that_of_the_route() {
+fn the_rank_of_a_tenant_overrides_that_of_the_route() {
     let mut fleet = fleet_of(FleetOptions::default(), &[ALICE, BOB]);
     for (id, key) in [("1", "key-of-alice"), ("2", "key-of-bob")] {
         let request = ClientRequest::prompt(id, "verdict", 4_000, 800).with_key(key);
         assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
     }
-    let rank = |request: &str| {
+    let prefill_rank = |request: &str| {
         let runs = runs(&fleet).into_iter();
-        let mut reads = runs.filter(|run| run.is_prefill && run.request == request);
-        reads.next().expect("read apart").priority
+        let mut prefill_runs = runs.filter(|run| run.is_prefill && run.request == request);
+        prefill_runs.next().expect("prefilled separately").priority
     };
-    assert_eq!(rank("1"), Some(1), "of the route");
-    assert_eq!(rank("2"), Some(0), "of the tenant");
+    assert_eq!(prefill_rank("1"), Some(1), "the rank of the route");
+    assert_eq!(prefill_rank("2"), Some(0), "the rank of the tenant");
 }
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -129,7 +129,7 @@
     let started = fleet.simulation.handle().elapsed();
     for (position, note) in notes.iter().enumerate() {
         assert!(note.window >= FIRST_WINDOW, "{note:?}");
-        let expected = notes[0].window + u64::try_from(position).expect("few");
+        let expected = notes[0].window + u64::try_from(position).expect("a small number");
         assert_eq!(note.window, expected, "none is left out, in order");
     }
     assert!(started > DUE);
