--- a/crates/serve/tests/capacity.rs
+++ b/crates/serve/tests/capacity.rs
@@ -20,8 +20,8 @@
 const ZONES: [&str; 2] = ["a", "b"];
 /// On-demand engines in each zone at the start.
 const ON_DEMAND_PER_ZONE: usize = 3;
-/// Expected spot engines in each zone while the load is unknown: each zone alone must have 1.5 times
-/// the initial engines of both zones, less the one on-demand engine that each zone keeps.
+/// Expected spot engines in each zone while the load is unknown: each zone alone must have 1.5
+/// times the initial engines of both zones, less the one on-demand engine that each zone keeps.
 const SPOT_PER_ZONE: u64 = 7;
 /// Boot time of an engine in the configuration.
 const BOOT_TIME: Duration = Duration::from_secs(2);
--- a/crates/serve/tests/fleet_changes.rs
+++ b/crates/serve/tests/fleet_changes.rs
@@ -1,4 +1,5 @@
-//! Engines that leave, a store in trouble, configurations, and planned stops.
+//! Changes in a fleet: draining and vanished engines, an unavailable store, new configurations and
+//! graceful stops.
 
 mod support;
 
@@ -15,8 +16,8 @@
     fleet.run(async move { client.ask(target, request).await })
 }
 
-/// A request that outlasts its stream.
-fn patient(request: ClientRequest) -> ClientRequest {
+/// The request with a deadline that is longer than its stream.
+fn with_long_deadline(request: ClientRequest) -> ClientRequest {
     ClientRequest {
         deadline_ms: 20_000,
         ..request
@@ -28,10 +29,10 @@
 }
 
 #[test]
-fn an_engine_that_leaves_gets_nothing_new_whether_or_not_it_says_so() {
-    for says_so in [true, false] {
+fn a_draining_or_removed_engine_gets_no_new_requests() {
+    for is_draining in [true, false] {
         let mut fleet = Fleet::new(FleetOptions::default());
-        if says_so {
+        if is_draining {
             fleet.records[0].record(&fleet.store, "draining");
         } else {
             fleet.records[0].vanish(&fleet.store);
@@ -44,12 +45,12 @@
             );
             assert_eq!(answer.status, StatusCode::OK);
         }
-        assert!(fleet.records[0].runs().is_empty(), "says so: {says_so}");
+        assert!(fleet.records[0].runs().is_empty(), "draining entry: {is_draining}");
     }
 }
 
 #[test]
-fn a_drain_in_a_gap_of_the_history_is_seen_by_reading_anew() {
+fn a_drain_missing_from_the_watch_history_is_found_by_reading_the_store_again() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let store_host = fleet.store_host;
     let handle = fleet.simulation.handle();
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn entries_that_lapse_while_the_store_is_away_do_not_empty_the_fleet() {
+fn entries_that_expire_while_the_store_is_unavailable_do_not_empty_the_fleet() {
     let mut fleet = Fleet::new(FleetOptions::default());
     fleet.store.set_mode(StoreMode::Busy);
     fleet.wait(Duration::from_secs(4));
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn the_last_known_state_serves_while_the_store_is_away() {
+fn requests_are_served_from_the_last_known_state_while_the_store_is_unavailable() {
     for mode in [StoreMode::Busy, StoreMode::Silent] {
         let mut fleet = Fleet::new(FleetOptions::default());
         fleet.store.set_mode(mode);
@@ -94,13 +95,13 @@
 }
 
 #[test]
-fn a_newer_configuration_is_in_force_soon_after_a_silent_store_returns() {
+fn a_newer_configuration_is_applied_soon_after_a_silent_store_returns() {
     let mut fleet = Fleet::new(FleetOptions::default());
     fleet.store.set_mode(StoreMode::Silent);
     fleet.wait(Duration::from_secs(5));
-    let mut changed = routes();
-    changed.truncate(1);
-    fleet.configure(2, &changed);
+    let mut remaining_routes = routes();
+    remaining_routes.truncate(1);
+    fleet.configure(2, &remaining_routes);
     fleet.store.set_mode(StoreMode::Up);
     fleet.wait(Duration::from_millis(1_900));
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "fetch"));
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn a_daemon_that_the_store_refuses_gets_the_news_from_its_peers() {
+fn a_daemon_that_the_store_refuses_gets_changes_from_its_peers() {
     let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         ..FleetOptions::default()
@@ -116,27 +117,27 @@
     fleet.wait(Duration::from_secs(1));
     fleet.store.refuse(fleet.daemons[1].daemon_ip);
     fleet.wait(Duration::from_secs(3));
-    let mut changed = routes();
-    changed.truncate(1);
-    fleet.configure(2, &changed);
+    let mut remaining_routes = routes();
+    remaining_routes.truncate(1);
+    fleet.configure(2, &remaining_routes);
     fleet.records[0].record(&fleet.store, "draining");
     fleet.wait(Duration::from_millis(1_900));
-    let gone = ask_at(&mut fleet, 1, &ClientRequest::plain("1", "fetch")).expect("a response");
-    assert_eq!(gone.status, StatusCode::NOT_FOUND);
+    let removed_route = ask_at(&mut fleet, 1, &ClientRequest::plain("1", "fetch")).expect("a response");
+    assert_eq!(removed_route.status, StatusCode::NOT_FOUND);
     for number in 2..6 {
         let request = ClientRequest::plain(&number.to_string(), "post");
         let answer = ask_at(&mut fleet, 1, &request).expect("a response");
         assert_eq!(answer.status, StatusCode::OK);
     }
-    assert!(fleet.records[0].runs().is_empty(), "it drains");
+    assert!(fleet.records[0].runs().is_empty(), "it is draining");
 }
 
 #[test]
 fn an_older_configuration_never_replaces_a_newer_one() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    let mut changed = routes();
-    changed.truncate(1);
-    fleet.configure(5, &changed);
+    let mut remaining_routes = routes();
+    remaining_routes.truncate(1);
+    fleet.configure(5, &remaining_routes);
     fleet.wait(Duration::from_millis(100));
     fleet.configure(4, &routes());
     fleet.wait(Duration::from_millis(100));
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_leaves_the_last_good_one_in_force() {
+fn an_invalid_configuration_leaves_the_last_valid_one_in_force() {
     let mut fleet = Fleet::new(FleetOptions::default());
     fleet
         .store
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn a_planned_stop_ends_what_it_has_and_is_not_ready_at_once() {
+fn a_graceful_stop_completes_its_requests_and_is_not_ready_at_once() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Stream {
@@ -167,23 +168,23 @@
     let daemon = fleet.daemons[0].clone();
     let client = fleet.client.clone();
     let answer = fleet.run(async move {
-        let request = patient(ClientRequest::prompt("1", "verdict", 40, 200));
-        let (asked, ready) = tokio::join!(client.ask(daemon.callers_address, &request), async {
+        let request = with_long_deadline(ClientRequest::prompt("1", "verdict", 40, 200));
+        let (response, readiness) = tokio::join!(client.ask(daemon.callers_address, &request), async {
             sleep(Duration::from_millis(200)).await;
             daemon.terminate();
             sleep(Duration::from_millis(20)).await;
             client.status(daemon.readiness_address, "/readiness").await
         });
-        assert_eq!(ready, Some(StatusCode::SERVICE_UNAVAILABLE));
+        assert_eq!(readiness, Some(StatusCode::SERVICE_UNAVAILABLE));
         wait_until(|| daemon.has_stopped()).await;
-        asked
+        response
     });
     let answer = answer.expect("a response");
     assert!(answer.is_whole);
 }
 
 #[test]
-fn whoever_comes_late_to_a_stopping_daemon_is_sent_elsewhere_at_once() {
+fn a_stopping_daemon_closes_connections_and_later_refuses_requests_at_once() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Stream {
@@ -194,78 +195,78 @@
     let daemon = fleet.daemons[0].clone();
     let client = fleet.client.clone();
     fleet.run(async move {
-        let long = patient(ClientRequest::prompt("1", "verdict", 40, 200));
-        let asked = client.ask(daemon.callers_address, &long);
-        let late = async {
+        let long = with_long_deadline(ClientRequest::prompt("1", "verdict", 40, 200));
+        let response = client.ask(daemon.callers_address, &long);
+        let later_requests = async {
             sleep(Duration::from_millis(100)).await;
             daemon.terminate();
             sleep(Duration::from_millis(1_000)).await;
-            let early = ClientRequest::plain("2", "post");
-            let early = client.ask(daemon.callers_address, &early).await.expect("a response");
-            assert_eq!(early.status, StatusCode::OK);
-            assert_eq!(early.headers["connection"], "close");
+            let early_request = ClientRequest::plain("2", "post");
+            let early_response = client.ask(daemon.callers_address, &early_request).await.expect("a response");
+            assert_eq!(early_response.status, StatusCode::OK);
+            assert_eq!(early_response.headers["connection"], "close");
             sleep(Duration::from_millis(2_500)).await;
-            let late = ClientRequest::plain("3", "post");
-            let late = client.ask(daemon.callers_address, &late).await.expect("a response");
-            assert_eq!(late.status, StatusCode::SERVICE_UNAVAILABLE);
-            assert!(late.retry_after_s().is_some());
+            let late_request = ClientRequest::plain("3", "post");
+            let late_response = client.ask(daemon.callers_address, &late_request).await.expect("a response");
+            assert_eq!(late_response.status, StatusCode::SERVICE_UNAVAILABLE);
+            assert!(late_response.retry_after_s().is_some());
         };
-        let (asked, ()) = tokio::join!(asked, late);
-        assert!(asked.expect("a response").is_whole);
+        let (response, ()) = tokio::join!(response, later_requests);
+        assert!(response.expect("a response").is_whole);
     });
 }
 
 #[test]
-fn a_daemon_that_starts_anew_finds_out_which_engine_keeps_a_prompt() {
+fn a_restarted_daemon_finds_an_engine_that_has_a_prompt_prefix_cached() {
     let mut fleet = Fleet::new(FleetOptions {
         prefill: 6,
         ..FleetOptions::default()
     });
     let prompt = |id: &str| ClientRequest::prompt(id, "verdict", 6_000, 900);
-    let reader = |fleet: &Fleet, id: &str| {
-        let read = |engine: &&ponddrift_platform_stand_ins::EngineStandIn| {
+    let find_prefilling_engine = |fleet: &Fleet, id: &str| {
+        let has_prefilled = |engine: &&ponddrift_platform_stand_ins::EngineStandIn| {
             engine.runs().iter().any(|run| run.request == id)
         };
-        // Where it was read apart, a decode engine ran it too, but read nothing.
+        // A decode engine also ran a prompt that was prefilled separately, but did not prefill it.
         let mut engines = fleet.prefill.iter().chain(&fleet.decode);
-        engines.find(read).expect("read").id().to_owned()
+        engines.find(has_prefilled).expect("an engine that prefilled it").id().to_owned()
     };
-    let home = {
+    let first_engine = {
         ask(&mut fleet, &prompt("1"));
-        reader(&fleet, "1")
+        find_prefilling_engine(&fleet, "1")
     };
-    // The home leaves, and another engine reads and keeps the head from then on.
-    let leaver = fleet.prefill.iter().find(|engine| engine.id() == home);
-    leaver.expect("there").record(&fleet.store, "draining");
+    // The first engine drains, and another engine prefills and caches the prefix.
+    let draining_engine = fleet.prefill.iter().find(|engine| engine.id() == first_engine);
+    draining_engine.expect("an engine of this identity").record(&fleet.store, "draining");
     fleet.wait(Duration::from_millis(100));
     ask(&mut fleet, &prompt("2"));
-    let keeper = reader(&fleet, "2");
-    assert_ne!(keeper, home);
-    let back = fleet.prefill.iter().find(|engine| engine.id() == home);
-    back.expect("there").record(&fleet.store, "ready");
+    let second_engine = find_prefilling_engine(&fleet, "2");
+    assert_ne!(second_engine, first_engine);
+    let returning_engine = fleet.prefill.iter().find(|engine| engine.id() == first_engine);
+    returning_engine.expect("an engine of this identity").record(&fleet.store, "ready");
     let handle = fleet.simulation.handle();
     handle.power_off(fleet.daemons[0].host);
     fleet.wait(Duration::from_millis(200));
     handle.restart(fleet.daemons[0].host);
     fleet.wait(Duration::from_millis(600));
     ask(&mut fleet, &prompt("3"));
-    let last = reader(&fleet, "3");
-    // Both have read it once; either is right, any third would read it all.
-    assert!(last == keeper || last == home, "{last}");
+    let last_engine = find_prefilling_engine(&fleet, "3");
+    // Both engines have the prefix cached; a third one would have to prefill it again.
+    assert!(last_engine == second_engine || last_engine == first_engine, "{last_engine}");
 }
 
 #[test]
-fn an_address_that_another_service_took_over_runs_nothing() {
+fn an_engine_at_the_former_address_of_another_service_runs_none_of_its_requests() {
     let mut fleet = Fleet::new(FleetOptions {
         records: 1,
         ..FleetOptions::default()
     });
-    // An entry that is out of date: its address belongs to an engine of another service now.
-    let old =
+    // A stale entry, whose address belongs to an engine of another service now.
+    let stale_entry =
         r#"{"service":"records","address":"10.0.1.3:8080","zone":"a","slots":8,"state":"ready"}"#;
-    fleet.store.put("servers/i-old", old);
+    fleet.store.put("servers/i-old", stale_entry);
     fleet.wait(Duration::from_millis(50));
-    let taken_over = fleet.decode[0].clone();
+    let other_engine = fleet.decode[0].clone();
     for number in 0..12 {
         let request = ClientRequest::plain(&number.to_string(), "post");
         let answer = ask(&mut fleet, &request);
@@ -273,12 +274,12 @@
         let is_refused = answer.status == StatusCode::SERVICE_UNAVAILABLE;
         assert!(is_served || is_refused, "{}", answer.status);
     }
-    assert!(taken_over.rejected() > 0, "it was asked, and knew itself");
-    assert!(taken_over.runs().is_empty());
+    assert!(other_engine.rejected() > 0, "it received and rejected requests");
+    assert!(other_engine.runs().is_empty());
 }
 
 #[test]
-fn a_configuration_of_hundreds_of_routes_reaches_a_refused_daemon_too() {
+fn a_daemon_that_the_store_refuses_gets_a_large_configuration_from_its_peers() {
     let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         ..FleetOptions::default()
@@ -296,9 +297,10 @@
     }
 }
 
-/// An engine that never said that it drains serves on as long as one that did: its entry going is no failure.
+/// An entry that is removed without a preceding drain is no failure of the engine: running streams
+/// must continue.
 #[test]
-fn a_stream_goes_on_at_an_engine_whose_entry_goes_in_calm() {
+fn a_stream_continues_at_an_engine_whose_entry_is_removed() {
     let mut fleet = Fleet::new(FleetOptions {
         decode: 1,
         ..FleetOptions::default()
@@ -311,7 +313,7 @@
     let (daemon, client) = (fleet.daemons[0].clone(), fleet.client.clone());
     let store = fleet.store.clone();
     let answer = fleet.run(async move {
-        let request = patient(ClientRequest::prompt("1", "verdict", 40, 200));
+        let request = with_long_deadline(ClientRequest::prompt("1", "verdict", 40, 200));
         let (answer, ()) = tokio::join!(client.ask(daemon.callers_address, &request), async {
             sleep(Duration::from_millis(500)).await;
             engine.vanish(&store);
@@ -324,7 +326,7 @@
 }
 
 #[test]
-fn an_engine_with_a_nonsensical_slow_start_serves_all_the_same() {
+fn an_engine_with_an_invalid_slow_start_time_still_serves() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.record_with_cold_time(&fleet.store, serde_json::json!("soon"));
--- a/crates/serve/tests/hostile_peers.rs
+++ b/crates/serve/tests/hostile_peers.rs
@@ -1,4 +1,5 @@
-//! Bytes that nobody asked for: surplus answers of a back end, nonsense from a peer.
+//! Unsolicited or invalid bytes: surplus responses of a back end, and invalid or misleading
+//! datagrams of a peer.
 
 mod support;
 
@@ -13,32 +14,32 @@
 use support::{Fleet, FleetOptions, host_spec};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-const RAW_IP: [u8; 4] = [10, 0, 1, 200];
+const SURPLUS_SERVER_IP: [u8; 4] = [10, 0, 1, 200];
 
-/// A server that sends each answer, and then another that belongs to nobody, at once or a little later.
-async fn answer_twice(runtime: Runtime, pause: Duration) {
-    let address = SocketAddr::from((RAW_IP, 8080));
+/// Runs a server that sends a surplus response after each response, after a pause.
+async fn run_surplus_server(runtime: Runtime, pause: Duration) {
+    let address = SocketAddr::from((SURPLUS_SERVER_IP, 8080));
     let listener = runtime.network.listen(address).await.expect("the address is free");
     loop {
-        let (stream, _peer) = listener.accept().await.expect("accepts");
-        runtime.spawner.spawn(Box::pin(serve_twice(stream, pause)));
+        let (stream, _peer) = listener.accept().await.expect("the listener is open");
+        runtime.spawner.spawn(Box::pin(serve_with_surplus(stream, pause)));
     }
 }
 
-async fn serve_twice(mut stream: BoxedStream, pause: Duration) {
-    let mut seen = Vec::new();
+async fn serve_with_surplus(mut stream: BoxedStream, pause: Duration) {
+    let mut received = Vec::new();
     let mut buffer = [0; 4096];
     loop {
         let Ok(read @ 1..) = stream.read(&mut buffer).await else {
             return;
         };
-        seen.extend_from_slice(&buffer[..read]);
-        let text = String::from_utf8_lossy(&seen).into_owned();
-        // The body of the tests' requests ends so.
+        received.extend_from_slice(&buffer[..read]);
+        let text = String::from_utf8_lossy(&received).into_owned();
+        // The body of each request of these tests ends like this.
         if !text.ends_with("question") {
             continue;
         }
-        seen.clear();
+        received.clear();
         let id = text
             .lines()
             .find_map(|line| line.strip_prefix("ponddrift-request-id: "))
@@ -51,8 +52,8 @@
                 body.len()
             )
         };
-        let whole = answer(&id, &format!("answer to {id}"));
-        if stream.write_all(whole.as_bytes()).await.is_err() {
+        let expected = answer(&id, &format!("answer to {id}"));
+        if stream.write_all(expected.as_bytes()).await.is_err() {
             return;
         }
         tokio::time::sleep(pause).await;
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn an_answer_behind_the_answer_reaches_no_caller() {
+fn a_surplus_response_reaches_no_caller() {
     for pause_ms in [0, 1, 5, 40] {
         let mut fleet = Fleet::without_configuration(FleetOptions {
             records: 0,
@@ -72,8 +73,8 @@
         });
         fleet
             .simulation
-            .add_host(host_spec("raw", RAW_IP), move |runtime| {
-                answer_twice(runtime, Duration::from_millis(pause_ms))
+            .add_host(host_spec("raw", SURPLUS_SERVER_IP), move |runtime| {
+                run_surplus_server(runtime, Duration::from_millis(pause_ms))
             });
         let entry = r#"{"service":"records","address":"10.0.1.200:8080","zone":"a","slots":8,"state":"ready"}"#;
         fleet.store.put("servers/raw", entry);
@@ -84,36 +85,37 @@
             for number in 0..20 {
                 let request = ClientRequest::plain(&format!("r{number}"), "post");
                 let answer = client.ask(target, &request).await.expect("a response");
-                // What crosses a surplus answer may be unsure, but is never another's.
-                let own = format!("answer to r{number}");
-                let is_own = answer.status == StatusCode::OK && answer.text() == own;
-                let is_unsure = answer.status == StatusCode::BAD_GATEWAY;
-                assert!(is_own || is_unsure, "{:?} {}", answer.status, answer.text());
+                // A request that meets a surplus response may fail with 502, but never gets it as
+                // its own.
+                let own_text = format!("answer to r{number}");
+                let is_own = answer.status == StatusCode::OK && answer.text() == own_text;
+                let is_bad_gateway = answer.status == StatusCode::BAD_GATEWAY;
+                assert!(is_own || is_bad_gateway, "{:?} {}", answer.status, answer.text());
             }
         });
     }
 }
 
 #[test]
-fn nonsense_from_a_peer_changes_nothing() {
+fn random_bytes_from_a_peer_have_no_effect() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
-    let peers = SocketAddr::from(([10, 0, 2, 1], 7660));
+    let daemon_peers_address = SocketAddr::from(([10, 0, 2, 1], 7660));
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
-        let own = SocketAddr::from(([10, 0, 3, 9], 5000));
-        let socket = runtime.network.bind_datagram(own).await.expect("the address is free");
+        let local_address = SocketAddr::from(([10, 0, 3, 9], 5000));
+        let socket = runtime.network.bind_datagram(local_address).await.expect("the address is free");
         let mut random = Pcg64Mcg::seed_from_u64(11);
         for length in 0..600 {
             let mut bytes = vec![0; length];
             random.fill_bytes(&mut bytes);
-            // Every other one claims to be of the version that is spoken.
+            // Every second datagram begins with a valid protocol version.
             if let Some(first) = bytes.first_mut().filter(|_| length % 2 == 0) {
                 *first = 1;
             }
-            drop(socket.send_to(&bytes, peers).await);
+            drop(socket.send_to(&bytes, daemon_peers_address).await);
         }
-        let mut stream = runtime.network.connect(peers).await.expect("connects");
+        let mut stream = runtime.network.connect(daemon_peers_address).await.expect("the daemon listens");
         drop(stream.write_all(&[7; 3]).await);
         tokio::time::sleep(Duration::from_millis(200)).await;
         let request = ClientRequest::plain("after", "post");
@@ -122,11 +124,11 @@
     });
 }
 
-/// A digest of the present version of messages that names a position and nothing else.
-fn digest_at(position: u64) -> Vec<u8> {
-    /// Version of the messages, and the number of the kind.
+/// Encodes a digest message that contains only a store position.
+fn encode_digest(position: u64) -> Vec<u8> {
+    /// Message version and message kind.
     const DIGEST: [u8; 2] = [5, 0];
-    /// No answer of the store, and seven empty lists.
+    /// No response of the store, and seven empty lists.
     const NOTHING_ELSE: [u8; 29] = [0; 29];
     let mut bytes = DIGEST.to_vec();
     bytes.extend_from_slice(&0_u64.to_le_bytes());
@@ -135,9 +137,10 @@
     bytes
 }
 
-/// The store has never come back from a copy. Believed, each digest would make the daemon read everything and drop what it reads.
+/// A forged digest that names a future era must not make the daemon read the whole store again and
+/// again, or ignore the changes that it reads.
 #[test]
-fn a_peer_that_names_an_era_that_the_store_does_not_is_not_believed_for_long() {
+fn an_era_that_only_a_peer_names_has_no_lasting_effect() {
     let mut fleet = Fleet::new(FleetOptions::default());
     fleet.store.name_era(1);
     fleet.wait(Duration::from_secs(2));
@@ -145,12 +148,12 @@
     let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
     let daemon = SocketAddr::from(([10, 0, 2, 1], 7660));
     fleet.run(async move {
-        let own = SocketAddr::from(([10, 0, 3, 9], 5000));
-        let socket = runtime.network.bind_datagram(own).await.expect("the address is free");
-        let many_eras_ahead = 1 << 50;
+        let local_address = SocketAddr::from(([10, 0, 3, 9], 5000));
+        let socket = runtime.network.bind_datagram(local_address).await.expect("the address is free");
+        let future_position = 1 << 50;
         for _ in 0..24 {
-            let sent = socket.send_to(&digest_at(many_eras_ahead), daemon).await;
-            sent.expect("sent");
+            let sent = socket.send_to(&encode_digest(future_position), daemon).await;
+            sent.expect("the datagram is sent");
             tokio::time::sleep(Duration::from_millis(250)).await;
         }
     });
@@ -161,54 +164,55 @@
     assert_eq!(fleet.ask_each_daemon("dropped"), 0);
 }
 
-/// Changes of the store as a build without eras publishes them: the configuration at a bare revision.
-fn configuration_at(after: u64, revision: u64, configuration: &str) -> Vec<u8> {
-    /// Version of the messages, and the number of the kind.
+/// Encodes a change of the configuration as a build without eras sends it: the revision names no
+/// era.
+fn encode_configuration_change(after: u64, revision: u64, configuration: &str) -> Vec<u8> {
+    /// Message version and message kind.
     const CHANGES: [u8; 2] = [5, 1];
-    let text = |bytes: &mut Vec<u8>, text: &str| {
-        let length = u32::try_from(text.len()).expect("short");
+    let push_text = |bytes: &mut Vec<u8>, text: &str| {
+        let length = u32::try_from(text.len()).expect("a short text");
         bytes.extend_from_slice(&length.to_le_bytes());
         bytes.extend_from_slice(text.as_bytes());
     };
     let mut bytes = CHANGES.to_vec();
     bytes.extend_from_slice(&after.to_le_bytes());
     bytes.extend_from_slice(&1_u32.to_le_bytes());
-    text(&mut bytes, "op/config");
+    push_text(&mut bytes, "op/config");
     bytes.extend_from_slice(&revision.to_le_bytes());
     let has_value = 1;
     bytes.push(has_value);
-    text(&mut bytes, configuration);
+    push_text(&mut bytes, configuration);
     bytes.extend_from_slice(&revision.to_le_bytes());
     let in_doubt = 0;
     bytes.push(in_doubt);
     bytes
 }
 
-/// While a fleet is replaced, daemons of the build before publish bare numbers. In a later era these are of an era before: what they
-/// bear may be long undone.
+/// During a rolling upgrade, daemons of the older build send revisions without an era. They belong
+/// to the first era, so in a later era they must not undo newer changes.
 #[test]
-fn a_build_without_eras_is_heard_in_the_first_era_and_brings_nothing_older_in_a_later_one() {
-    for returns in [0, 1] {
+fn changes_from_a_build_without_eras_apply_only_in_the_first_era() {
+    for restores in [0, 1] {
         let mut fleet = Fleet::new(FleetOptions::default());
         fleet.store.name_era(1);
         fleet.wait(Duration::from_secs(2));
-        let known = fleet.store.revision();
-        if returns > 0 {
+        let known_revision = fleet.store.revision();
+        if restores > 0 {
             let copy = fleet.store.copy();
             fleet.store.come_back_from(&copy);
             fleet.wait(Duration::from_secs(2));
         }
         let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
         let daemon = SocketAddr::from(([10, 0, 2, 1], 7660));
-        let dropped = support::configuration(2, &support::routes()[..1]);
+        let configuration_without_route = support::configuration(2, &support::routes()[..1]);
         fleet.run(async move {
-            let own = SocketAddr::from(([10, 0, 3, 9], 5000));
-            let socket = runtime.network.bind_datagram(own).await.expect("the address is free");
-            let changes = configuration_at(known, known + 1, &dropped);
-            socket.send_to(&changes, daemon).await.expect("sent");
+            let local_address = SocketAddr::from(([10, 0, 3, 9], 5000));
+            let socket = runtime.network.bind_datagram(local_address).await.expect("the address is free");
+            let changes = encode_configuration_change(known_revision, known_revision + 1, &configuration_without_route);
+            socket.send_to(&changes, daemon).await.expect("the datagram is sent");
             tokio::time::sleep(Duration::from_millis(50)).await;
         });
         let serves_the_route = fleet.ask_each_daemon("route") == 1;
-        assert_eq!(serves_the_route, returns > 0, "{returns} returns");
+        assert_eq!(serves_the_route, restores > 0, "{restores} restores");
     }
 }
--- a/crates/serve/tests/orders.rs
+++ b/crates/serve/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines: one holder at a time, and none that a holder without authority gives.
+//! Orders that change the stage of engines: only the current leader may give them, and never a
+//! former leader after its lease has ended.
 
 mod support;
 
@@ -8,7 +9,7 @@
 use support::{Fleet, FleetOptions};
 use tokio::time::sleep;
 
-/// As in the daemons' settings.
+/// Leader lease of the test settings.
 const LEASE: Duration = Duration::from_secs(3);
 
 const OPTIONS: FleetOptions = FleetOptions {
@@ -21,14 +22,14 @@
     orders_engines: false,
 };
 
-/// Long prompts for `time`: prefill engines have much to do, decode engines little.
-fn read_much(fleet: &mut Fleet, time: Duration) {
+/// Sends long prompts for `time`, which load the prefill engines more than the decode engines.
+fn send_long_prompts(fleet: &mut Fleet, time: Duration) {
     let client = fleet.client.clone();
     let daemons: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     fleet.run(async move {
-        let end = tokio::time::Instant::now() + time;
+        let end_time = tokio::time::Instant::now() + time;
         let mut number = 0_u32;
-        while tokio::time::Instant::now() < end {
+        while tokio::time::Instant::now() < end_time {
             for target in &daemons {
                 number += 1;
                 let mut request =
@@ -49,156 +50,159 @@
     orders
 }
 
-fn assert_one_at_a_time(orders: &[OrderNote]) {
+fn assert_one_leader_at_a_time(orders: &[OrderNote]) {
     for pair in orders.windows(2) {
         if pair[0].holder != pair[1].holder {
             assert!(pair[1].fence > pair[0].fence, "{pair:?}");
-            assert!(pair[1].at - pair[0].at > LEASE, "they take turns: {pair:?}");
+            assert!(pair[1].at - pair[0].at > LEASE, "two leaders at the same time: {pair:?}");
         }
     }
 }
 
 #[test]
-fn much_reading_moves_engines_and_one_holder_orders_it() {
+fn prefill_load_changes_the_stage_of_engines_by_orders_of_one_leader() {
     let mut fleet = Fleet::new(OPTIONS);
-    read_much(&mut fleet, Duration::from_secs(20));
+    send_long_prompts(&mut fleet, Duration::from_secs(20));
     let orders = orders(&fleet);
     assert!(orders.iter().any(|order| order.taken), "{orders:?}");
     let holders: std::collections::BTreeSet<_> = orders.iter().map(|order| &order.holder).collect();
     assert_eq!(holders.len(), 1);
-    assert_one_at_a_time(&orders);
+    assert_one_leader_at_a_time(&orders);
 }
 
 #[test]
-fn a_holder_that_is_cut_from_the_store_stops_and_another_waits_its_turn() {
+fn a_leader_cut_off_from_the_store_stops_before_another_one_begins() {
     let mut fleet = Fleet::new(OPTIONS);
-    read_much(&mut fleet, Duration::from_secs(12));
-    let first = orders(&fleet).last().expect("an order").holder.clone();
-    let number = usize::from(first.as_bytes().last().expect("a digit") - b'1');
+    send_long_prompts(&mut fleet, Duration::from_secs(12));
+    let first_leader = orders(&fleet).last().expect("at least one order").holder.clone();
+    let leader_index = usize::from(first_leader.as_bytes().last().expect("a daemon name that ends in a digit") - b'1');
     let handle = fleet.simulation.handle();
-    handle.cut(fleet.daemons[number].host, fleet.store_host);
-    read_much(&mut fleet, Duration::from_secs(5));
+    handle.cut(fleet.daemons[leader_index].host, fleet.store_host);
+    send_long_prompts(&mut fleet, Duration::from_secs(5));
     handle.heal_all();
-    read_much(&mut fleet, Duration::from_secs(15));
-    assert_one_at_a_time(&orders(&fleet));
+    send_long_prompts(&mut fleet, Duration::from_secs(15));
+    assert_one_leader_at_a_time(&orders(&fleet));
 }
 
 #[test]
-fn a_holder_frozen_past_its_lease_orders_nothing_when_it_wakes() {
+fn a_leader_frozen_beyond_its_lease_gives_no_orders_when_it_resumes() {
     let mut fleet = Fleet::new(OPTIONS);
-    read_much(&mut fleet, Duration::from_secs(12));
-    let first = orders(&fleet).last().expect("an order").clone();
-    let number = usize::from(first.holder.as_bytes().last().expect("a digit") - b'1');
+    send_long_prompts(&mut fleet, Duration::from_secs(12));
+    let first_leader = orders(&fleet).last().expect("at least one order").clone();
+    let leader_index = usize::from(first_leader.holder.as_bytes().last().expect("a daemon name that ends in a digit") - b'1');
     let handle = fleet.simulation.handle();
-    handle.freeze(fleet.daemons[number].host);
+    handle.freeze(fleet.daemons[leader_index].host);
     fleet.wait(Duration::from_secs(8));
-    let before = orders(&fleet).len();
-    handle.thaw(fleet.daemons[number].host);
+    let orders_before = orders(&fleet).len();
+    handle.thaw(fleet.daemons[leader_index].host);
     fleet.wait(Duration::from_secs(2));
-    let since: Vec<_> = orders(&fleet).split_off(before);
+    let later_orders: Vec<_> = orders(&fleet).split_off(orders_before);
     assert!(
-        since.iter().all(|order| order.fence != first.fence),
-        "{since:?}"
+        later_orders.iter().all(|order| order.fence != first_leader.fence),
+        "{later_orders:?}"
     );
-    assert_one_at_a_time(&orders(&fleet));
+    assert_one_leader_at_a_time(&orders(&fleet));
 }
 
-/// The copy is from before anybody led, and gives out numbers again that tokens were made of.
+/// The copy predates all leaders, so the restored store reuses the revisions that fencing tokens
+/// are made of.
 #[test]
-fn orders_of_the_next_era_have_higher_tokens_and_wait_until_those_before_have_arrived() {
+fn orders_in_the_next_era_have_higher_tokens_and_never_overlap_with_earlier_ones() {
     let mut fleet = Fleet::new(OPTIONS);
     fleet.store.name_era(1);
     let copy = fleet.store.copy().from_before("ponddrift/");
-    read_much(&mut fleet, Duration::from_secs(15));
-    let before = orders(&fleet).len();
-    assert!(before > 0, "orders are under way");
+    send_long_prompts(&mut fleet, Duration::from_secs(15));
+    let orders_before = orders(&fleet).len();
+    assert!(orders_before > 0, "orders were given before the restore");
     fleet.store.come_back_from(&copy);
-    read_much(&mut fleet, Duration::from_secs(1));
+    send_long_prompts(&mut fleet, Duration::from_secs(1));
     for engine in fleet.prefill.iter().chain(&fleet.decode) {
         engine.vanish(&fleet.store);
         engine.record(&fleet.store, "ready");
     }
-    read_much(&mut fleet, Duration::from_secs(40));
-    let all = orders(&fleet);
-    assert_one_at_a_time(&all);
-    for pair in all.windows(2) {
+    send_long_prompts(&mut fleet, Duration::from_secs(40));
+    let all_orders = orders(&fleet);
+    assert_one_leader_at_a_time(&all_orders);
+    for pair in all_orders.windows(2) {
         assert!(pair[1].fence >= pair[0].fence, "{pair:?}");
     }
 }
 
-/// The leader of the era before may go on for as long as its lease lasts by its own clock: nobody takes turns with it.
+/// A leader that does not see the restore continues until its lease ends by its own clock; the next
+/// one must wait for that time.
 #[test]
-fn the_next_leader_waits_for_one_that_does_not_see_the_store_come_back_from_an_older_copy() {
+fn the_next_leader_waits_for_one_that_does_not_see_the_restore_of_the_store() {
     for seconds in [9, 10, 11, 12, 13, 14] {
         let mut fleet = Fleet::new(OPTIONS);
         fleet.store.name_era(1);
         let copy = fleet.store.copy().from_before("ponddrift/");
-        read_much(&mut fleet, Duration::from_secs(seconds));
-        let before = orders(&fleet);
-        let Some(first) = before.last().map(|order| order.holder.clone()) else {
+        send_long_prompts(&mut fleet, Duration::from_secs(seconds));
+        let orders_before = orders(&fleet);
+        let Some(first_leader) = orders_before.last().map(|order| order.holder.clone()) else {
             continue;
         };
-        let number = usize::from(first.as_bytes().last().expect("a digit") - b'1');
+        let leader_index = usize::from(first_leader.as_bytes().last().expect("a daemon name that ends in a digit") - b'1');
         let handle = fleet.simulation.handle();
-        handle.cut(fleet.daemons[number].host, fleet.store_host);
-        for other in (0..3).filter(|other| *other != number) {
-            handle.cut(fleet.daemons[number].host, fleet.daemons[other].host);
+        handle.cut(fleet.daemons[leader_index].host, fleet.store_host);
+        for other in (0..3).filter(|other| *other != leader_index) {
+            handle.cut(fleet.daemons[leader_index].host, fleet.daemons[other].host);
         }
         fleet.store.come_back_from(&copy);
-        read_much(&mut fleet, Duration::from_secs(10));
+        send_long_prompts(&mut fleet, Duration::from_secs(10));
         handle.heal_all();
-        read_much(&mut fleet, Duration::from_secs(10));
-        assert_one_at_a_time(&orders(&fleet));
+        send_long_prompts(&mut fleet, Duration::from_secs(10));
+        assert_one_leader_at_a_time(&orders(&fleet));
     }
 }
 
 #[test]
-fn no_order_leaves_while_the_store_is_away() {
+fn no_order_is_sent_while_the_store_is_unavailable() {
     let mut fleet = Fleet::new(OPTIONS);
     fleet.wait(Duration::from_secs(8));
     fleet.store.set_mode(StoreMode::Silent);
     fleet.wait(LEASE);
-    read_much(&mut fleet, Duration::from_secs(15));
+    send_long_prompts(&mut fleet, Duration::from_secs(15));
     assert!(orders(&fleet).is_empty());
 }
 
 #[test]
-fn an_order_without_an_answer_is_not_given_again_for_long() {
+fn an_order_without_a_response_is_not_soon_repeated() {
     let mut fleet = Fleet::new(OPTIONS);
     for engine in &fleet.decode {
         engine.lose_order_answers();
     }
-    read_much(&mut fleet, Duration::from_secs(14));
+    send_long_prompts(&mut fleet, Duration::from_secs(14));
     for engine in &fleet.decode {
         assert!(engine.orders().len() <= 1, "{:?}", engine.orders());
     }
 }
 
-/// An engine that leaves gets no requests and is the least busy, which made it the first to be changed.
+/// A draining engine gets no requests and so is the least loaded, but must not be chosen for an
+/// order.
 #[test]
-fn an_engine_that_says_that_it_leaves_is_not_ordered() {
+fn an_engine_that_announces_draining_gets_no_order() {
     let mut fleet = Fleet::new(OPTIONS);
-    read_much(&mut fleet, Duration::from_secs(20));
-    let is_ordered = |fleet: &Fleet| -> Vec<bool> {
+    send_long_prompts(&mut fleet, Duration::from_secs(20));
+    let engines_with_orders = |fleet: &Fleet| -> Vec<bool> {
         let engines = fleet.decode.iter();
         engines.map(|engine| !engine.orders().is_empty()).collect()
     };
-    let usual = is_ordered(&fleet);
+    let ordered_before = engines_with_orders(&fleet);
     let mut fleet = Fleet::new(OPTIONS);
     for (engine, _ordered) in fleet
         .decode
         .iter()
-        .zip(&usual)
+        .zip(&ordered_before)
         .filter(|(_, ordered)| **ordered)
     {
         engine.say_leaving();
     }
-    read_much(&mut fleet, Duration::from_secs(20));
-    let now = is_ordered(&fleet);
-    let both = usual
+    send_long_prompts(&mut fleet, Duration::from_secs(20));
+    let ordered_after = engines_with_orders(&fleet);
+    let both = ordered_before
         .iter()
-        .zip(&now)
-        .filter(|(usual, now)| **usual && **now);
-    assert_eq!(both.count(), 0, "{usual:?}, then {now:?}");
-    assert!(now.contains(&true), "one that stays changes");
+        .zip(&ordered_after)
+        .filter(|(ordered_before, ordered_after)| **ordered_before && **ordered_after);
+    assert_eq!(both.count(), 0, "without draining: {ordered_before:?}, with draining: {ordered_after:?}");
+    assert!(ordered_after.contains(&true), "another engine gets an order");
 }
--- a/crates/serve/tests/overload.rs
+++ b/crates/serve/tests/overload.rs
@@ -1,4 +1,5 @@
-//! More prompts than the engines can serve in time: late requests are ranked last or refused at once.
+//! More prompts than the engines can serve in time: late requests are ranked last or refused at
+//! once.
 
 mod support;
 
