--- a/crates/serve/tests/rate_limits.rs
+++ b/crates/serve/tests/rate_limits.rs
@@ -1,20 +1,8 @@
-//! Back ends that say in their answers how many requests a second they take from all daemons together.
+//! Back ends that announce in responses how many requests per second they accept from all daemons
+//! together.
 //!
-//! Two model engines in need named such a rate, 3.6 and 4 requests a second. Nine daemons passed their answers on, did not read what
-//! they said of the rate, and went on sending 40 to 70 requests in every 4 s to each, as before, where 27 and 29 would have been
-//! half as much again as they had asked for, and 5. The engines turned nothing away, so nothing else showed it. Reading the rate is not
-//! enough: it belongs to the engine, and a daemon that keeps it alone is one of nine that do.
-//!
-//! What settled it, from daemons that only logged what the answers said:
-//!
-//! ```text
-//! {"message":"rate_limit_changed","back_end":"i-7","incarnation":0,"rate":3.3,"source":"prefill"}
-//! {"message":"sent_to_rate_limited","back_end":"i-7","purpose":"prefill","rate":3.3,"own_sends_in_4_s":8}
-//! {"message":"sent_to_rate_limited","back_end":"i-1","purpose":"serve","rate":3.3,"own_sends_in_4_s":26}
-//! ```
-//!
-//! The second is of nine daemons. None of them sent the engine more than the rate alone allows in 4 s, 13; together they sent it more than the
-//! 24 that are allowed. The third is of three, where a daemon alone sent more than all together may.
+//! Guards against daemons that ignore the limit, and against daemons that each keep to the whole
+//! limit, so that together they exceed it.
 
 mod support;
 
@@ -28,21 +16,22 @@
 use support::{DaemonHost, Fleet, FleetOptions};
 use tokio::time::{Instant, sleep};
 
-/// Rate that back ends name here, in requests a second.
-const RATE: f64 = 3.3;
-/// The same as they say it.
-const RATE_TEXT: &str = "3.3";
-/// Daemons have this long to settle on a limit after it was first named.
-const SETTLED: Duration = Duration::from_secs(3);
-/// Arrivals are counted over any such time.
+/// Rate limit that back ends announce in these tests, in requests per second.
+const RATE_LIMIT: f64 = 3.3;
+/// The same as the text of the response header.
+const RATE_LIMIT_TEXT: &str = "3.3";
+/// Time that daemons have to share out a limit after it was first announced.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// Length of the sliding window in which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Requests that may reach a back end within [`WINDOW`]: half as many again as its rate allows, and 5.
-fn allowed(rate: f64) -> f64 {
+/// Greatest number of requests allowed to reach a back end within [`WINDOW`]: 1.5 times its rate,
+/// plus 5.
+fn max_allowed(rate: f64) -> f64 {
     1.5 * rate * WINDOW.as_secs_f64() + 5.0
 }
 
-/// Most requests that reached the engine within [`WINDOW`], from `since` on.
+/// Greatest number of requests that reached the engine within any [`WINDOW`] from `since` on.
 fn most_in_window(engine: &EngineStandIn, since: Instant) -> usize {
     let mut times: Vec<Instant> = engine.arrivals().iter().map(|arrival| arrival.at).collect();
     times.retain(|at| *at >= since);
@@ -63,12 +52,12 @@
         .count()
 }
 
-/// Time on the clock of the simulation.
+/// Current virtual time of the simulation.
 fn virtual_now(fleet: &mut Fleet) -> Instant {
     fleet.run(async { Instant::now() })
 }
 
-/// What all daemons are asked together: requests of one kind, so many a second, for so long.
+/// Load on all daemons together: requests of one route, their rate and the duration.
 #[derive(Clone, Copy)]
 struct Load {
     route: &'static str,
@@ -77,7 +66,8 @@
 }
 
 impl Load {
-    /// Plain requests, as many as keep the back ends without a limit busy: else one that seldom gets a request looks slow beside them.
+    /// Plain requests at a rate that keeps the other back ends busy. At a low rate the limited back
+    /// end would look slow beside idle ones.
     const fn plain(time: Duration) -> Self {
         Self {
             route: "fetch",
@@ -86,7 +76,7 @@
         }
     }
 
-    /// Prompts that share nothing.
+    /// Prompts without a shared prefix.
     const fn prompts(time: Duration) -> Self {
         Self {
             route: "tag",
@@ -104,8 +94,8 @@
     }
 }
 
-/// Asks every daemon. Returns the answers' statuses.
-fn ask_all(fleet: &mut Fleet, name: &str, load: Load) -> Vec<StatusCode> {
+/// Applies the load to all daemons. Returns the statuses of the responses.
+fn apply_load(fleet: &mut Fleet, name: &str, load: Load) -> Vec<StatusCode> {
     let client = fleet.client.clone();
     let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
     let name = name.to_owned();
@@ -113,30 +103,30 @@
         let daemons = u32::try_from(targets.len()).expect("a small number");
         let pause = Duration::from_secs(1) * daemons / load.per_second;
         let rounds = u32::try_from(load.time.as_micros() / pause.as_micros()).expect("a small number");
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for (daemon, target) in (0..).zip(targets.iter().copied()) {
-            // Daemons are not asked at one moment.
+            // Requests to different daemons are offset in time.
             let offset = pause * daemon / daemons;
             for round in 0..rounds {
                 let client = client.clone();
                 let request = load.request(&format!("{name}-{round}-{daemon}"));
-                asked.push(async move {
+                requests.push(async move {
                     sleep(offset + pause * round).await;
                     let answer = client.ask(target, &request).await;
                     answer.expect("a response, not a closed connection").status
                 });
             }
         }
-        join_all(asked).await
+        join_all(requests).await
     })
 }
 
-fn refused(statuses: &[StatusCode]) -> usize {
+fn failed_count(statuses: &[StatusCode]) -> usize {
     let statuses = statuses.iter();
     statuses.filter(|status| **status != StatusCode::OK).count()
 }
 
-/// A fleet of so many daemons, with engines that are enough without the one that sets a limit.
+/// A fleet with enough engines to serve all load without the one that sets a limit.
 fn fleet_of(daemons: u8, zones: u8) -> Fleet {
     Fleet::new(FleetOptions {
         daemons,
@@ -148,28 +138,29 @@
     })
 }
 
-/// Sets the limit at one engine, asks all daemons for some time, and checks what reached the engine.
+/// Sets the limit at one engine, applies the load and checks that neither too many nor too few
+/// requests reach the engine.
 fn check_limit(fleet: &mut Fleet, engine: &EngineStandIn, load: Load) {
-    engine.limit_rate(&[RATE_TEXT]);
-    let begun = virtual_now(fleet);
-    let statuses = ask_all(fleet, "limited", load);
-    assert_eq!(refused(&statuses), 0, "other engines serve");
-    let most = most_in_window(engine, begun + SETTLED);
+    engine.limit_rate(&[RATE_LIMIT_TEXT]);
+    let started_at = virtual_now(fleet);
+    let statuses = apply_load(fleet, "limited", load);
+    assert_eq!(failed_count(&statuses), 0, "other engines serve");
+    let most = most_in_window(engine, started_at + SETTLING_TIME);
     assert!(
-        most as f64 <= allowed(RATE),
+        most as f64 <= max_allowed(RATE_LIMIT),
         "{most} requests in 4 s, {} are allowed",
-        allowed(RATE)
+        max_allowed(RATE_LIMIT)
     );
-    let reached = arrivals_since(engine, begun + SETTLED) as f64;
-    let could_reach = RATE * (load.time - SETTLED).as_secs_f64();
+    let arrivals = arrivals_since(engine, started_at + SETTLING_TIME) as f64;
+    let acceptable = RATE_LIMIT * (load.time - SETTLING_TIME).as_secs_f64();
     assert!(
-        reached >= 0.6 * could_reach,
-        "{reached} of {could_reach} that it takes"
+        arrivals >= 0.6 * acceptable,
+        "{arrivals} of the {acceptable} requests that it accepts"
     );
 }
 
 #[test]
-fn a_plain_back_end_gets_no_more_than_it_takes_from_3_and_from_9_daemons_together() {
+fn a_plain_back_end_gets_no_more_than_its_limit_from_3_and_from_9_daemons() {
     for daemons in [3, 9] {
         let mut fleet = fleet_of(daemons, 3);
         let engine = fleet.records[0].clone();
@@ -178,10 +169,10 @@
 }
 
 #[test]
-fn engines_that_read_and_that_generate_get_no_more_than_they_take_from_9_daemons_together() {
-    for reads in [true, false] {
+fn prefill_and_decode_engines_get_no_more_than_their_limit_from_9_daemons() {
+    for is_prefill in [true, false] {
         let mut fleet = fleet_of(9, 3);
-        let engine = if reads {
+        let engine = if is_prefill {
             fleet.prefill[0].clone()
         } else {
             fleet.decode[0].clone()
@@ -191,25 +182,26 @@
 }
 
 #[test]
-fn a_back_end_gets_no_more_than_it_takes_from_95_daemons_together() {
+fn a_back_end_gets_no_more_than_its_limit_from_95_daemons() {
     let mut fleet = fleet_of(95, 3);
     let engine = fleet.records[0].clone();
     check_limit(&mut fleet, &engine, Load::plain(Duration::from_secs(11)));
 }
 
-/// Sends one request to a daemon. Returns the answer and how long it took.
+/// Sends one request to a daemon. Returns the response and the time it took.
 fn ask(fleet: &mut Fleet, daemon: usize, request: &ClientRequest) -> (Answer, Duration) {
     let (client, target) = (fleet.client.clone(), fleet.daemons[daemon].callers_address);
     fleet.run(async move {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let answer = client.ask(target, request).await;
-        (answer.expect("a response, not a closed connection"), begun.elapsed())
+        (answer.expect("a response, not a closed connection"), started_at.elapsed())
     })
 }
 
-/// One of the daemons hears of the limit. The others must not find out by requests of their own, at any size.
+/// A limit that one daemon learns of must reach the others before they exceed it, in fleets of any
+/// size.
 #[test]
-fn what_one_daemon_hears_of_a_limit_all_know_at_once() {
+fn a_limit_learned_by_one_daemon_is_known_to_all_at_once() {
     for (daemons, zones) in [(3, 3), (9, 3), (95, 3)] {
         let mut fleet = Fleet::new(FleetOptions {
             daemons,
@@ -217,7 +209,7 @@
             records: 1,
             ..FleetOptions::default()
         });
-        // The daemons have to hear of each other first.
+        // The daemons must discover each other first.
         fleet.wait(Duration::from_secs(3));
         let engine = fleet.records[0].clone();
         engine.limit_rate(&["0.1"]);
@@ -229,8 +221,8 @@
     }
 }
 
-/// Three daemons before one back end, whose limit of a request in ten seconds has been named.
-fn fleet_before_one_limited_back_end() -> (Fleet, EngineStandIn) {
+/// Three daemons with one back end, which has announced a limit of one request in ten seconds.
+fn fleet_with_one_limited_back_end() -> (Fleet, EngineStandIn) {
     let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         records: 1,
@@ -243,8 +235,8 @@
 }
 
 #[test]
-fn a_daemon_that_starts_again_is_told_of_limits_by_its_peers() {
-    let (mut fleet, engine) = fleet_before_one_limited_back_end();
+fn a_restarted_daemon_learns_limits_from_its_peers() {
+    let (mut fleet, engine) = fleet_with_one_limited_back_end();
     for number in 0..3 {
         let host = fleet.daemons[number].host;
         fleet.simulation.handle().kill(host);
@@ -254,103 +246,106 @@
     }
     let before = engine.arrivals().len();
     fleet.ask_each_daemon("again");
-    let reached = engine.arrivals().len() - before;
-    assert!(reached <= 1, "{reached} daemons sent");
+    let arrivals = engine.arrivals().len() - before;
+    assert!(arrivals <= 1, "{arrivals} daemons sent");
 }
 
-/// Its requests come as soon as it is ready: it must know by then, whenever its peers last published what is in force.
+/// A restarted daemon must know all limits as soon as it is ready, independently of when its peers
+/// last sent them.
 #[test]
-fn a_daemon_that_starts_again_knows_limits_before_its_first_request() {
-    let (mut fleet, engine) = fleet_before_one_limited_back_end();
-    for start in 0..10 {
-        let number = start % 3;
+fn a_restarted_daemon_knows_limits_before_its_first_request() {
+    let (mut fleet, engine) = fleet_with_one_limited_back_end();
+    for restart_number in 0..10 {
+        let number = restart_number % 3;
         let host = fleet.daemons[number].host;
         fleet.simulation.handle().kill(host);
-        let down = u64::try_from(start).expect("a small number") * 130 + 200;
-        fleet.wait(Duration::from_millis(down));
+        let downtime_ms = u64::try_from(restart_number).expect("a small number") * 130 + 200;
+        fleet.wait(Duration::from_millis(downtime_ms));
         fleet.simulation.handle().restart(host);
         fleet.wait(Duration::from_millis(150));
         let before = engine.arrivals().len();
-        let request = ClientRequest::plain(&format!("started-{start}"), "fetch");
+        let request = ClientRequest::plain(&format!("started-{restart_number}"), "fetch");
         ask(&mut fleet, number, &request);
-        assert_eq!(engine.arrivals().len(), before, "start {start}");
+        assert_eq!(engine.arrivals().len(), before, "start {restart_number}");
     }
 }
 
-/// The store is slow: peers tell of the limit long before the daemon has read which back ends there are.
+/// With a slow store, limits arrive from peers long before the daemon has read which back ends
+/// exist.
 #[test]
-fn a_daemon_that_reads_the_directory_late_keeps_limits_that_it_was_told_of_before() {
-    let (mut fleet, engine) = fleet_before_one_limited_back_end();
+fn a_daemon_keeps_limits_of_back_ends_that_it_reads_from_the_store_later() {
+    let (mut fleet, engine) = fleet_with_one_limited_back_end();
     fleet.wait(Duration::from_secs(1));
-    for start in 0..5 {
-        let number = start % 3;
+    for restart_number in 0..5 {
+        let number = restart_number % 3;
         let host = fleet.daemons[number].host;
         fleet
             .store
             .set_mode(StoreMode::Slow(Duration::from_secs(1)));
         fleet.simulation.handle().restart(host);
-        let late = u64::try_from(start).expect("a small number") * 10;
-        fleet.wait(Duration::from_millis(1_155 + late));
+        let extra_delay_ms = u64::try_from(restart_number).expect("a small number") * 10;
+        fleet.wait(Duration::from_millis(1_155 + extra_delay_ms));
         let before = engine.arrivals().len();
-        let request = ClientRequest::plain(&format!("late-{start}"), "fetch");
+        let request = ClientRequest::plain(&format!("late-{restart_number}"), "fetch");
         ask(&mut fleet, number, &request);
-        assert_eq!(engine.arrivals().len(), before, "start {start}");
+        assert_eq!(engine.arrivals().len(), before, "start {restart_number}");
         fleet.store.set_mode(StoreMode::Up);
         fleet.wait(Duration::from_secs(3));
     }
 }
 
-/// An entry in the directory and the daemons' own words agree on nothing here: only an answer shows that the limit has ended.
+/// Only responses show that a limit has ended: neither the store nor peers do.
 #[test]
-fn a_limit_ends_when_answers_no_longer_name_it() {
+fn a_limit_ends_when_responses_no_longer_announce_it() {
     let mut fleet = fleet_of(9, 3);
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&[RATE_TEXT]);
-    ask_all(&mut fleet, "limited", Load::plain(Duration::from_secs(5)));
+    engine.limit_rate(&[RATE_LIMIT_TEXT]);
+    apply_load(&mut fleet, "limited", Load::plain(Duration::from_secs(5)));
     engine.limit_rate(&[]);
-    let lifted = virtual_now(&mut fleet);
-    let statuses = ask_all(&mut fleet, "lifted", Load::plain(Duration::from_secs(5)));
-    assert_eq!(refused(&statuses), 0);
-    let reached = arrivals_since(&engine, lifted + SETTLED);
+    let lifted_at = virtual_now(&mut fleet);
+    let statuses = apply_load(&mut fleet, "lifted", Load::plain(Duration::from_secs(5)));
+    assert_eq!(failed_count(&statuses), 0);
+    let arrivals = arrivals_since(&engine, lifted_at + SETTLING_TIME);
     assert!(
-        reached > 100,
-        "it gets requests as the others do: {reached}"
+        arrivals > 100,
+        "it gets as many requests as the others: {arrivals}"
     );
 }
 
 #[test]
-fn a_rate_of_nothing_lets_a_request_in_ten_seconds_through() {
+fn a_rate_limit_of_zero_allows_one_request_in_ten_seconds() {
     let mut fleet = fleet_of(3, 1);
     let engine = fleet.records[0].clone();
     engine.limit_rate(&["0"]);
-    ask_all(&mut fleet, "first", Load::plain(Duration::from_secs(1)));
+    apply_load(&mut fleet, "first", Load::plain(Duration::from_secs(1)));
     let since = virtual_now(&mut fleet);
-    let statuses = ask_all(&mut fleet, "later", Load::plain(Duration::from_secs(12)));
-    assert_eq!(refused(&statuses), 0);
-    let reached = arrivals_since(&engine, since);
-    assert!((1..=2).contains(&reached), "{reached}");
+    let statuses = apply_load(&mut fleet, "later", Load::plain(Duration::from_secs(12)));
+    assert_eq!(failed_count(&statuses), 0);
+    let arrivals = arrivals_since(&engine, since);
+    assert!((1..=2).contains(&arrivals), "{arrivals}");
 }
 
 #[test]
-fn what_is_no_rate_is_passed_over_and_of_several_the_lowest_holds() {
+fn invalid_rates_are_ignored_and_the_lowest_of_several_applies() {
     let mut fleet = fleet_of(1, 1);
     let engine = fleet.records[0].clone();
     engine.limit_rate(&["", "soon", "-1", "NaN", "inf", "1,5"]);
     let since = virtual_now(&mut fleet);
-    ask_all(&mut fleet, "odd", Load::plain(Duration::from_secs(2)));
-    let reached = arrivals_since(&engine, since);
-    assert!(reached > 100, "none of it limits it: {reached}");
+    apply_load(&mut fleet, "odd", Load::plain(Duration::from_secs(2)));
+    let arrivals = arrivals_since(&engine, since);
+    assert!(arrivals > 100, "none of the values is a limit: {arrivals}");
     engine.limit_rate(&["40", "2", "many"]);
-    ask_all(&mut fleet, "several", Load::plain(Duration::from_secs(1)));
+    apply_load(&mut fleet, "several", Load::plain(Duration::from_secs(1)));
     let since = virtual_now(&mut fleet);
-    ask_all(&mut fleet, "lowest", Load::plain(Duration::from_secs(5)));
-    let reached = arrivals_since(&engine, since);
-    assert!(reached <= 12, "{reached}");
+    apply_load(&mut fleet, "lowest", Load::plain(Duration::from_secs(5)));
+    let arrivals = arrivals_since(&engine, since);
+    assert!(arrivals <= 12, "{arrivals}");
 }
 
-/// All back ends set a limit. Who can be in time waits for its turn; the others are refused at once and told when to come back.
+/// If all back ends set limits, requests that can meet their deadline wait for their turn; all
+/// others are refused at once with `Retry-After`.
 #[test]
-fn callers_wait_for_their_turn_or_are_refused_at_once_where_all_back_ends_set_limits() {
+fn callers_wait_or_are_refused_at_once_if_all_back_ends_set_limits() {
     let mut fleet = Fleet::new(FleetOptions {
         daemons: 3,
         records: 4,
@@ -364,25 +359,25 @@
         per_second: 200,
         ..Load::plain(Duration::from_secs(8))
     };
-    ask_all(
+    apply_load(
         &mut fleet,
         "first",
         Load {
-            time: SETTLED,
+            time: SETTLING_TIME,
             ..load
         },
     );
     let since = virtual_now(&mut fleet);
-    let statuses = ask_all(&mut fleet, "all", load);
-    let served = statuses.len() - refused(&statuses);
-    let could_serve = 4.0 * 20.0 * load.time.as_secs_f64();
+    let statuses = apply_load(&mut fleet, "all", load);
+    let served = statuses.len() - failed_count(&statuses);
+    let capacity = 4.0 * 20.0 * load.time.as_secs_f64();
     assert!(
-        served as f64 >= 0.8 * could_serve,
-        "{served} of {could_serve} are served"
+        served as f64 >= 0.8 * capacity,
+        "{served} of {capacity} are served"
     );
     for engine in &engines {
         let most = most_in_window(engine, since);
-        assert!(most as f64 <= allowed(20.0), "{most}");
+        assert!(most as f64 <= max_allowed(20.0), "{most}");
     }
     let refusals: Vec<(Answer, Duration)> = (0..20)
         .map(|number| {
@@ -396,70 +391,71 @@
         .collect();
     for (answer, took) in refusals {
         assert!(took < Duration::from_millis(50), "at once: {took:?}");
-        assert!(answer.retry_after_s().is_some(), "when to come back");
+        assert!(answer.retry_after_s().is_some(), "a Retry-After header is set");
     }
 }
 
-/// What a decode engine says while a prompt is read for it.
+/// What a decode engine announces while a prompt for it is being prefilled.
 #[derive(Debug, Clone, Copy)]
-enum Word {
-    Leaves,
-    BacksOff,
-    TakesNothing,
+enum Announcement {
+    Draining,
+    Backoff,
+    ZeroRate,
 }
 
-/// Reading a prompt takes long. Meanwhile the only engine that could go on with it says in an answer to another request that it takes no more.
-/// The request was placed before, so that only the last check before the send can hold it back.
+/// While a long prompt is prefilled, the chosen decode engine announces in a response to another
+/// request that it accepts no more. Only a check just before the send can hold the prompt back.
 #[test]
-fn a_request_that_waited_since_its_engine_was_chosen_is_checked_again_before_it_leaves() {
-    for word in [Word::Leaves, Word::BacksOff, Word::TakesNothing] {
+fn the_chosen_engine_is_checked_again_just_before_the_send() {
+    for announcement in [Announcement::Draining, Announcement::Backoff, Announcement::ZeroRate] {
         let mut fleet = Fleet::new(FleetOptions {
             decode: 1,
             ..FleetOptions::default()
         });
         let engine = fleet.decode[0].clone();
         let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
-        let told = engine.clone();
+        let announcing_engine = engine.clone();
         let (long, short) = fleet.run(async move {
             let mut request = ClientRequest::prompt("long", "verdict", 0, 12_000);
             request.deadline_ms = 10_000;
             let short = async {
                 sleep(Duration::from_millis(100)).await;
-                match word {
-                    Word::Leaves => told.say_leaving(),
-                    Word::BacksOff => {
-                        told.behave_next(&[Behaviour::Refuse]);
-                        told.ask_for_rest(&["5"]);
+                match announcement {
+                    Announcement::Draining => announcing_engine.say_leaving(),
+                    Announcement::Backoff => {
+                        announcing_engine.behave_next(&[Behaviour::Refuse]);
+                        announcing_engine.ask_for_rest(&["5"]);
                     }
-                    Word::TakesNothing => told.limit_rate(&["0"]),
+                    Announcement::ZeroRate => announcing_engine.limit_rate(&["0"]),
                 }
                 let request = ClientRequest::prompt("short", "tag", 0, 20);
                 client.ask(target, &request).await
             };
             tokio::join!(client.ask(target, &request), short)
         });
-        assert!(short.is_some(), "it brought the engine's word");
+        assert!(short.is_some(), "its response carried the announcement");
         let long = long.expect("a response, not a closed connection");
-        assert_eq!(long.status, StatusCode::SERVICE_UNAVAILABLE, "{word:?}");
-        let reached: Vec<String> = engine
+        assert_eq!(long.status, StatusCode::SERVICE_UNAVAILABLE, "{announcement:?}");
+        let arrivals: Vec<String> = engine
             .arrivals()
             .into_iter()
             .map(|arrival| arrival.request)
             .collect();
         assert!(
-            !reached.iter().any(|id| id.starts_with("long")),
-            "{word:?}: {reached:?}"
+            !arrivals.iter().any(|id| id.starts_with("long")),
+            "{announcement:?}: {arrivals:?}"
         );
     }
 }
 
-/// Daemons freeze and wake while a back end sets a limit: nothing is saved up meanwhile, and what they missed they are told.
+/// Daemons that freeze and resume must not save up sends, and must learn of the changes they
+/// missed.
 #[test]
-fn a_back_end_gets_no_more_than_it_takes_while_daemons_freeze_and_wake() {
+fn a_back_end_gets_no_more_than_its_limit_while_daemons_freeze_and_resume() {
     let mut fleet = fleet_of(9, 3);
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&[RATE_TEXT]);
-    let begun = virtual_now(&mut fleet);
+    engine.limit_rate(&[RATE_LIMIT_TEXT]);
+    let started_at = virtual_now(&mut fleet);
     let handle = fleet.simulation.handle();
     let hosts: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.host).collect();
     for frozen in hosts.chunks(3) {
@@ -471,22 +467,22 @@
         for host in frozen {
             handle.thaw(*host);
         }
-        ask_all(&mut fleet, &format!("thawed-{frozen:?}"), load);
+        apply_load(&mut fleet, &format!("thawed-{frozen:?}"), load);
     }
-    let most = most_in_window(&engine, begun + SETTLED);
-    assert!(most as f64 <= allowed(RATE), "{most}");
+    let most = most_in_window(&engine, started_at + SETTLING_TIME);
+    assert!(most as f64 <= max_allowed(RATE_LIMIT), "{most}");
 }
 
-/// Two halves of the daemons do not hear each other, and only one of them hears the store. It takes the others for gone, who go on with what they
-/// know: both sides together must not send twice what the back end takes.
+/// In a partition, the side with the store takes the other daemons for gone, while these continue
+/// with what they know. Both sides together must not exceed the limit.
 #[test]
-fn two_halves_that_do_not_hear_each_other_do_not_both_take_the_whole() {
+fn the_two_sides_of_a_partition_together_keep_the_limit() {
     let mut fleet = fleet_of(9, 2);
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&[RATE_TEXT]);
-    let begun = virtual_now(&mut fleet);
-    ask_all(&mut fleet, "whole", Load::plain(Duration::from_secs(4)));
-    // All that share the limit are of the engine's zone, which the daemons with even numbers are of.
+    engine.limit_rate(&[RATE_LIMIT_TEXT]);
+    let started_at = virtual_now(&mut fleet);
+    apply_load(&mut fleet, "whole", Load::plain(Duration::from_secs(4)));
+    // The limit is shared by the daemons in the zone of the engine, which have even numbers.
     let numbered = fleet.daemons.iter().enumerate();
     let (cut_off, rest): (Vec<_>, Vec<_>) = numbered.partition(|(number, _)| number % 2 == 0);
     let hosts = |daemons: Vec<(usize, &DaemonHost)>| {
@@ -496,7 +492,7 @@
     let (cut_off, mut rest) = (hosts(cut_off), hosts(rest));
     rest.push(fleet.store_host);
     fleet.simulation.handle().partition(&cut_off, &rest);
-    ask_all(&mut fleet, "halves", Load::plain(Duration::from_secs(20)));
-    let most = most_in_window(&engine, begun + SETTLED);
-    assert!(most as f64 <= allowed(RATE), "{most}");
+    apply_load(&mut fleet, "halves", Load::plain(Duration::from_secs(20)));
+    let most = most_in_window(&engine, started_at + SETTLING_TIME);
+    assert!(most as f64 <= max_allowed(RATE_LIMIT), "{most}");
 }
