--- a/crates/serve/tests/requests.rs
+++ b/crates/serve/tests/requests.rs
@@ -1,4 +1,5 @@
-//! Requests through a daemon, over a simulated platform: what runs, how often, and what callers are told.
+//! Requests through a daemon on a simulated platform: what runs, how often, and what callers
+//! receive.
 
 mod support;
 
@@ -21,23 +22,23 @@
 }
 
 #[test]
-fn a_daemon_without_a_configuration_is_not_ready_and_promises_that_nothing_ran() {
+fn a_daemon_without_a_configuration_is_not_ready_and_refuses_requests() {
     let mut fleet = Fleet::without_configuration(FleetOptions::default());
     let (client, daemon) = (fleet.client.clone(), fleet.daemons[0].clone());
-    let ready = fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
-    assert_eq!(ready, Some(StatusCode::SERVICE_UNAVAILABLE));
+    let readiness = fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
+    assert_eq!(readiness, Some(StatusCode::SERVICE_UNAVAILABLE));
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.retry_after_s().is_some(), "says when to come back");
+    assert!(answer.retry_after_s().is_some(), "a Retry-After header is set");
     assert_eq!(total_runs(&fleet.records), 0);
 }
 
 #[test]
-fn plain_answers_come_back_unchanged() {
+fn plain_responses_are_passed_on_unchanged() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let (client, daemon) = (fleet.client.clone(), fleet.daemons[0].clone());
-    let ready = fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
-    assert_eq!(ready, Some(StatusCode::OK));
+    let readiness = fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
+    assert_eq!(readiness, Some(StatusCode::OK));
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::OK);
     let engine = answer.signed_by().expect("signed");
@@ -46,14 +47,14 @@
 }
 
 #[test]
-fn a_host_or_path_without_a_route_is_told_so() {
+fn a_request_without_a_route_gets_404() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "nowhere"));
     assert_eq!(answer.status, StatusCode::NOT_FOUND);
 }
 
 #[test]
-fn what_may_not_be_repeated_runs_once_whatever_becomes_of_its_answer() {
+fn an_unsafe_request_runs_once_even_if_its_response_is_lost_or_invalid() {
     for behaviour in [
         Behaviour::LoseAnswer,
         Behaviour::BreakOff,
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_hanging_run_that_may_not_be_repeated_is_unsure_at_its_deadline() {
+fn an_unsafe_request_that_hangs_gets_504_at_its_deadline() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Hang);
@@ -83,24 +84,24 @@
 #[test]
 fn a_rejected_request_goes_to_another_back_end_and_runs_once() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    warm_budget(&mut fleet, "fetch", 12);
-    let before = total_runs(&fleet.records);
+    build_up_retry_budget(&mut fleet, "fetch", 12);
+    let runs_before = total_runs(&fleet.records);
     fleet.records[0].behave_next(&[Behaviour::Refuse]);
     fleet.records[1].behave_next(&[Behaviour::Refuse]);
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(total_runs(&fleet.records), before);
+    assert_eq!(total_runs(&fleet.records), runs_before);
     fleet.records[0].behave_next(&[Behaviour::Refuse]);
     let answers = [
         ask(&mut fleet, &ClientRequest::plain("2", "post")),
         ask(&mut fleet, &ClientRequest::plain("3", "post")),
     ];
     assert!(answers.iter().all(|answer| answer.status == StatusCode::OK));
-    assert_eq!(total_runs(&fleet.records), before + 2);
+    assert_eq!(total_runs(&fleet.records), runs_before + 2);
 }
 
-/// Requests that earn places in the retry budget.
-fn warm_budget(fleet: &mut Fleet, route: &'static str, requests: usize) {
+/// Sends requests that add to the retry budget.
+fn build_up_retry_budget(fleet: &mut Fleet, route: &'static str, requests: usize) {
     for number in 0..requests {
         let answer = ask(
             fleet,
@@ -111,9 +112,9 @@
 }
 
 #[test]
-fn a_failed_run_is_repeated_elsewhere_only_where_the_route_allows() {
+fn a_failed_run_is_retried_elsewhere_only_if_the_route_allows_it() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    warm_budget(&mut fleet, "fetch", 12);
+    build_up_retry_budget(&mut fleet, "fetch", 12);
     fleet.records[0].behave_always(Behaviour::Fail);
     for number in 0..6 {
         let answer = ask(
@@ -123,15 +124,15 @@
         assert_eq!(answer.status, StatusCode::OK);
     }
     fleet.records[1].behave_always(Behaviour::Fail);
-    let before = total_runs(&fleet.records);
+    let runs_before = total_runs(&fleet.records);
     let answer = ask(&mut fleet, &ClientRequest::plain("once", "post"));
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
-    assert!(answer.signed_by().is_some(), "the back end's own answer");
-    assert_eq!(total_runs(&fleet.records), before + 1);
+    assert!(answer.signed_by().is_some(), "the response of the back end");
+    assert_eq!(total_runs(&fleet.records), runs_before + 1);
 }
 
 #[test]
-fn repeats_stay_within_the_budget_while_every_back_end_fails() {
+fn retries_stay_within_the_budget_while_every_back_end_fails() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Fail);
@@ -143,24 +144,24 @@
             &ClientRequest::plain(&number.to_string(), "fetch"),
         );
     }
-    let repeats = total_runs(&fleet.records) - REQUESTS;
-    assert!(repeats <= REQUESTS / 5, "{repeats} repeats");
-    assert!(repeats > 0, "the budget is used");
+    let retries = total_runs(&fleet.records) - REQUESTS;
+    assert!(retries <= REQUESTS / 5, "{retries} retries");
+    assert!(retries > 0, "the budget is used");
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_work_at_its_back_end() {
+fn a_disconnected_caller_cancels_the_run_at_its_back_end() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     for engine in fleet.records.iter().chain(&fleet.decode) {
         engine.behave_always(Behaviour::Hang);
     }
     fleet.run(async move {
-        let plain = ClientRequest::plain("1", "post");
-        let wait_policy = Duration::from_millis(100);
-        client.ask_and_leave(target, &plain, wait_policy).await;
-        let stream = ClientRequest::prompt("2", "tag", 40, 200);
-        client.ask_and_leave(target, &stream, wait_policy).await;
+        let plain_request = ClientRequest::plain("1", "post");
+        let disconnect_after = Duration::from_millis(100);
+        client.ask_and_leave(target, &plain_request, disconnect_after).await;
+        let stream_request = ClientRequest::prompt("2", "tag", 40, 200);
+        client.ask_and_leave(target, &stream_request, disconnect_after).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     for engines in [&fleet.records, &fleet.decode] {
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_in_mid_stream_ends_the_work_at_its_engine() {
+fn a_caller_that_disconnects_during_a_stream_cancels_the_run_at_its_engine() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     for engine in &fleet.decode {
@@ -181,9 +182,9 @@
         });
     }
     fleet.run(async move {
-        let stream = ClientRequest::prompt("2", "verdict", 40, 200);
-        let wait_policy = Duration::from_millis(300);
-        client.ask_and_leave(target, &stream, wait_policy).await;
+        let stream_request = ClientRequest::prompt("2", "verdict", 40, 200);
+        let disconnect_after = Duration::from_millis(300);
+        client.ask_and_leave(target, &stream_request, disconnect_after).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     let runs: Vec<_> = fleet.decode.iter().flat_map(EngineStandIn::runs).collect();
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn deadlines_passed_on_are_never_longer_than_what_is_left() {
+fn forwarded_deadlines_never_exceed_the_remaining_time() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let mut request = ClientRequest::plain("1", "post");
     request.deadline_ms = 700;
@@ -208,16 +209,16 @@
 }
 
 #[test]
-fn a_split_route_gives_each_service_its_share() {
+fn a_split_route_distributes_requests_by_weight() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    let (other, _host) = fleet.add_engine("others", None);
-    let mut split = routes();
-    split[1].split = vec![("records", 75), ("others", 25)];
-    let text = support::configuration(2, &split);
+    let (other_engine, _host) = fleet.add_engine("others", None);
+    let mut split_routes = routes();
+    split_routes[1].split = vec![("records", 75), ("others", 25)];
+    let text = support::configuration(2, &split_routes);
     let mut value: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
     let mut service = value["services"][0].clone();
     service["name"] = serde_json::json!("others");
-    let services = value["services"].as_array_mut().expect("a list");
+    let services = value["services"].as_array_mut().expect("a list of services");
     services.push(service);
     fleet.store.put("op/config", value.to_string());
     fleet.wait(Duration::from_millis(100));
@@ -228,18 +229,18 @@
         );
         assert_eq!(answer.status, StatusCode::OK);
     }
-    assert_eq!(other.runs().len(), 10);
+    assert_eq!(other_engine.runs().len(), 10);
     assert_eq!(total_runs(&fleet.records), 30);
 }
 
 #[test]
-fn beyond_its_bounds_a_daemon_refuses_at_once_and_nothing_runs() {
+fn a_daemon_at_its_request_limit_refuses_at_once_and_nothing_runs() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
         engine.behave_always(Behaviour::Hang);
     }
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
-    let refused = fleet.run(async move {
+    let response = fleet.run(async move {
         for number in 0..support::MAX_REQUESTS_IN_PROGRESS {
             let client = client.clone();
             let request = ClientRequest::plain(&format!("held-{number}"), "post");
@@ -250,21 +251,21 @@
             .ask(target, &ClientRequest::plain("late", "post"))
             .await
     });
-    let refused = refused.expect("a response, not a closed connection");
-    assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(refused.retry_after_s().is_some());
+    let response = response.expect("a response, not a closed connection");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.retry_after_s().is_some());
     let runs = fleet.records.iter().flat_map(EngineStandIn::runs);
     assert!(runs.into_iter().all(|run| run.request != "late"));
 }
 
 #[test]
-fn heads_and_bodies_beyond_the_configurations_limits_are_told_so() {
+fn request_headers_and_bodies_above_the_configured_limits_are_refused() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    let long_head = ClientRequest {
+    let long_headers = ClientRequest {
         padding: 20_000,
         ..ClientRequest::plain("1", "post")
     };
-    let answer = ask(&mut fleet, &long_head);
+    let answer = ask(&mut fleet, &long_headers);
     assert_eq!(answer.status, StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     let long_body = ClientRequest {
         body: "x".repeat(70_000),
@@ -278,7 +279,7 @@
 }
 
 #[test]
-fn callers_that_leave_a_back_end_no_time_do_not_make_it_unwell() {
+fn deadlines_too_short_for_a_back_end_do_not_eject_it() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for number in 0..20 {
         let mut request = ClientRequest::plain(&number.to_string(), "post");
@@ -289,7 +290,7 @@
         ask(&mut fleet, &request);
     }
     let (client, daemon) = (fleet.client.clone(), fleet.daemons[0].clone());
-    let figures = fleet.run(async move { client.text(daemon.readiness_address, "/metrics").await });
-    let figures = figures.expect("figures");
-    assert!(figures.contains("ponddrift_ejections_total 0"), "{figures}");
+    let metrics = fleet.run(async move { client.text(daemon.readiness_address, "/metrics").await });
+    let metrics = metrics.expect("metrics");
+    assert!(metrics.contains("ponddrift_ejections_total 0"), "{metrics}");
 }
--- a/crates/serve/tests/streams.rs
+++ b/crates/serve/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams and prompts: hand-over, resuming, and what a caller sees of an engine that fails.
+//! Streams and prompts: separate prefill, resumed streams, and what callers see when engines fail.
 
 mod support;
 
@@ -8,8 +8,8 @@
 use ponddrift_platform_stand_ins::{Answer, Behaviour, ClientRequest, EngineStandIn};
 use support::{Fleet, FleetOptions};
 
-/// Tokens that are worth a reading apart.
-const LONG: u32 = 6_000;
+/// Length of a prompt that is worth a separate prefill, in tokens.
+const LONG_PROMPT_TOKENS: u32 = 6_000;
 
 fn ask(fleet: &mut Fleet, request: &ClientRequest) -> Answer {
     let client = fleet.client.clone();
@@ -19,7 +19,7 @@
         .expect("a response, not a closed connection")
 }
 
-fn events(answer: &Answer) -> Vec<String> {
+fn event_ids(answer: &Answer) -> Vec<String> {
     answer
         .text()
         .lines()
@@ -28,8 +28,8 @@
         .collect()
 }
 
-/// Requests that earn places in the retry budget.
-fn earn(fleet: &mut Fleet) {
+/// Sends requests that add to the retry budget.
+fn build_up_retry_budget(fleet: &mut Fleet) {
     for number in 0..30 {
         let request = ClientRequest::prompt(&format!("earn-{number}"), "tag", 40, 200);
         assert_eq!(ask(fleet, &request).status, StatusCode::OK);
@@ -42,50 +42,50 @@
     let answer = ask(&mut fleet, &ClientRequest::prompt("1", "tag", 40, 200));
     assert_eq!(answer.status, StatusCode::OK);
     assert!(answer.is_whole);
-    assert_eq!(events(&answer), ["1", "2", "3", "4"]);
+    assert_eq!(event_ids(&answer), ["1", "2", "3", "4"]);
     assert!(fleet.prefill[0].runs().is_empty());
 }
 
 #[test]
-fn a_long_prompt_is_read_apart_and_goes_on_by_its_handle() {
+fn a_long_prompt_is_prefilled_separately_and_decoded_from_its_handle() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let answer = ask(
         &mut fleet,
-        &ClientRequest::prompt("1", "verdict", LONG, 900),
+        &ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900),
     );
     assert_eq!(answer.status, StatusCode::OK);
     assert!(answer.is_whole);
     assert_eq!(fleet.prefill[0].runs().len(), 1);
     let runs: Vec<_> = fleet.decode.iter().flat_map(EngineStandIn::runs).collect();
     assert_eq!(runs.len(), 1);
-    let source = runs[0].source.clone().expect("goes on from a handle");
+    let source = runs[0].source.clone().expect("decoded from a handle");
     assert!(source.ends_with("/h-1"), "{source}");
-    assert!(fleet.prefill[0].freed_handles().is_empty(), "it was taken");
+    assert!(fleet.prefill[0].freed_handles().is_empty(), "the decode engine took it");
 }
 
 #[test]
-fn without_a_prefill_engine_the_decode_engine_reads() {
+fn without_a_prefill_engine_the_decode_engine_prefills() {
     let mut fleet = Fleet::new(FleetOptions::default());
     fleet.prefill[0].vanish(&fleet.store);
     fleet.wait(Duration::from_millis(100));
     let answer = ask(
         &mut fleet,
-        &ClientRequest::prompt("1", "verdict", LONG, 900),
+        &ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900),
     );
     assert_eq!(answer.status, StatusCode::OK);
     assert!(fleet.prefill[0].runs().is_empty());
 }
 
 #[test]
-fn a_failed_reading_is_no_run_and_the_request_is_served_all_the_same() {
+fn a_failed_prefill_does_not_fail_the_request_or_count_as_a_run() {
     for behaviour in [Behaviour::Refuse, Behaviour::Fail, Behaviour::LoseAnswer] {
         let mut fleet = Fleet::new(FleetOptions::default());
-        earn(&mut fleet);
+        build_up_retry_budget(&mut fleet);
         let before: usize = fleet.decode.iter().map(|engine| engine.runs().len()).sum();
         fleet.prefill[0].behave_always(behaviour);
         let answer = ask(
             &mut fleet,
-            &ClientRequest::prompt("1", "verdict", LONG, 900),
+            &ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900),
         );
         assert_eq!(answer.status, StatusCode::OK, "{behaviour:?}");
         let after: usize = fleet.decode.iter().map(|engine| engine.runs().len()).sum();
@@ -94,39 +94,39 @@
 }
 
 #[test]
-fn a_caller_that_leaves_between_reading_and_generating_frees_the_handle() {
+fn a_caller_that_disconnects_between_prefill_and_decode_frees_the_handle() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Hang);
     }
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
-        let request = ClientRequest::prompt("1", "verdict", LONG, 900);
-        let wait_policy = Duration::from_millis(300);
-        client.ask_and_leave(target, &request, wait_policy).await;
+        let request = ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900);
+        let disconnect_after = Duration::from_millis(300);
+        client.ask_and_leave(target, &request, disconnect_after).await;
         tokio::time::sleep(Duration::from_millis(200)).await;
     });
     assert_eq!(fleet.prefill[0].freed_handles(), ["h-1"]);
 }
 
 #[test]
-fn a_resumable_stream_goes_on_elsewhere_without_loss_or_repetition() {
+fn a_resumable_stream_continues_elsewhere_without_lost_or_repeated_events() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    earn(&mut fleet);
+    build_up_retry_budget(&mut fleet);
     for engine in &fleet.decode {
         engine.behave_next(&[Behaviour::BreakOff]);
     }
-    // The first engine breaks off inside event 3; so would the second, were it asked for a fourth run.
+    // Each engine breaks off inside event 3 of its next stream and completes the one after.
     fleet.decode[0].behave_next(&[Behaviour::Serve]);
     fleet.decode[1].behave_next(&[Behaviour::Serve]);
     let answer = ask(&mut fleet, &ClientRequest::prompt("1", "tag", 40, 200));
     assert_eq!(answer.status, StatusCode::OK);
-    let first = answer
+    let first_engine = answer
         .signed_by()
-        .expect("the first engine's head")
+        .expect("a signature of the first engine")
         .to_owned();
-    let seen = events(&answer);
-    assert_eq!(seen[..2], ["1", "2"], "signed by {first}");
+    let seen = event_ids(&answer);
+    assert_eq!(seen[..2], ["1", "2"], "signed by {first_engine}");
     let runs: Vec<_> = fleet
         .decode
         .iter()
@@ -137,17 +137,17 @@
     assert!(runs.iter().any(|run| run.resumed_after == Some(2)));
     assert!(
         !answer.is_whole,
-        "the second broke off too, and no third may run"
+        "the second run broke off too, and no third run is allowed"
     );
 }
 
 #[test]
-fn a_stream_resumed_at_a_sound_engine_is_whole() {
+fn a_stream_resumed_at_a_healthy_engine_is_complete() {
     let mut fleet = Fleet::new(FleetOptions {
         decode: 1,
         ..FleetOptions::default()
     });
-    earn(&mut fleet);
+    build_up_retry_budget(&mut fleet);
     let (second, _host) = fleet.add_engine(support::MODELS, Some("decode"));
     fleet.decode[0].behave_always(Behaviour::BreakOff);
     fleet.wait(Duration::from_millis(100));
@@ -156,17 +156,17 @@
         let request = ClientRequest::prompt(&number.to_string(), "tag", 40, 200);
         let answer = ask(&mut fleet, &request);
         assert!(answer.is_whole);
-        assert_eq!(events(&answer), ["1", "2", "3", "4"]);
+        assert_eq!(event_ids(&answer), ["1", "2", "3", "4"]);
         if answer.signed_by() == Some("i-4") {
             resumed += 1;
         }
     }
-    assert!(resumed > 0, "the first engine's head stays");
+    assert!(resumed > 0, "responses keep the headers of the first engine");
     assert!(second.runs().iter().any(|run| run.resumed_after == Some(2)));
 }
 
 #[test]
-fn a_stream_that_may_not_be_resumed_never_looks_complete_when_it_breaks() {
+fn a_broken_stream_that_must_not_be_resumed_never_looks_complete() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::BreakOff);
@@ -174,32 +174,32 @@
     let answer = ask(&mut fleet, &ClientRequest::prompt("1", "verdict", 40, 200));
     assert_eq!(answer.status, StatusCode::OK);
     assert!(!answer.is_whole);
-    assert_eq!(events(&answer), ["1", "2"]);
+    assert_eq!(event_ids(&answer), ["1", "2"]);
     let runs: usize = fleet.decode.iter().map(|engine| engine.runs().len()).sum();
     assert_eq!(runs, 1);
 }
 
 #[test]
-fn a_prefill_engine_that_falls_dark_is_left_before_the_caller_leaves() {
+fn a_prefill_engine_that_loses_power_is_replaced_before_the_caller_gives_up() {
     let mut fleet = Fleet::new(FleetOptions {
         prefill: 2,
         ..FleetOptions::default()
     });
-    earn(&mut fleet);
+    build_up_retry_budget(&mut fleet);
     let prompts = |from: u32| -> Vec<ClientRequest> {
         (from..from + 8)
-            .map(|number| ClientRequest::prompt(&format!("p{number}"), "verdict", LONG, 900))
+            .map(|number| ClientRequest::prompt(&format!("p{number}"), "verdict", LONG_PROMPT_TOKENS, 900))
             .collect()
     };
     for request in prompts(0) {
         assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
     }
-    // Connections to both are open: nothing tells that one of them is dark.
-    let used = usize::from(fleet.prefill[0].runs().is_empty());
+    // Connections to both are open, so the loss of power causes no connection error.
+    let used_index = usize::from(fleet.prefill[0].runs().is_empty());
     fleet
         .simulation
         .handle()
-        .power_off(fleet.prefill_hosts[used]);
+        .power_off(fleet.prefill_hosts[used_index]);
     for request in prompts(100) {
         let before = fleet.simulation.handle().elapsed();
         assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_slow_stream_is_not_broken_off_where_the_budget_has_no_place_for_another() {
+fn a_slow_stream_is_not_cancelled_if_the_budget_allows_no_retry() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
         engine.behave_always(Behaviour::Stream {
@@ -223,19 +223,19 @@
     assert_eq!(answer.status, StatusCode::OK);
     assert!(
         answer.is_whole,
-        "nothing was saved for a repeat: {:?}",
-        events(&answer)
+        "the budget holds no retry: {:?}",
+        event_ids(&answer)
     );
-    assert_eq!(events(&answer), ["1", "2", "3", "4"]);
+    assert_eq!(event_ids(&answer), ["1", "2", "3", "4"]);
 }
 
 #[test]
-fn an_engine_that_falls_dark_in_mid_stream_is_left_for_another() {
+fn a_stream_continues_elsewhere_after_its_engine_loses_power() {
     let mut fleet = Fleet::new(FleetOptions {
         decode: 1,
         ..FleetOptions::default()
     });
-    earn(&mut fleet);
+    build_up_retry_budget(&mut fleet);
     fleet.decode[0].behave_always(Behaviour::Stream {
         events: 4,
         gap_ms: 200,
@@ -245,43 +245,43 @@
     fleet.wait(Duration::from_millis(100));
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     let handle = fleet.simulation.handle();
-    let dark = fleet.decode_hosts[0];
+    let first_host = fleet.decode_hosts[0];
     let answer = fleet.run(async move {
         let request = ClientRequest::prompt("1", "tag", 40, 200);
-        let strike = async {
+        let power_loss = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
             second.behave_well();
-            handle.power_off(dark);
+            handle.power_off(first_host);
         };
-        tokio::join!(client.ask(target, &request), strike).0
+        tokio::join!(client.ask(target, &request), power_loss).0
     });
     let answer = answer.expect("a response, not a closed connection");
     assert!(answer.is_whole);
-    assert_eq!(events(&answer), ["1", "2", "3", "4"]);
+    assert_eq!(event_ids(&answer), ["1", "2", "3", "4"]);
 }
 
 #[test]
-fn a_caller_that_leaves_while_its_prompt_is_read_ends_the_reading() {
+fn a_caller_that_disconnects_during_prefill_cancels_it() {
     let mut fleet = Fleet::new(FleetOptions::default());
     fleet.prefill[0].behave_always(Behaviour::Hang);
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
-        let request = ClientRequest::prompt("1", "verdict", LONG, 900);
-        let wait_policy = Duration::from_millis(100);
-        client.ask_and_leave(target, &request, wait_policy).await;
+        let request = ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900);
+        let disconnect_after = Duration::from_millis(100);
+        client.ask_and_leave(target, &request, disconnect_after).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     let runs = fleet.prefill[0].runs();
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].end, ponddrift_platform_stand_ins::RunEnd::Cancelled);
-    let decoded: usize = fleet.decode.iter().map(|engine| engine.runs().len()).sum();
-    assert_eq!(decoded, 0);
+    let decode_runs: usize = fleet.decode.iter().map(|engine| engine.runs().len()).sum();
+    assert_eq!(decode_runs, 0);
 }
 
-/// Found on a drawn day (fresh-746a of the larger deployment): engines that change reject the reading of prompts, and
-/// only the call that followed was counted.
+/// Prefill calls that engines reject must count against the retry budget, not only the calls that
+/// follow them.
 #[test]
-fn readings_that_engines_reject_stay_within_the_budget() {
+fn rejected_prefill_calls_stay_within_the_budget() {
     const REQUESTS: usize = 60;
     let mut fleet = Fleet::new(FleetOptions {
         prefill: 6,
@@ -299,7 +299,7 @@
     let arrivals: usize = engines
         .map(|engine| engine.rejected() + engine.runs().len())
         .sum();
-    // Ratio and slack as in the daemons' settings.
-    let most = REQUESTS + REQUESTS / 5 + 20;
-    assert!(arrivals <= most, "{arrivals} arrivals, {most} at most");
+    // With the budget ratio and slack of the test settings.
+    let max_arrivals = REQUESTS + REQUESTS / 5 + 20;
+    assert!(arrivals <= max_arrivals, "{arrivals} arrivals, {max_arrivals} at most");
 }
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -1,4 +1,5 @@
-//! Usage reports: each window once, the same figure whoever reports it, and what killed daemons had counted among it.
+//! Usage reports: each window is reported once and always with the same figures, including the
+//! counts of daemons that were killed.
 
 mod support;
 
@@ -29,7 +30,7 @@
 ];
 const WINDOW: Duration = Duration::from_secs(5);
 const DUE: Duration = Duration::from_secs(10);
-/// Start of the first whole window of a simulation, in windows since 1970.
+/// Number of the first whole window of a simulation, counted from 1970.
 const FIRST_WINDOW: u64 = 353_445_120;
 
 fn fleet(daemons: u8) -> Fleet {
@@ -44,18 +45,19 @@
     fleet
 }
 
-/// Asks each daemon for `time`, some ten times a second for alice and half as often for bob; returns what was served.
-fn ask_for(fleet: &mut Fleet, daemons: &[usize], time: Duration) -> BTreeMap<String, u64> {
+/// Sends requests to these daemons in turn for `time`, two thirds of them for alice and one third
+/// for bob. Returns the number of served requests by tenant.
+fn send_requests(fleet: &mut Fleet, daemons: &[usize], time: Duration) -> BTreeMap<String, u64> {
     let client = fleet.client.clone();
     let targets: Vec<_> = daemons
         .iter()
         .map(|daemon| fleet.daemons[*daemon].callers_address)
         .collect();
     fleet.run(async move {
-        let end = tokio::time::Instant::now() + time;
+        let end_time = tokio::time::Instant::now() + time;
         let mut served = BTreeMap::new();
         let mut number = 0_u32;
-        while tokio::time::Instant::now() < end {
+        while tokio::time::Instant::now() < end_time {
             number += 1;
             let (tenant, key) = if number.is_multiple_of(3) {
                 ("bob", "key-of-bob")
@@ -79,18 +81,19 @@
     })
 }
 
-/// Reports that were taken; each window has one figure.
+/// Figures of the accepted reports by window. Panics if a window was reported with different
+/// figures.
 fn reported(fleet: &Fleet) -> BTreeMap<u64, BTreeMap<String, u64>> {
     let mut windows: BTreeMap<u64, BTreeMap<String, u64>> = BTreeMap::new();
     for note in fleet.provider.usage().into_iter().filter(|note| note.taken) {
         if let Some(before) = windows.insert(note.window, note.counts.clone()) {
-            assert_eq!(before, note.counts, "two figures of one window");
+            assert_eq!(before, note.counts, "different figures for one window");
         }
     }
     windows
 }
 
-fn sum(windows: &BTreeMap<u64, BTreeMap<String, u64>>) -> BTreeMap<String, u64> {
+fn total_by_tenant(windows: &BTreeMap<u64, BTreeMap<String, u64>>) -> BTreeMap<String, u64> {
     let mut all: BTreeMap<String, u64> = BTreeMap::new();
     for (tenant, count) in windows.values().flatten() {
         *all.entry(tenant.clone()).or_default() += count;
@@ -98,17 +101,17 @@
     all
 }
 
-/// Within the bound of five in a hundred that reports are held to.
+/// Asserts that the reported counts are within 5 % of the served ones, the tolerance for reports.
 fn assert_close(reported: &BTreeMap<String, u64>, served: &BTreeMap<String, u64>) {
     for (tenant, count) in served {
-        let told = reported.get(tenant).copied().unwrap_or_default();
-        let off = told.abs_diff(*count);
-        assert!(off * 20 <= *count, "{tenant}: {told} of {count}");
+        let reported_count = reported.get(tenant).copied().unwrap_or_default();
+        let difference = reported_count.abs_diff(*count);
+        assert!(difference * 20 <= *count, "{tenant}: {reported_count} of {count}");
     }
 }
 
-/// Each holder has a token of its own, and tokens only rise.
-fn assert_one_at_a_time(notes: &[UsageNote]) {
+/// Asserts that each leader has a fencing token of its own and that tokens never decrease.
+fn assert_one_leader_at_a_time(notes: &[UsageNote]) {
     for pair in notes.windows(2) {
         let same_holder = pair[0].holder == pair[1].holder;
         assert_eq!(same_holder, pair[0].fence == pair[1].fence, "{pair:?}");
@@ -117,42 +120,42 @@
 }
 
 #[test]
-fn what_each_tenant_ran_is_reported_in_time_by_one_daemon() {
+fn the_usage_of_each_tenant_is_reported_in_time_by_one_daemon() {
     let mut fleet = fleet(4);
-    let served = ask_for(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(20));
+    let served = send_requests(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(20));
     fleet.wait(DUE);
     let windows = reported(&fleet);
-    assert_eq!(sum(&windows), served);
+    assert_eq!(total_by_tenant(&windows), served);
     let notes = fleet.provider.usage();
-    assert_one_at_a_time(&notes);
+    assert_one_leader_at_a_time(&notes);
     assert_eq!(notes.len(), windows.len(), "no report is sent twice");
-    let started = fleet.simulation.handle().elapsed();
+    let elapsed = fleet.simulation.handle().elapsed();
     for (position, note) in notes.iter().enumerate() {
         assert!(note.window >= FIRST_WINDOW, "{note:?}");
         let expected = notes[0].window + u64::try_from(position).expect("a small number");
-        assert_eq!(note.window, expected, "none is left out, in order");
+        assert_eq!(note.window, expected, "all windows are reported in order");
     }
-    assert!(started > DUE);
+    assert!(elapsed > DUE);
 }
 
 #[test]
-fn a_leader_killed_at_any_time_of_a_window_leaves_no_window_out_and_none_with_two_figures() {
+fn killing_the_leader_at_any_time_leaves_no_window_missing_or_with_two_figures() {
     for moment_ms in [100, 700, 1_200, 1_400, 1_700, 2_500, 4_000] {
         let mut fleet = fleet(4);
-        ask_for(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(9));
-        let first = fleet.last_reporter();
+        send_requests(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(9));
+        let first_leader = fleet.last_reporter();
         let into_window = fleet.simulation.handle().elapsed().as_millis() % WINDOW.as_millis();
-        let until = (WINDOW.as_millis() - into_window + moment_ms) % WINDOW.as_millis();
-        let others: Vec<usize> = (0..4).filter(|daemon| *daemon != first).collect();
-        let wait = Duration::from_millis(u64::try_from(until).expect("short"));
-        ask_for(&mut fleet, &others, wait);
-        fleet.simulation.handle().kill(fleet.daemons[first].host);
-        ask_for(&mut fleet, &others, Duration::from_secs(12));
+        let time_until_kill_ms = (WINDOW.as_millis() - into_window + moment_ms) % WINDOW.as_millis();
+        let others: Vec<usize> = (0..4).filter(|daemon| *daemon != first_leader).collect();
+        let wait = Duration::from_millis(u64::try_from(time_until_kill_ms).expect("a short duration"));
+        send_requests(&mut fleet, &others, wait);
+        fleet.simulation.handle().kill(fleet.daemons[first_leader].host);
+        send_requests(&mut fleet, &others, Duration::from_secs(12));
         fleet.wait(DUE);
         let windows = reported(&fleet);
         let (oldest, newest) = (
-            *windows.keys().min().expect("some"),
-            *windows.keys().max().expect("some"),
+            *windows.keys().min().expect("at least one window"),
+            *windows.keys().max().expect("at least one window"),
         );
         assert_eq!(
             windows.len() as u64,
@@ -160,77 +163,77 @@
             "killed {moment_ms} ms into a window: {:?}",
             windows.keys()
         );
-        assert_one_at_a_time(&fleet.provider.usage());
+        assert_one_leader_at_a_time(&fleet.provider.usage());
     }
 }
 
 #[test]
-fn counts_of_daemons_that_are_killed_are_reported_from_their_copies() {
+fn counts_of_killed_daemons_are_reported_from_their_copies() {
     let mut fleet = fleet(6);
-    // Whoever leads is not killed.
-    ask_for(&mut fleet, &[0], Duration::from_secs(8));
-    let leading = fleet.last_reporter();
-    let killed: Vec<usize> = (0..6).filter(|daemon| *daemon != leading).take(3).collect();
+    // The leader is not killed.
+    send_requests(&mut fleet, &[0], Duration::from_secs(8));
+    let leader = fleet.last_reporter();
+    let killed: Vec<usize> = (0..6).filter(|daemon| *daemon != leader).take(3).collect();
     fleet.wait(DUE);
-    let earlier = sum(&reported(&fleet));
-    let served = ask_for(&mut fleet, &killed, Duration::from_secs(3));
+    let earlier = total_by_tenant(&reported(&fleet));
+    let served = send_requests(&mut fleet, &killed, Duration::from_secs(3));
     fleet.wait(Duration::from_millis(400));
     for daemon in &killed {
         fleet.simulation.handle().kill(fleet.daemons[*daemon].host);
     }
     fleet.wait(DUE + WINDOW);
-    let all = sum(&reported(&fleet));
+    let all = total_by_tenant(&reported(&fleet));
     for (tenant, count) in &served {
-        let told = all[tenant] - earlier.get(tenant).copied().unwrap_or_default();
-        assert_eq!(told, *count, "{tenant}");
+        let reported_count = all[tenant] - earlier.get(tenant).copied().unwrap_or_default();
+        assert_eq!(reported_count, *count, "{tenant}");
     }
 }
 
 #[test]
-fn clocks_that_are_seconds_off_shift_no_requests_between_windows() {
+fn clock_errors_of_seconds_move_no_requests_between_windows() {
     let mut fleet = fleet(5);
     let handle = fleet.simulation.handle();
     handle.step_clock(fleet.daemons[0].host, 2_000);
     handle.step_clock(fleet.daemons[1].host, -2_000);
-    let served = ask_for(&mut fleet, &[0, 1, 2, 3, 4], Duration::from_secs(20));
+    let served = send_requests(&mut fleet, &[0, 1, 2, 3, 4], Duration::from_secs(20));
     handle.step_clock(fleet.daemons[0].host, 0);
     handle.step_clock(fleet.daemons[1].host, 0);
     fleet.wait(DUE + WINDOW);
     let windows = reported(&fleet);
-    assert_close(&sum(&windows), &served);
-    // A whole window holds some 80 requests; one shifted by two seconds would lose or gain two in five of a daemon's.
-    let whole: Vec<u64> = windows
+    assert_close(&total_by_tenant(&windows), &served);
+    // A clock that is off by two seconds would move two fifths of the requests of its daemon.
+    let window_totals: Vec<u64> = windows
         .values()
         .map(|counts| counts.values().sum())
         .filter(|requests| *requests > 0)
         .collect();
-    let inner = &whole[1..whole.len() - 1];
+    let complete_windows = &window_totals[1..window_totals.len() - 1];
     let (least, most) = (
-        inner.iter().min().expect("some"),
-        inner.iter().max().expect("some"),
+        complete_windows.iter().min().expect("at least one window"),
+        complete_windows.iter().max().expect("at least one window"),
     );
-    assert!(most - least <= most / 10, "{whole:?}");
+    assert!(most - least <= most / 10, "{window_totals:?}");
 }
 
 #[test]
-fn answers_lost_by_the_provider_bring_the_same_report_again() {
+fn a_report_without_a_response_is_repeated_with_the_same_figures() {
     let mut fleet = fleet(3);
     fleet.provider.set_mode(ProviderMode::LosesAnswers);
-    let served = ask_for(&mut fleet, &[0, 1, 2], Duration::from_secs(8));
+    let served = send_requests(&mut fleet, &[0, 1, 2], Duration::from_secs(8));
     fleet.wait(Duration::from_secs(4));
     fleet.provider.set_mode(ProviderMode::Up);
     fleet.wait(DUE);
     assert!(fleet.provider.usage().len() > reported(&fleet).len());
-    assert_eq!(sum(&reported(&fleet)), served);
+    assert_eq!(total_by_tenant(&reported(&fleet)), served);
 }
 
 #[test]
-fn a_provider_that_is_away_gets_all_windows_when_it_is_back_and_few_calls_until_then() {
+fn an_unavailable_provider_gets_few_calls_and_all_windows_once_it_is_back() {
     let mut fleet = fleet(3);
     for mode in [ProviderMode::Silent, ProviderMode::Busy] {
         fleet.provider.set_mode(mode);
         let before = fleet.provider.calls();
-        ask_for(&mut fleet, &[0, 1, 2], Duration::from_secs(6));
+        send_requests(&mut fleet, &[0, 1, 2], Duration::from_secs(6));
         fleet.wait(Duration::from_secs(6));
         let calls = fleet.provider.calls() - before;
         assert!(calls <= 40, "{calls} calls in 12 s of {mode:?}");
@@ -239,72 +242,73 @@
     }
     let windows = reported(&fleet);
     let (oldest, newest) = (
-        *windows.keys().min().expect("some"),
-        *windows.keys().max().expect("some"),
+        *windows.keys().min().expect("at least one window"),
+        *windows.keys().max().expect("at least one window"),
     );
     assert_eq!(windows.len() as u64, newest - oldest + 1);
 }
 
 #[test]
-fn without_the_store_no_figure_is_reported_that_another_could_contradict() {
+fn nothing_is_reported_while_the_store_is_unavailable() {
     let mut fleet = fleet(3);
-    ask_for(&mut fleet, &[0, 1, 2], Duration::from_secs(6));
+    send_requests(&mut fleet, &[0, 1, 2], Duration::from_secs(6));
     fleet.wait(Duration::from_secs(2));
     fleet.store.set_mode(StoreMode::Silent);
     fleet.wait(Duration::from_secs(1));
     let before = fleet.provider.usage().len();
-    ask_for(&mut fleet, &[0, 1, 2], Duration::from_secs(9));
+    send_requests(&mut fleet, &[0, 1, 2], Duration::from_secs(9));
     assert_eq!(fleet.provider.usage().len(), before);
     fleet.store.set_mode(StoreMode::Up);
     fleet.wait(DUE + WINDOW);
     let windows = reported(&fleet);
     let (oldest, newest) = (
-        *windows.keys().min().expect("some"),
-        *windows.keys().max().expect("some"),
+        *windows.keys().min().expect("at least one window"),
+        *windows.keys().max().expect("at least one window"),
     );
     assert_eq!(windows.len() as u64, newest - oldest + 1);
 }
 
 #[test]
-fn a_leader_cut_from_the_store_and_one_frozen_past_its_lease_report_nothing_of_their_own() {
+fn a_leader_that_is_partitioned_or_frozen_beyond_its_lease_reports_no_other_figures() {
     let mut fleet = fleet(4);
-    ask_for(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(8));
-    let first = fleet.last_reporter();
+    send_requests(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(8));
+    let first_leader = fleet.last_reporter();
     let handle = fleet.simulation.handle();
-    handle.cut(fleet.daemons[first].host, fleet.store_host);
-    let others: Vec<usize> = (0..4).filter(|daemon| *daemon != first).collect();
-    ask_for(&mut fleet, &others, Duration::from_secs(12));
+    handle.cut(fleet.daemons[first_leader].host, fleet.store_host);
+    let others: Vec<usize> = (0..4).filter(|daemon| *daemon != first_leader).collect();
+    send_requests(&mut fleet, &others, Duration::from_secs(12));
     handle.heal_all();
-    let second = fleet.last_reporter();
-    assert_ne!(first, second);
-    handle.freeze(fleet.daemons[second].host);
-    let others: Vec<usize> = (0..4).filter(|daemon| *daemon != second).collect();
-    ask_for(&mut fleet, &others, Duration::from_secs(12));
-    handle.thaw(fleet.daemons[second].host);
+    let second_leader = fleet.last_reporter();
+    assert_ne!(first_leader, second_leader);
+    handle.freeze(fleet.daemons[second_leader].host);
+    let others: Vec<usize> = (0..4).filter(|daemon| *daemon != second_leader).collect();
+    send_requests(&mut fleet, &others, Duration::from_secs(12));
+    handle.thaw(fleet.daemons[second_leader].host);
     fleet.wait(DUE);
     let notes = fleet.provider.usage();
-    assert_one_at_a_time(&notes);
+    assert_one_leader_at_a_time(&notes);
     let _each_window_has_one_figure = reported(&fleet);
 }
 
-/// A window was reported without what a daemon had counted that nobody could reach. Its counts came later, and then the store came
-/// back from a copy that knows nothing of the report: another leader settled the window again, with other figures.
+/// A window is reported without the counts of an unreachable daemon, which arrive later. Then the
+/// store is restored from a copy without the report: the next leader must not report the window
+/// again with other figures.
 #[test]
-fn a_window_reported_before_the_store_comes_back_from_an_older_copy_keeps_its_figures() {
+fn a_reported_window_keeps_its_figures_after_the_store_is_restored_from_an_older_copy() {
     let mut fleet = fleet(4);
     fleet.store.name_era(1);
     let copy = fleet.store.copy().from_before("ponddrift/");
-    ask_for(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(9));
-    let leading = fleet.last_reporter();
-    let counting = (leading + 1) % 4;
-    wait_into_next_window(&mut fleet, Duration::from_millis(200));
+    send_requests(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(9));
+    let leader = fleet.last_reporter();
+    let counting_daemon = (leader + 1) % 4;
+    advance_into_next_window(&mut fleet, Duration::from_millis(200));
     let handle = fleet.simulation.handle();
-    for other in (0..4).filter(|other| *other != counting) {
-        handle.cut(fleet.daemons[counting].host, fleet.daemons[other].host);
+    for other in (0..4).filter(|other| *other != counting_daemon) {
+        handle.cut(fleet.daemons[counting_daemon].host, fleet.daemons[other].host);
     }
-    ask_for(&mut fleet, &[counting], Duration::from_secs(2));
+    send_requests(&mut fleet, &[counting_daemon], Duration::from_secs(2));
     let before = reported(&fleet).len();
-    // The one before, and this one without what that daemon counted.
+    // The previous window, and the current one without the counts of the unreachable daemon.
     while reported(&fleet).len() < before + 2 {
         fleet.wait(Duration::from_millis(100));
     }
@@ -314,16 +318,16 @@
     fleet.wait(DUE + WINDOW);
     let notes = fleet.provider.usage();
     let fences: std::collections::BTreeSet<u64> = notes.iter().map(|note| note.fence).collect();
-    assert!(fences.len() > 1, "somebody led in each era");
+    assert!(fences.len() > 1, "there was a leader in each era");
     let _each_window_has_one_figure = reported(&fleet);
 }
 
-/// Daemons of a fleet of two zones, each a neighbourhood of its own.
-const MANY: u8 = 26;
+/// Size of a fleet in which each of the two zones is a neighbourhood of its own.
+const LARGE_FLEET: u8 = 26;
 
 fn fleet_of_two_zones() -> Fleet {
     let mut fleet = Fleet::new(FleetOptions {
-        daemons: MANY,
+        daemons: LARGE_FLEET,
         zones: 2,
         reports_usage: true,
         ..FleetOptions::default()
@@ -334,8 +338,8 @@
     fleet
 }
 
-/// Numbers of the daemons in the zone where the leader is not: those that keep copies, and the others.
-fn of_the_other_zone(fleet: &Fleet, leading: usize) -> (Vec<usize>, Vec<usize>) {
+/// Indexes of the daemons in the zone without the leader: those that keep copies, and the others.
+fn daemons_of_other_zone(fleet: &Fleet, leader: usize) -> (Vec<usize>, Vec<usize>) {
     let members: Vec<Member> = fleet
         .daemons
         .iter()
@@ -347,69 +351,71 @@
             link_megabits: 0,
         })
         .collect();
-    let topology = Topology::of(&members[leading], &members);
-    let in_zone = (0..fleet.daemons.len()).filter(|number| number % 2 != leading % 2);
+    let topology = Topology::of(&members[leader], &members);
+    let in_zone = (0..fleet.daemons.len()).filter(|number| number % 2 != leader % 2);
     in_zone.partition(|number| {
         let address = members[*number].peer_address;
         topology.usage_keepers.contains(&address)
     })
 }
 
-fn wait_into_next_window(fleet: &mut Fleet, time: Duration) {
+fn advance_into_next_window(fleet: &mut Fleet, time: Duration) {
     let into_window = fleet.simulation.handle().elapsed().as_millis() % WINDOW.as_millis();
-    let rest = WINDOW.as_millis() - into_window;
-    fleet.wait(Duration::from_millis(u64::try_from(rest).expect("short")) + time);
+    let remaining_ms = WINDOW.as_millis() - into_window;
+    fleet.wait(Duration::from_millis(u64::try_from(remaining_ms).expect("a short duration")) + time);
 }
 
-/// What was reported beyond `earlier` is what was served.
+/// Asserts that the reported counts minus `earlier` equal the served ones.
 fn assert_all_reported(
     fleet: &Fleet,
     earlier: &BTreeMap<String, u64>,
     served: &BTreeMap<String, u64>,
 ) {
-    let all = sum(&reported(fleet));
+    let all = total_by_tenant(&reported(fleet));
     for (tenant, count) in served {
-        let told = all[tenant] - earlier.get(tenant).copied().unwrap_or_default();
-        assert_eq!(told, *count, "{tenant}");
+        let reported_count = all[tenant] - earlier.get(tenant).copied().unwrap_or_default();
+        assert_eq!(reported_count, *count, "{tenant}");
     }
 }
 
-/// All that keep copies of a zone lose them just before the leader asks; those that counted are still there.
+/// All daemons that keep copies for a zone restart just before the leader reads the copies; the
+/// daemons that counted still run.
 #[test]
-fn copies_lost_with_their_keepers_are_replaced_by_the_daemons_that_counted() {
+fn copies_lost_in_restarts_are_replaced_by_the_daemons_that_counted() {
     let mut fleet = fleet_of_two_zones();
-    ask_for(&mut fleet, &[0], Duration::from_secs(8));
-    let (keepers, others) = of_the_other_zone(&fleet, fleet.last_reporter());
-    assert_eq!(keepers.len(), USAGE_REPLICAS);
+    send_requests(&mut fleet, &[0], Duration::from_secs(8));
+    let (replica_holders, others) = daemons_of_other_zone(&fleet, fleet.last_reporter());
+    assert_eq!(replica_holders.len(), USAGE_REPLICAS);
     fleet.wait(DUE);
-    let earlier = sum(&reported(&fleet));
-    wait_into_next_window(&mut fleet, Duration::from_millis(500));
-    let served = ask_for(&mut fleet, &others, Duration::from_secs(3));
-    // A whole window ends 1.5 s later; copies are asked for 1.1 s after that.
+    let earlier = total_by_tenant(&reported(&fleet));
+    advance_into_next_window(&mut fleet, Duration::from_millis(500));
+    let served = send_requests(&mut fleet, &others, Duration::from_secs(3));
+    // The window ends 1.5 s after the requests; the leader reads the copies 1.1 s after that.
     fleet.wait(Duration::from_millis(2_450));
-    for keeper in keepers {
+    for replica_holder in replica_holders {
         fleet
             .simulation
             .handle()
-            .restart(fleet.daemons[keeper].host);
+            .restart(fleet.daemons[replica_holder].host);
     }
     fleet.wait(DUE + WINDOW);
     assert_all_reported(&fleet, &earlier, &served);
 }
 
-/// Stopped one after the other, those that keep copies last, within one window.
+/// All daemons that hold the counts stop one after the other within one window, those that keep
+/// copies last.
 #[test]
-fn counts_outlive_a_rolling_restart_of_a_zone() {
+fn counts_survive_a_rolling_restart_of_a_zone() {
     let mut fleet = fleet_of_two_zones();
-    ask_for(&mut fleet, &[0], Duration::from_secs(8));
-    let (keepers, others) = of_the_other_zone(&fleet, fleet.last_reporter());
+    send_requests(&mut fleet, &[0], Duration::from_secs(8));
+    let (replica_holders, others) = daemons_of_other_zone(&fleet, fleet.last_reporter());
     fleet.wait(DUE);
-    let earlier = sum(&reported(&fleet));
-    wait_into_next_window(&mut fleet, Duration::from_millis(200));
-    let counting = &others[..3];
-    let served = ask_for(&mut fleet, counting, Duration::from_millis(1_500));
+    let earlier = total_by_tenant(&reported(&fleet));
+    advance_into_next_window(&mut fleet, Duration::from_millis(200));
+    let counting_daemons = &others[..3];
+    let served = send_requests(&mut fleet, counting_daemons, Duration::from_millis(1_500));
     fleet.wait(Duration::from_millis(300));
-    for daemon in counting.iter().chain(&keepers) {
+    for daemon in counting_daemons.iter().chain(&replica_holders) {
         fleet.daemons[*daemon].terminate();
         fleet.wait(Duration::from_millis(350));
         fleet
