--- a/crates/fleet/src/capacity.rs
+++ b/crates/fleet/src/capacity.rs
@@ -150,7 +150,12 @@
             .map(|(_at, needed)| *needed)
             .reduce(f64::max)?;
         let needed = match self.planned_needed {
-            Some(planned_needed) if highest <= planned_needed && highest >= planned_needed * SCALE_DOWN_THRESHOLD => planned_needed,
+            Some(planned_needed)
+                if highest <= planned_needed
+                    && highest >= planned_needed * SCALE_DOWN_THRESHOLD =>
+            {
+                planned_needed
+            }
             _ => highest,
         };
         self.planned_needed = Some(needed);
@@ -169,7 +174,11 @@
 /// Number of engines needed by a fleet of unknown load. A fleet with spot engines was planned
 /// before: what remains after the loss of a zone is what was needed then. Only the first estimate
 /// uses it, because later ones may see engines that this planner ordered itself.
-fn engines_for_unknown_load(present: &EngineCounts, autoscaling: &Autoscaling, is_first: bool) -> f64 {
+fn engines_for_unknown_load(
+    present: &EngineCounts,
+    autoscaling: &Autoscaling,
+    is_first: bool,
+) -> f64 {
     if total(present, Contract::Spot) < 1.0 {
         return total(present, Contract::OnDemand) * PEAK_HEADROOM_FACTOR;
     }
@@ -227,7 +236,10 @@
     };
     let mut desired = EngineCounts::new();
     for zone in zones {
-        desired.insert((Arc::clone(zone), Contract::OnDemand), to_engine_count(on_demand));
+        desired.insert(
+            (Arc::clone(zone), Contract::OnDemand),
+            to_engine_count(on_demand),
+        );
         if autoscaling.spot_price.is_some() {
             desired.insert((Arc::clone(zone), Contract::Spot), to_engine_count(spot));
         }
--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -61,7 +61,8 @@
     #[must_use]
     pub fn of(own: SocketAddr, distributors: &[SocketAddr], spread: u64) -> Self {
         let own_rank = distributors.iter().position(|peer| *peer == own);
-        let (roots, others) = distributors.split_at(distributors.len().min(FOLLOWERS_PER_NEIGHBOURHOOD));
+        let (roots, others) =
+            distributors.split_at(distributors.len().min(FOLLOWERS_PER_NEIGHBOURHOOD));
         let providers = match own_rank {
             Some(rank) if rank < FOLLOWERS_PER_NEIGHBOURHOOD => Vec::new(),
             Some(_) => rotated(roots, spread),
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -34,7 +34,7 @@
 pub use fairness::{FairShares, OfferedRequest};
 pub use link::LocalLink;
 pub use load::{LoadTable, Outstanding, Urgency, WorkReport, WorkRow};
-pub use prefixes::{PrefixState, PrefixUse, MIN_PREFIX_TOKENS, PrefixMemory, tracked_prefix};
+pub use prefixes::{MIN_PREFIX_TOKENS, PrefixMemory, PrefixState, PrefixUse, tracked_prefix};
 use reading::PrefillEstimator;
 pub use speed::{PromptReading, SpeedTable};
 pub use stream_times::StreamTimes;
@@ -263,12 +263,12 @@
     /// made by this daemon, which must tell its peers. A shorter suspension does not replace a
     /// longer one.
     pub fn suspend_engine(&mut self, engine: &BackEnd, time: Duration, own: bool, now: Instant) {
-        self.suspensions.retain(|_id, suspension| suspension.until > now);
+        self.suspensions
+            .retain(|_id, suspension| suspension.until > now);
         let until = now + time;
-        let is_known = self
-            .suspensions
-            .get(&engine.id)
-            .is_some_and(|suspension| suspension.until >= until && suspension.stage == engine.stage);
+        let is_known = self.suspensions.get(&engine.id).is_some_and(|suspension| {
+            suspension.until >= until && suspension.stage == engine.stage
+        });
         if !is_known {
             let stage = engine.stage;
             let suspension = Suspension { until, own, stage };
@@ -376,11 +376,16 @@
     /// Engine on which all daemons place a prefix that is not cached yet. Skips rate-limited
     /// engines if possible: their availability changes from request to request, and each switch to
     /// another engine processes the prefix again.
-    fn preferred_engine<'a>(&self, engines: &'a [Arc<BackEnd>], prefix: u64) -> Option<&'a Arc<BackEnd>> {
+    fn preferred_engine<'a>(
+        &self,
+        engines: &'a [Arc<BackEnd>],
+        prefix: u64,
+    ) -> Option<&'a Arc<BackEnd>> {
         let unlimited = engines
             .iter()
             .filter(|engine| self.rate_limits.limit(engine).is_none());
-        prefixes::preferred_engine(unlimited, prefix).or_else(|| prefixes::preferred_engine(engines.iter(), prefix))
+        prefixes::preferred_engine(unlimited, prefix)
+            .or_else(|| prefixes::preferred_engine(engines.iter(), prefix))
     }
 
     /// Engines that are assumed to cache the prompt's prefix and from which it may be fetched.
@@ -390,7 +395,9 @@
         };
         ready
             .iter()
-            .filter(|engine| self.prefixes.state(&engine.id, prefix, now) == Some(PrefixState::Cached))
+            .filter(|engine| {
+                self.prefixes.state(&engine.id, prefix, now) == Some(PrefixState::Cached)
+            })
             .filter(|engine| self.may_serve_prefix(engine, now))
             .cloned()
             .collect()
@@ -465,7 +472,9 @@
         // All daemons compute the same preferred engine, so they also hand over to the same one.
         let in_reader_zone = hand_over.map(|hand_over| hand_over.engines_in_reader_zone(decoders));
         let eligible = in_reader_zone.filter(|in_zone| !in_zone.is_empty());
-        let preferred_engine = prefix.and_then(|prefix| self.preferred_engine(eligible.as_deref().unwrap_or(decoders), prefix));
+        let preferred_engine = prefix.and_then(|prefix| {
+            self.preferred_engine(eligible.as_deref().unwrap_or(decoders), prefix)
+        });
         let prefix_ms = prompt.map_or(0.0, |prompt| self.prefix_reading_ms(prompt));
         self.cheapest(decoders, now, random, |back_end| {
             let time_ms = self.slot_wait_ms(back_end, Urgency::InTime)
@@ -475,7 +484,10 @@
             let miss_share = match prefix {
                 None => 0.0,
                 Some(prefix) if self.prefixes.state(&back_end.id, prefix, now).is_some() => 0.0,
-                Some(_) if preferred_engine.is_some_and(|preferred_engine| preferred_engine.id == back_end.id) => {
+                Some(_)
+                    if preferred_engine
+                        .is_some_and(|preferred_engine| preferred_engine.id == back_end.id) =>
+                {
                     DECODE_MISS_BURDEN_SHARE - PREFERRED_DECODER_DISCOUNT_SHARE
                 }
                 Some(_) => DECODE_MISS_BURDEN_SHARE,
@@ -489,7 +501,10 @@
 
     /// Prompts per millisecond that arrive at each of these engines for prefill. Assumes that every
     /// daemon sends about as many as this one.
-    #[expect(clippy::cast_precision_loss, reason = "at most tens of thousands of daemons and engines")]
+    #[expect(
+        clippy::cast_precision_loss,
+        reason = "at most tens of thousands of daemons and engines"
+    )]
     fn arrivals_per_engine_per_ms(&self, engines: &[Arc<BackEnd>], stage: Stage) -> f64 {
         let Some(first) = engines.first() else {
             return 0.0;
--- a/crates/fleet/src/placement/confidence.rs
+++ b/crates/fleet/src/placement/confidence.rs
@@ -28,9 +28,17 @@
 impl Confidence {
     /// Records whether a request met its latency target; `expected_share` is the share of the
     /// target that its estimate used.
-    pub fn record_deadline_outcome(&mut self, service: &Arc<str>, expected_share: f64, in_time: bool) {
+    pub fn record_deadline_outcome(
+        &mut self,
+        service: &Arc<str>,
+        expected_share: f64,
+        in_time: bool,
+    ) {
         let (least, most) = SHARE_BOUNDS;
-        let share = self.by_service.entry(Arc::clone(service)).or_insert(INITIAL_SHARE);
+        let share = self
+            .by_service
+            .entry(Arc::clone(service))
+            .or_insert(INITIAL_SHARE);
         if in_time && expected_share < *share * INFORMATIVE_SHARE {
             return;
         }
@@ -45,6 +53,9 @@
     /// Share of the latency target that an estimate may use.
     #[must_use]
     pub fn share(&self, service: &str) -> f64 {
-        self.by_service.get(service).copied().unwrap_or(INITIAL_SHARE)
+        self.by_service
+            .get(service)
+            .copied()
+            .unwrap_or(INITIAL_SHARE)
     }
 }
--- a/crates/fleet/src/placement/costs.rs
+++ b/crates/fleet/src/placement/costs.rs
@@ -232,7 +232,9 @@
             .cold_start
             .map_or(0.0, |start| start.share_left(now));
         let cold_start_slowness = 1.0 + (COLD_START_SLOWNESS - 1.0) * cold_share;
-        self.speed.slowness(&back_end.id, now).max(cold_start_slowness)
+        self.speed
+            .slowness(&back_end.id, now)
+            .max(cold_start_slowness)
     }
 
     pub(super) fn zone_ms(&self, back_end: &BackEnd) -> f64 {
--- a/crates/fleet/src/placement/fairness.rs
+++ b/crates/fleet/src/placement/fairness.rs
@@ -191,7 +191,9 @@
             None if in_time_share < OVERLOADED_BELOW => self.in_time.at(now),
             None => return None,
             Some(capacity) if in_time_share < OVERLOADED_BELOW => capacity * (1.0 - CAPACITY_STEP),
-            Some(capacity) if in_time_share > SPARE_CAPACITY_ABOVE => capacity * (1.0 + CAPACITY_STEP),
+            Some(capacity) if in_time_share > SPARE_CAPACITY_ABOVE => {
+                capacity * (1.0 + CAPACITY_STEP)
+            }
             Some(capacity) => capacity,
         };
         (next < offered).then_some(next.max(offered * MIN_CAPACITY_SHARE))
--- a/crates/fleet/src/placement/link.rs
+++ b/crates/fleet/src/placement/link.rs
@@ -33,7 +33,8 @@
     /// Time until a request sent now starts to leave, in milliseconds.
     #[must_use]
     pub fn wait_ms(&self, now: Instant) -> f64 {
-        self.bytes_per_ms.map_or(0.0, |rate| self.remaining_bytes(now) / rate)
+        self.bytes_per_ms
+            .map_or(0.0, |rate| self.remaining_bytes(now) / rate)
     }
 
     /// Transmission time of a request with a body of this size, in milliseconds.
--- a/crates/fleet/src/placement/load.rs
+++ b/crates/fleet/src/placement/load.rs
@@ -255,7 +255,7 @@
             let generating = self.outstanding(&engine.id).generating;
             generating / f64::from(engine.slots.max(1))
         });
-        held.peer_sum()
+        held.sum()
     }
 
     /// Outstanding work of all daemons at one back end.
--- a/crates/fleet/src/placement/metering.rs
+++ b/crates/fleet/src/placement/metering.rs
@@ -36,7 +36,11 @@
     /// Share of time that the service's decode engines spend on prefill beyond what their streams
     /// tolerate. Sends short prompts to prefill engines before the gaps of the streams exceed their
     /// target.
-    pub(super) fn excess_reading(&self, decoders: &[Arc<BackEnd>], latency_targets: LatencyTargets) -> f64 {
+    pub(super) fn excess_reading(
+        &self,
+        decoders: &[Arc<BackEnd>],
+        latency_targets: LatencyTargets,
+    ) -> f64 {
         let Some(first) = decoders.first() else {
             return 0.0;
         };
@@ -45,7 +49,10 @@
             .iter()
             .find(|(service, _work)| *service == first.service);
         let work = known.map_or(0.0, |(_service, work)| work.decode_reading);
-        #[expect(clippy::cast_precision_loss, reason = "at most tens of thousands of engines")]
+        #[expect(
+            clippy::cast_precision_loss,
+            reason = "at most tens of thousands of engines"
+        )]
         let busy = work / self.ready_engines(decoders, Stage::Decode) as f64;
         (busy - self.acceptable_reading(&first.service, latency_targets)).max(0.0)
     }
@@ -69,7 +76,13 @@
     }
 
     /// Adds the prefill work of a plan to the totals of its service.
-    pub fn record_prompt_work(&mut self, service: &Arc<str>, plan: &PromptPlan, latency_targets: LatencyTargets, now: Instant) {
+    pub fn record_prompt_work(
+        &mut self,
+        service: &Arc<str>,
+        plan: &PromptPlan,
+        latency_targets: LatencyTargets,
+        now: Instant,
+    ) {
         let prefill_s = plan.tokens_to_read / self.speed.prefill_tokens_per_ms() / MS_PER_S;
         let decode_s = plan.tokens_to_read / self.speed.decode_tokens_per_ms() / MS_PER_S;
         let mut work = StageWork::default();
@@ -90,7 +103,13 @@
     }
 
     /// Adds the time for which a stream held one of the engine's slots to the work of its service.
-    pub fn record_stream_work(&mut self, service: &Arc<str>, slots: u32, time: Duration, now: Instant) {
+    pub fn record_stream_work(
+        &mut self,
+        service: &Arc<str>,
+        slots: u32,
+        time: Duration,
+        now: Instant,
+    ) {
         self.streams.record_stream(service, time, now);
         let held = time.as_secs_f64() / f64::from(slots.max(1));
         let work = StageWork {
--- a/crates/fleet/src/placement/prefixes.rs
+++ b/crates/fleet/src/placement/prefixes.rs
@@ -216,7 +216,8 @@
         self.by_prefix.retain(|prefix, engines| {
             engines.retain(|id| {
                 let engine_prefixes = known.get(id);
-                engine_prefixes.is_some_and(|engine_prefixes| engine_prefixes.entries.contains_key(prefix))
+                engine_prefixes
+                    .is_some_and(|engine_prefixes| engine_prefixes.entries.contains_key(prefix))
             });
             !engines.is_empty()
         });
--- a/crates/fleet/src/placement/reading.rs
+++ b/crates/fleet/src/placement/reading.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::costs::Estimate;
-use super::{PREFERRED_ENGINE_READ_SHARE, MS_PER_S, Placement, PromptPlan, PromptRequest, Urgency};
+use super::{MS_PER_S, PREFERRED_ENGINE_READ_SHARE, Placement, PromptPlan, PromptRequest, Urgency};
 use crate::configuration::EngineTraits;
 use crate::directory::BackEnd;
 
@@ -42,7 +42,11 @@
 
 impl PrefillEstimator<'_> {
     /// Estimate for a decode engine that processes the prompt itself.
-    pub(super) fn estimate_at_decode(&self, back_end: &BackEnd, preferred_engine: Option<&Arc<BackEnd>>) -> Estimate {
+    pub(super) fn estimate_at_decode(
+        &self,
+        back_end: &BackEnd,
+        preferred_engine: Option<&Arc<BackEnd>>,
+    ) -> Estimate {
         let placement = self.placement;
         let rate = placement.speed.decode_tokens_per_ms();
         let work = self.read_work(back_end, preferred_engine);
@@ -62,7 +66,11 @@
     }
 
     /// Estimate for a prefill engine, up to the end of the KV cache transfer to the decode engine.
-    pub(super) fn estimate_at_prefill(&self, back_end: &BackEnd, preferred_engine: Option<&Arc<BackEnd>>) -> Estimate {
+    pub(super) fn estimate_at_prefill(
+        &self,
+        back_end: &BackEnd,
+        preferred_engine: Option<&Arc<BackEnd>>,
+    ) -> Estimate {
         let placement = self.placement;
         let rate = placement.speed.prefill_tokens_per_ms();
         let work = self.read_work(back_end, preferred_engine);
@@ -146,7 +154,8 @@
             } else {
                 OTHER_ZONE_TRANSFER_FACTOR
             };
-            let prefix_transfer_ms = transfer_ms(self.request.traits, self.request.prompt.shared_tokens()) * zone_factor;
+            let prefix_transfer_ms =
+                transfer_ms(self.request.traits, self.request.prompt.shared_tokens()) * zone_factor;
             return ReadWork {
                 tokens: own,
                 transfer_ms: prefix_transfer_ms,
@@ -168,7 +177,10 @@
 
     /// Preferred engine for the prompt's prefix among `eligible`; `None` if the prefix is fetched
     /// from a holder instead.
-    pub(super) fn preferred_engine<'b>(&self, eligible: &'b [Arc<BackEnd>]) -> Option<&'b Arc<BackEnd>> {
+    pub(super) fn preferred_engine<'b>(
+        &self,
+        eligible: &'b [Arc<BackEnd>],
+    ) -> Option<&'b Arc<BackEnd>> {
         let prefix = self.request.prompt.shared_prefix()?;
         if self.is_worth_a_fetch() && !self.holders.is_empty() {
             return None;
--- a/crates/fleet/src/placement/speed.rs
+++ b/crates/fleet/src/placement/speed.rs
@@ -56,9 +56,9 @@
 impl ReadingLine {
     fn add(&mut self, reading: PromptReading) {
         let PromptReading { tokens, took_ms } = reading;
-        let is_slower = self
-            .fit()
-            .is_some_and(|(intercept_ms, ms_per_token)| took_ms > intercept_ms + ms_per_token * tokens);
+        let is_slower = self.fit().is_some_and(|(intercept_ms, ms_per_token)| {
+            took_ms > intercept_ms + ms_per_token * tokens
+        });
         let weight = if is_slower { SLOW_READING_WEIGHT } else { 1.0 };
         self.weight = self.weight * DECAY_PER_READING + weight;
         self.tokens = self.tokens * DECAY_PER_READING + weight * tokens;
@@ -181,7 +181,9 @@
     pub fn prefill_tokens_per_ms(&self) -> f64 {
         self.readings.tokens_per_ms().unwrap_or_else(|| {
             let lower_bound = self.readings.lower_bound_tokens_per_ms();
-            lower_bound.unwrap_or_default().max(DEFAULT_PREFILL_TOKENS_PER_MS)
+            lower_bound
+                .unwrap_or_default()
+                .max(DEFAULT_PREFILL_TOKENS_PER_MS)
         })
     }
 
@@ -197,7 +199,9 @@
     /// Messaging overhead of a prefill, in milliseconds.
     #[must_use]
     pub fn message_overhead_ms(&self) -> f64 {
-        self.readings.message_overhead_ms().unwrap_or(DEFAULT_MESSAGE_OVERHEAD_MS)
+        self.readings
+            .message_overhead_ms()
+            .unwrap_or(DEFAULT_MESSAGE_OVERHEAD_MS)
     }
 
     /// Average response time of a plain back end, in milliseconds; `None` before its first answer.
--- a/crates/fleet/src/placement/work.rs
+++ b/crates/fleet/src/placement/work.rs
@@ -69,7 +69,10 @@
 impl PeerWork {
     /// Stores the report of a peer; `origin` is a hash that identifies the peer.
     pub fn receive(&mut self, origin: u64, rates: Vec<(Arc<str>, StageWork)>, now: Instant) {
-        let report = PeerReport { received_at: now, rates };
+        let report = PeerReport {
+            received_at: now,
+            rates,
+        };
         self.by_peer.insert(origin, report);
     }
 
--- a/crates/fleet/src/stages.rs
+++ b/crates/fleet/src/stages.rs
@@ -285,7 +285,8 @@
         let counts = self.expected_engines(engines, now);
         let peak = self.peak(now);
         let change_share = self.change_share.unwrap_or(DEFAULT_CHANGE_SHARE);
-        let wanted_by = |work| best_move(work, peak, counts, change_share).map(|(stage, _gain)| stage);
+        let wanted_by =
+            |work| best_move(work, peak, counts, change_share).map(|(stage, _gain)| stage);
         // A short spike remains in the average for a while, so the latest measurement must confirm
         // it.
         let wanted = wanted_by(work).filter(|stage| wanted_by(measured) == Some(*stage));
--- a/crates/fleet/src/tenants.rs
+++ b/crates/fleet/src/tenants.rs
@@ -94,10 +94,7 @@
     /// Number of keys claimed by more than one tenant; they authenticate nobody.
     #[must_use]
     pub fn ambiguous_keys(&self) -> usize {
-        self.by_key
-            .values()
-            .filter(|owner| owner.is_none())
-            .count()
+        self.by_key.values().filter(|owner| owner.is_none()).count()
     }
 
     /// Returns the tenant that `credential` authenticates.
--- a/crates/fleet/src/topology.rs
+++ b/crates/fleet/src/topology.rs
@@ -79,7 +79,11 @@
         let is_small = peers.len() < SMALL_FLEET_MAX_DAEMONS;
         let is_near = |other: &Member| is_small || other.zone == own.zone;
         let near: Vec<&Member> = peers.iter().copied().filter(|peer| is_near(peer)).collect();
-        let zones = if is_small { 1 } else { count_zones(own, &peers) };
+        let zones = if is_small {
+            1
+        } else {
+            count_zones(own, &peers)
+        };
         Self {
             neighbours: addresses(near.iter().copied()),
             zone_peers: addresses(near.iter().copied().filter(|peer| peer.zone == own.zone)),
@@ -110,7 +114,11 @@
 }
 
 /// A few daemons of each other zone. The selection differs between daemons, to spread the load.
-fn remote_zone_peers_of(own: &Member, peers: &[&Member], is_near: impl Fn(&Member) -> bool) -> Vec<SocketAddr> {
+fn remote_zone_peers_of(
+    own: &Member,
+    peers: &[&Member],
+    is_near: impl Fn(&Member) -> bool,
+) -> Vec<SocketAddr> {
     let seed = xxh3_64(own.name.as_bytes());
     let mut others: Vec<(&str, u64, SocketAddr)> = peers
         .iter()
@@ -145,11 +153,14 @@
 }
 
 /// Daemons of a neighbourhood that store copies of usage counts, without `own`.
-fn usage_replica_holders<'a>(own: &Member, daemons: impl Iterator<Item = &'a Member>) -> Vec<SocketAddr> {
+fn usage_replica_holders<'a>(
+    own: &Member,
+    daemons: impl Iterator<Item = &'a Member>,
+) -> Vec<SocketAddr> {
     let mut ranked: Vec<&Member> = daemons.collect();
     ranked.sort_by_cached_key(|member| rank(member));
     let holders = ranked.into_iter().take(USAGE_REPLICAS_PER_NEIGHBOURHOOD);
-    addresses(holders.filter(|holder| keeper.name != own.name))
+    addresses(holders.filter(|holder| holder.name != own.name))
 }
 
 /// Sort key that puts daemons with faster links first.
--- a/crates/fleet/tests/candidates.rs
+++ b/crates/fleet/tests/candidates.rs
@@ -193,7 +193,9 @@
         );
         // Candidates of both daemons are owners of the prefix, because their other candidates are
         // in different zones.
-        let common = candidate_ids(&daemon_in_a).intersection(&candidate_ids(&daemon_in_c)).count();
+        let common = candidate_ids(&daemon_in_a)
+            .intersection(&candidate_ids(&daemon_in_c))
+            .count();
         assert!(common >= 6, "prefix {prefix}: {common}");
     }
 }
--- a/crates/fleet/tests/capacity.rs
+++ b/crates/fleet/tests/capacity.rs
@@ -102,11 +102,19 @@
     let expensive = autoscaling(&["a", "b"], Some(0.6));
     let present = engines(&[("a", Contract::OnDemand, 10), ("b", Contract::OnDemand, 10)]);
     let plan = plan_for(reading(10.0), &present, &expensive);
-    assert_eq!(total(&plan, Contract::Spot), 0, "twice as many engines at a price of 0.6");
+    assert_eq!(
+        total(&plan, Contract::Spot),
+        0,
+        "twice as many engines at a price of 0.6"
+    );
     assert_eq!(total(&plan, Contract::OnDemand), 20);
     let alone = autoscaling(&["a"], Some(0.1));
     let plan = plan_for(reading(10.0), &present, &alone);
-    assert_eq!(total(&plan, Contract::Spot), 0, "all spot engines could be lost at once");
+    assert_eq!(
+        total(&plan, Contract::Spot),
+        0,
+        "all spot engines could be lost at once"
+    );
     let none = autoscaling(&["a", "b"], None);
     let plan = plan_for(reading(10.0), &present, &none);
     assert_eq!(
@@ -188,11 +196,11 @@
     assert!((at(0, 10.0) - 20.0).abs() < 1e-9);
     assert!((at(1, 30.0) - 60.0).abs() < 1e-9);
     assert!((at(2, 3.0) - 60.0).abs() < 1e-9);
-    assert!((at(59, 3.0) - 60.0).abs() < 1e-9, "the peak is within the window");
     assert!(
-        (at(70, 28.0) - 60.0).abs() < 1e-9,
-        "too small a reduction"
+        (at(59, 3.0) - 60.0).abs() < 1e-9,
+        "the peak is within the window"
     );
+    assert!((at(70, 28.0) - 60.0).abs() < 1e-9, "too small a reduction");
     assert!((at(140, 3.0) - 6.0).abs() < 1e-9);
 }
 
@@ -231,7 +239,10 @@
             let of = |kind| step[&(Arc::from(zone), kind)];
             assert!(of(Contract::OnDemand) + of(Contract::Spot) <= autoscaling.maximum);
         }
-        assert!(step.values().sum::<u32>() >= 72, "fewer engines than initially");
+        assert!(
+            step.values().sum::<u32>() >= 72,
+            "fewer engines than initially"
+        );
         present = step;
         steps += 1;
     }
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -71,7 +71,11 @@
         directory.put(back_end(id, Lifecycle::Ready), at(revision), Instant::now());
     }
     directory.remove("a", at(4), now, true);
-    assert_eq!(ready_ids(&directory, now), ["b", "c"], "a single back end has left");
+    assert_eq!(
+        ready_ids(&directory, now),
+        ["b", "c"],
+        "a single back end has left"
+    );
     directory.remove("b", at(5), now, true);
     directory.remove("c", at(6), now, true);
     assert_eq!(ready_ids(&directory, now).len(), 3);
@@ -122,7 +126,11 @@
     let first = health.record(&id, Outcome::Unreachable, now);
     assert_eq!(first, Some(FIRST_EJECTION));
     assert!(health.is_ejected(&id));
-    assert_eq!(health.record(&id, Outcome::Unreachable, now), None, "already ejected");
+    assert_eq!(
+        health.record(&id, Outcome::Unreachable, now),
+        None,
+        "already ejected"
+    );
     let mut last = FIRST_EJECTION;
     for _ in 0..8 {
         now += last;
--- a/crates/fleet/tests/distribution.rs
+++ b/crates/fleet/tests/distribution.rs
@@ -47,7 +47,10 @@
 fn as_many_daemons_read_the_store_in_a_zone_of_a_thousand_as_in_one_of_a_hundred() {
     for daemons in [100, 1_000] {
         let readers = readers(&zone(daemons));
-        assert_eq!(readers[&None], FOLLOWERS_PER_NEIGHBOURHOOD, "{daemons} daemons");
+        assert_eq!(
+            readers[&None], FOLLOWERS_PER_NEIGHBOURHOOD,
+            "{daemons} daemons"
+        );
     }
 }
 
--- a/crates/fleet/tests/fairness.rs
+++ b/crates/fleet/tests/fairness.rs
@@ -89,9 +89,15 @@
     let rates = [("hog", 100), ("a", 10), ("b", 10), ("c", 10)];
     let outcomes = simulate(&rates, 60, 20_000);
     for tenant in ["a", "b", "c"] {
-        assert!(on_time_share(&outcomes, tenant) > 0.75, "{tenant}: {outcomes:?}");
+        assert!(
+            on_time_share(&outcomes, tenant) > 0.75,
+            "{tenant}: {outcomes:?}"
+        );
     }
-    assert!(on_time_share(&outcomes, "hog") > total_on_time_share(&outcomes) / 4.0, "{outcomes:?}");
+    assert!(
+        on_time_share(&outcomes, "hog") > total_on_time_share(&outcomes) / 4.0,
+        "{outcomes:?}"
+    );
 }
 
 #[test]
@@ -105,7 +111,10 @@
     let outcomes = simulate(&rates, 120, 20_000);
     let all = total_on_time_share(&outcomes);
     for name in &names {
-        assert!(on_time_share(&outcomes, name) >= all / 4.0, "{name}: {outcomes:?}");
+        assert!(
+            on_time_share(&outcomes, name) >= all / 4.0,
+            "{name}: {outcomes:?}"
+        );
     }
 }
 
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -10,8 +10,8 @@
 use ponddrift_fleet::directory::{BackEnd, ColdStart};
 use ponddrift_fleet::health::Outcome;
 use ponddrift_fleet::placement::{
-    LatencyTargets, HandOver, PrefixState, PrefixUse, Outstanding, Placement, PromptPlan, PromptRequest, Urgency,
-    WorkReport, WorkRow,
+    HandOver, LatencyTargets, Outstanding, Placement, PrefixState, PrefixUse, PromptPlan,
+    PromptRequest, Urgency, WorkReport, WorkRow,
 };
 use ponddrift_fleet::prompt::{Prompt, PromptPart};
 use ponddrift_fleet::rate_limits::{
@@ -162,9 +162,21 @@
 fn prompts_with_the_same_uncached_prefix_go_to_one_engine() {
     let mut scene = Scene::new(5, 3);
     let test_prompt = prompt("h", 13_000, 3_700);
-    let first = scene.plan(&test_prompt).prefill.expect("a prefill engine").id.clone();
+    let first = scene
+        .plan(&test_prompt)
+        .prefill
+        .expect("a prefill engine")
+        .id
+        .clone();
     for _ in 0..20 {
-        assert_eq!(scene.plan(&test_prompt).prefill.expect("a prefill engine").id, first);
+        assert_eq!(
+            scene
+                .plan(&test_prompt)
+                .prefill
+                .expect("a prefill engine")
+                .id,
+            first
+        );
     }
 }
 
@@ -175,7 +187,10 @@
         let test_prompt = prompt("h", 13_000, 3_700);
         scene.record_cached(holder, &test_prompt);
         let plan = scene.plan(&test_prompt);
-        assert_eq!(plan.prefill.expect("a prefill engine").id, scene.engines[holder].id);
+        assert_eq!(
+            plan.prefill.expect("a prefill engine").id,
+            scene.engines[holder].id
+        );
         assert!(plan.fetch_from.is_none());
         assert!((plan.tokens_to_read - 3_700.0).abs() < 1.0);
     }
@@ -188,7 +203,10 @@
     scene.record_cached(0, &test_prompt);
     scene.add_peer_work(0, 60_000.0);
     let plan = scene.plan(&test_prompt);
-    assert_ne!(plan.prefill.expect("a prefill engine").id, scene.engines[0].id);
+    assert_ne!(
+        plan.prefill.expect("a prefill engine").id,
+        scene.engines[0].id
+    );
     assert_eq!(plan.fetch_from.expect("a holder").id, scene.engines[0].id);
     assert!(
         (plan.tokens_to_read - 3_700.0).abs() < 1.0,
@@ -208,7 +226,10 @@
         .record(&id, Outcome::Unreachable, scene.now);
     assert!(pause.is_some());
     let plan = scene.plan(&test_prompt);
-    assert_eq!(plan.prefill.expect("a prefill engine").id, scene.engines[1].id);
+    assert_eq!(
+        plan.prefill.expect("a prefill engine").id,
+        scene.engines[1].id
+    );
     assert!(plan.fetch_from.is_none());
 }
 
@@ -232,7 +253,11 @@
         scene.record_cached(0, &prompt("other", 13_000, 20_000));
     }
     assert!(scene.assumed_state(0, &first).is_none());
-    assert!(scene.assumed_state(0, &prompt("other", 13_000, 0)).is_some());
+    assert!(
+        scene
+            .assumed_state(0, &prompt("other", 13_000, 0))
+            .is_some()
+    );
 }
 
 #[test]
@@ -241,7 +266,10 @@
     let first = prompt("first", 13_000, 100);
     scene.record_cached(0, &first);
     let id = Arc::clone(&scene.engines[0].id);
-    scene.placement.prefixes.record_inserted_tokens(&id, 500_000);
+    scene
+        .placement
+        .prefixes
+        .record_inserted_tokens(&id, 500_000);
     assert!(scene.assumed_state(0, &first).is_none());
 }
 
@@ -258,7 +286,9 @@
     let test_prompt = prompt("h", 13_000, 100);
     let is_pending = |scene: &Scene| {
         let engines = &scene.engines;
-        scene.placement.is_prefix_pending(engines, &test_prompt, scene.now)
+        scene
+            .placement
+            .is_prefix_pending(engines, &test_prompt, scene.now)
     };
     assert!(!is_pending(&scene));
     scene.record_use(0, &test_prompt, PrefixState::Pending);
@@ -266,7 +296,10 @@
     scene.record_cached(0, &test_prompt);
     assert!(!is_pending(&scene));
     scene.record_use(0, &test_prompt, PrefixState::Pending);
-    assert_eq!(scene.assumed_state(0, &test_prompt), Some(PrefixState::Cached));
+    assert_eq!(
+        scene.assumed_state(0, &test_prompt),
+        Some(PrefixState::Cached)
+    );
 }
 
 #[test]
@@ -401,7 +434,9 @@
     let service = Arc::from("models");
     let plan = scene.plan(&prompt("h", 10_000, 4_000));
     assert!(plan.prefill.is_none());
-    scene.placement.record_prompt_work(&service, &plan, TARGETS, scene.now);
+    scene
+        .placement
+        .record_prompt_work(&service, &plan, TARGETS, scene.now);
     let rates = scene.placement.work.rates(scene.now);
     let work = rates[0].1;
     assert!(work.prefill > 0.1 && work.decode_reading > work.prefill);
@@ -430,7 +465,10 @@
     scene.placement.link.set_megabits(1);
     let slow = prompt("h", 0, 1_500);
     let plan = scene.plan(&slow);
-    assert!(plan.prefill.is_none(), "sending the body twice takes 166 ms longer");
+    assert!(
+        plan.prefill.is_none(),
+        "sending the body twice takes 166 ms longer"
+    );
     assert!(plan.expected_ms > 160.0, "{}", plan.expected_ms);
 }
 
@@ -445,7 +483,10 @@
     );
     link.set_megabits(8);
     let initial_wait_ms = link.wait_ms(scene.now);
-    assert!((1_000.0..1_001.0).contains(&initial_wait_ms), "{initial_wait_ms}");
+    assert!(
+        (1_000.0..1_001.0).contains(&initial_wait_ms),
+        "{initial_wait_ms}"
+    );
     let later_wait_ms = link.wait_ms(scene.now + Duration::from_millis(600));
     assert!((400.0..401.0).contains(&later_wait_ms), "{later_wait_ms}");
     assert!(link.wait_ms(scene.now + Duration::from_secs(2)) < 1e-9);
@@ -645,9 +686,12 @@
         sent: scene.now,
         is_of_run: true,
     };
-    limits.record_use(&preferred_engine, answer, scene.now);
+    limits.note(&preferred_engine, answer, scene.now);
     scene.now += Duration::from_secs(1);
-    let allowance = scene.placement.rate_limits.allowance(&preferred_engine, scene.now);
+    let allowance = scene
+        .placement
+        .rate_limits
+        .allowance(&preferred_engine, scene.now);
     assert_eq!(allowance, Allowance::Now, "the engine accepts the request");
     for _ in 0..20 {
         assert_ne!(scene.plan(&fresh).decode.id, preferred_engine.id);
--- a/crates/fleet/tests/speed.rs
+++ b/crates/fleet/tests/speed.rs
@@ -56,7 +56,10 @@
         speed.prompt_read(reading(4_000.0, 0.0));
         let rate = speed.prefill_tokens_per_ms();
         let lower_bound = 4_000.0 / reading(4_000.0, 0.0).took_ms;
-        assert!((rate - lower_bound).abs() < 1e-9, "{rate}, expected {lower_bound}");
+        assert!(
+            (rate - lower_bound).abs() < 1e-9,
+            "{rate}, expected {lower_bound}"
+        );
         assert!(default_rate < rate && rate < 60.0, "{default_rate}, {rate}");
     }
     let mut slow = SpeedTable::default();
--- a/crates/fleet/tests/topology.rs
+++ b/crates/fleet/tests/topology.rs
@@ -8,7 +8,9 @@
 use ponddrift_fleet::followers::{
     FollowerTable, GOSSIP_INTERVAL, gathering_alone, gathering_for_others,
 };
-use ponddrift_fleet::topology::{FOLLOWERS_PER_NEIGHBOURHOOD, Member, SMALL_FLEET_MAX_DAEMONS, Topology};
+use ponddrift_fleet::topology::{
+    FOLLOWERS_PER_NEIGHBOURHOOD, Member, SMALL_FLEET_MAX_DAEMONS, Topology,
+};
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
@@ -54,7 +56,11 @@
     let own = &fleet[0];
     let topology = Topology::of(own, &fleet);
     assert_eq!(topology.neighbours.len(), 29);
-    assert_eq!(topology.remote_zone_peers.len(), 4, "two of each other zone");
+    assert_eq!(
+        topology.remote_zone_peers.len(),
+        4,
+        "two of each other zone"
+    );
     let zone_of = |address: &SocketAddr| {
         let of = fleet.iter().find(|member| member.peer_address == *address);
         Arc::clone(&of.expect("known").zone)
@@ -65,7 +71,12 @@
             .iter()
             .all(|peer| &*zone_of(peer) == "a")
     );
-    assert!(topology.remote_zone_peers.iter().all(|peer| &*zone_of(peer) != "a"));
+    assert!(
+        topology
+            .remote_zone_peers
+            .iter()
+            .all(|peer| &*zone_of(peer) != "a")
+    );
 }
 
 #[test]
@@ -75,7 +86,11 @@
     assert_eq!(followers.len(), ZONES.len() * FOLLOWERS_PER_NEIGHBOURHOOD);
     for zone in ZONES {
         let zone_peers = followers.iter().filter(|member| &*member.zone == zone);
-        assert_eq!(zone_peers.count(), FOLLOWERS_PER_NEIGHBOURHOOD, "zone {zone}");
+        assert_eq!(
+            zone_peers.count(),
+            FOLLOWERS_PER_NEIGHBOURHOOD,
+            "zone {zone}"
+        );
     }
 }
 
@@ -113,7 +128,11 @@
     for own in fleet.iter().filter(|own| &*own.zone == "a") {
         receivers.extend(Topology::of(own, &fleet).remote_zone_peers);
     }
-    assert!(receivers.len() > 30, "{} of 60 daemons are sent to", receivers.len());
+    assert!(
+        receivers.len() > 30,
+        "{} of 60 daemons are sent to",
+        receivers.len()
+    );
 }
 
 fn peer() -> SocketAddr {
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -123,7 +123,8 @@
         let has_news = !own.heads.is_empty() || !own.away.is_empty();
         let concerns_far = has_news || reason != Reason::Forwarded;
         if concerns_far && far_pace.is_due(own.tells_of_work(), now()) {
-            self.send(own.clone().encode(), &topology.remote_zone_peers).await;
+            self.send(own.clone().encode(), &topology.remote_zone_peers)
+                .await;
         }
         let for_neighbours = with_forwarded(own, forwarded);
         let neighbours = self.neighbours();
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -7,7 +7,7 @@
 use ponddrift_fleet::directory::Incarnation;
 use ponddrift_fleet::health::Results;
 use ponddrift_fleet::placement::{
-    PrefixState, PrefixUse, Outstanding, PromptReading, WorkReport, WorkRow,
+    Outstanding, PrefixState, PrefixUse, PromptReading, WorkReport, WorkRow,
 };
 use ponddrift_fleet::quarantine::{LostRun, Suspicion};
 use ponddrift_fleet::rate_limits::{NamedRate, RateRecord, RequestRate};
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -278,7 +278,8 @@
         } else {
             REFUSED_PAUSE
         };
-        self.placement().suspend_engine(back_end, time, false, now());
+        self.placement()
+            .suspend_engine(back_end, time, false, now());
     }
 
     fn build(&self, job: &Job, facts: &SendFacts<'_>) -> Option<Request<body::Body>> {
--- a/crates/serving/src/pipeline/cache_probe.rs
+++ b/crates/serving/src/pipeline/cache_probe.rs
@@ -9,7 +9,7 @@
 use futures::{StreamExt, stream};
 use http::StatusCode;
 use ponddrift_fleet::directory::BackEnd;
-use ponddrift_fleet::placement::{PrefixState, PrefixUse, MIN_PREFIX_TOKENS};
+use ponddrift_fleet::placement::{MIN_PREFIX_TOKENS, PrefixState, PrefixUse};
 use ponddrift_fleet::prompt::prefix_hash;
 use rand::seq::SliceRandom;
 
--- a/crates/serving/src/pipeline/first_event.rs
+++ b/crates/serving/src/pipeline/first_event.rs
@@ -125,7 +125,9 @@
             let service = &job.service.name;
             let target_ms = milliseconds(job.route.target_latency);
             let share = job.expected_ms.unwrap_or_default() / target_ms.max(1.0);
-            placement.confidence.record_deadline_outcome(service, share, in_time);
+            placement
+                .confidence
+                .record_deadline_outcome(service, share, in_time);
         }
     }
 
--- a/crates/serving/src/pipeline/generate.rs
+++ b/crates/serving/src/pipeline/generate.rs
@@ -8,7 +8,9 @@
 use ponddrift_fleet::directory::BackEnd;
 use ponddrift_fleet::events::{Event, EventSplitter};
 use ponddrift_fleet::health::Outcome;
-use ponddrift_fleet::placement::{HandOver, OfferedRequest, Placement, PromptPlan, PromptRequest, Urgency};
+use ponddrift_fleet::placement::{
+    HandOver, OfferedRequest, Placement, PromptPlan, PromptRequest, Urgency,
+};
 use ponddrift_http::body::{self, Body};
 use rand::RngExt;
 
--- a/crates/serving/src/pipeline/prefill.rs
+++ b/crates/serving/src/pipeline/prefill.rs
@@ -143,7 +143,9 @@
             let mut placement = self.placement();
             let daemons = u64::try_from(placement.daemons).unwrap_or(1);
             let tokens = u64::from(prompt.input_tokens) * daemons;
-            placement.prefixes.record_inserted_tokens(&engine.id, tokens);
+            placement
+                .prefixes
+                .record_inserted_tokens(&engine.id, tokens);
         }
     }
 
--- a/crates/serving/src/pipeline/rate_wait.rs
+++ b/crates/serving/src/pipeline/rate_wait.rs
@@ -122,7 +122,8 @@
     /// When the next token comes of those back ends that could run the request, where nothing but their rate limits is in the way.
     fn next_rate_token(&self, job: &Job) -> Option<NextRateToken> {
         let back_ends = self.generating(job);
-        self.placement().next_rate_token(&back_ends, &job.tried, now())
+        self.placement()
+            .next_rate_token(&back_ends, &job.tried, now())
     }
 
     /// The back ends that could generate the answer, or give it.
