--- a/crates/fleet/src/distribution.rs
+++ b/crates/fleet/src/distribution.rs
@@ -66,7 +66,8 @@
     #[must_use]
     pub fn of(own: SocketAddr, distributors: &[SocketAddr], daemon_hash: u64) -> Self {
         let own_rank = distributors.iter().position(|peer| *peer == own);
-        let (roots, others) = distributors.split_at(distributors.len().min(FOLLOWERS_PER_NEIGHBOURHOOD));
+        let (roots, others) =
+            distributors.split_at(distributors.len().min(FOLLOWERS_PER_NEIGHBOURHOOD));
         let providers = match own_rank {
             Some(rank) if rank < FOLLOWERS_PER_NEIGHBOURHOOD => Vec::new(),
             Some(_) => rotated(roots, daemon_hash),
--- a/crates/fleet/tests/distribution.rs
+++ b/crates/fleet/tests/distribution.rs
@@ -48,7 +48,10 @@
 fn the_number_of_store_readers_does_not_grow_with_the_zone() {
     for daemons in [100, 1_000] {
         let readers = readers(&zone(daemons));
-        assert_eq!(readers[&None], FOLLOWERS_PER_NEIGHBOURHOOD, "{daemons} daemons");
+        assert_eq!(
+            readers[&None], FOLLOWERS_PER_NEIGHBOURHOOD,
+            "{daemons} daemons"
+        );
     }
 }
 
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -287,7 +287,8 @@
         } else {
             REFUSED_PAUSE
         };
-        self.placement().suspend_engine(back_end, time, false, now());
+        self.placement()
+            .suspend_engine(back_end, time, false, now());
     }
 
     fn build_request(&self, job: &Job, metadata: &SendMetadata<'_>) -> Option<Request<body::Body>> {
