--- a/crates/fleet/examples/shared_rates.rs
+++ b/crates/fleet/examples/shared_rates.rs
@@ -95,7 +95,13 @@
     })
 }
 
-fn share(policy: SharingPolicy, members: &Members, index: usize, rate: f64, demands: &[f64]) -> Share {
+fn share(
+    policy: SharingPolicy,
+    members: &Members,
+    index: usize,
+    rate: f64,
+    demands: &[f64],
+) -> Share {
     let zone = format!("z{}", index as u64 % ZONES);
     let id = format!("i-{index}");
     let back_end = SharedBackEnd {
@@ -117,7 +123,9 @@
 }
 
 fn members_of(running: &[bool], own: u64) -> Arc<Members> {
-    let numbers = (0..).zip(running).filter(|(_number, is_running)| **is_running);
+    let numbers = (0..)
+        .zip(running)
+        .filter(|(_number, is_running)| **is_running);
     Arc::new(Members {
         own: own + 1,
         daemons: numbers
@@ -184,9 +192,7 @@
                 per_daemon[index].0 += 1;
                 daemon.waiting.push_back(now_ms);
             }
-            daemon
-                .waiting
-                .retain(|since| now_ms - since <= MAX_WAIT_MS);
+            daemon.waiting.retain(|since| now_ms - since <= MAX_WAIT_MS);
             while !daemon.waiting.is_empty() {
                 let taken = daemon
                     .buckets
@@ -252,7 +258,10 @@
                 let tolerated = 1.5 * rate * 4.0 + 5.0;
                 println!(
                     "{policy:?}, {daemons}, {rate}, {:.2}, {}, {tolerated:.0}, {:.2}, {:.2}",
-                    results.used_fraction, results.most_requests_in_window, results.served_fraction, results.lowest_served_fraction
+                    results.used_fraction,
+                    results.most_requests_in_window,
+                    results.served_fraction,
+                    results.lowest_served_fraction
                 );
             }
         }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -13,8 +13,8 @@
 use crate::configuration::Stage;
 use crate::revision::Revision;
 pub(crate) use ready_sets::owner_score;
+use ready_sets::{LocalDaemon, ReadySet};
 pub use ready_sets::{MAX_CANDIDATES_PER_STAGE, ReadyCounts};
-use ready_sets::{ReadySet, LocalDaemon};
 
 /// How long a back end may still be used after its entry disappeared while the store had recently
 /// been unavailable. Healthy back ends rewrite their entries within about two seconds of the
@@ -138,14 +138,16 @@
 impl Removed {
     /// The last known entry if the back end may still be alive.
     fn unconfirmed(&self, now: Instant) -> Option<&Arc<BackEnd>> {
-        let is_in_grace_period = self.is_unconfirmed && now.saturating_duration_since(self.since) < UNCONFIRMED_REMOVAL_GRACE;
+        let is_in_grace_period = self.is_unconfirmed
+            && now.saturating_duration_since(self.since) < UNCONFIRMED_REMOVAL_GRACE;
         self.last.as_ref().filter(|_last| is_in_grace_period)
     }
 
     /// Whether the back end was removed for certain, and recently enough for the removal to hold
     /// against an entry from a restored store.
     fn was_removed_recently(&self, now: Instant) -> bool {
-        !self.is_unconfirmed && now.saturating_duration_since(self.since) < REMOVAL_HOLD_AFTER_RESTORE
+        !self.is_unconfirmed
+            && now.saturating_duration_since(self.since) < REMOVAL_HOLD_AFTER_RESTORE
     }
 }
 
@@ -319,7 +321,12 @@
                 return true;
             }
         }
-        self.mark_removed(id, revision, now, store_was_unavailable || is_from_earlier_era);
+        self.mark_removed(
+            id,
+            revision,
+            now,
+            store_was_unavailable || is_from_earlier_era,
+        );
         true
     }
 
--- a/crates/fleet/src/directory/ready_sets.rs
+++ b/crates/fleet/src/directory/ready_sets.rs
@@ -93,7 +93,11 @@
 
     /// Zones that have ready back ends: `first` leads, then the daemon's own zone, then the others
     /// in an order that differs between daemons.
-    pub(super) fn zones_in_order<'a>(&'a self, first: &'a str, local: &'a LocalDaemon) -> Vec<&'a str> {
+    pub(super) fn zones_in_order<'a>(
+        &'a self,
+        first: &'a str,
+        local: &'a LocalDaemon,
+    ) -> Vec<&'a str> {
         let prefill = self.prefill.by_zone.keys();
         let zones_in_order = prefill.chain(self.others.by_zone.keys());
         let mut zones_in_order: Vec<&str> = zones_in_order.map(|zone| &**zone).collect();
@@ -229,7 +233,9 @@
         zones_in_order: &[&str],
         eligibility: &dyn Fn(&BackEnd) -> Eligibility,
     ) -> Vec<Arc<BackEnd>> {
-        let of_zones = zones_in_order.iter().filter_map(|zone| self.by_zone.get(*zone));
+        let of_zones = zones_in_order
+            .iter()
+            .filter_map(|zone| self.by_zone.get(*zone));
         let in_order = of_zones.flat_map(|of_zone| of_zone.by_preference.values());
         let mut best = Eligibility::Excluded;
         let mut preferred = Vec::new();
@@ -271,14 +277,14 @@
     }
 
     fn remove(&mut self, back_end: &Arc<BackEnd>, local: &LocalDaemon) {
-        self.by_preference
-            .remove(&Preference::of(back_end, local));
+        self.by_preference.remove(&Preference::of(back_end, local));
         let Some(position) = self.positions.remove(&back_end.id) else {
             return;
         };
         self.owners.swap_remove(position);
         if let Some(moved) = self.owners.get(position) {
-            self.positions.insert(Arc::clone(&moved.back_end.id), position);
+            self.positions
+                .insert(Arc::clone(&moved.back_end.id), position);
         }
     }
 
--- a/crates/fleet/src/fleet_time.rs
+++ b/crates/fleet/src/fleet_time.rs
@@ -60,7 +60,8 @@
 
     /// Removes samples that are too old to count.
     pub fn forget_old(&mut self, now: Instant) {
-        self.samples
-            .retain(|_source, sample| now.saturating_duration_since(sample.received) < MAX_SAMPLE_AGE);
+        self.samples.retain(|_source, sample| {
+            now.saturating_duration_since(sample.received) < MAX_SAMPLE_AGE
+        });
     }
 }
--- a/crates/fleet/src/followers.rs
+++ b/crates/fleet/src/followers.rs
@@ -38,7 +38,8 @@
 /// The interval grows with the number of followers, because every change wakes all of them.
 #[must_use]
 pub fn batch_interval_for_others(followers: usize, reads_per_second: f64) -> Duration {
-    call_interval(followers, reads_per_second * READ_FRACTION_FOR_OTHERS).max(MIN_BATCH_INTERVAL_FOR_OTHERS)
+    call_interval(followers, reads_per_second * READ_FRACTION_FOR_OTHERS)
+        .max(MIN_BATCH_INTERVAL_FOR_OTHERS)
 }
 
 /// The same for a daemon that follows the store only for itself, as all daemons of the fleet may do
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -272,7 +272,8 @@
     /// (`own_are_enough`) or of the whole zone reach their limit. Returns the delay before the
     /// first health check.
     fn eject_if(&mut self, own_are_enough: bool) -> Option<Duration> {
-        let is_enough = own_are_enough || self.trial_successes_left > 0 || self.zone_breaks >= ZONE_BREAK_LIMIT;
+        let is_enough =
+            own_are_enough || self.trial_successes_left > 0 || self.zone_breaks >= ZONE_BREAK_LIMIT;
         if self.ejected || !is_enough {
             return None;
         }
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -400,8 +400,13 @@
 
     fn has_more_than(&self, news: &Suspicion) -> bool {
         let known = &self.suspicion;
-        let is_known_to_peer = |run: &LostRun| news.lost_runs.iter().any(|peer_run| peer_run.engine == run.engine);
-        is_later(known.cleared, news.cleared) || known.lost_runs.iter().any(|run| !is_known_to_peer(run))
+        let is_known_to_peer = |run: &LostRun| {
+            news.lost_runs
+                .iter()
+                .any(|peer_run| peer_run.engine == run.engine)
+        };
+        is_later(known.cleared, news.cleared)
+            || known.lost_runs.iter().any(|run| !is_known_to_peer(run))
     }
 
     /// Lost runs after the last completed run.
--- a/crates/fleet/src/rate_limits.rs
+++ b/crates/fleet/src/rate_limits.rs
@@ -145,7 +145,10 @@
         let peer_is_behind = known.is_some_and(|known| {
             known.incarnation > incarnation || known.record.in_force() != theirs.in_force()
         });
-        RateMerge { change, peer_is_behind }
+        RateMerge {
+            change,
+            peer_is_behind,
+        }
     }
 
     /// The record of a back end, to be sent to peers; `None` if nothing is known.
--- a/crates/fleet/src/usage.rs
+++ b/crates/fleet/src/usage.rs
@@ -106,7 +106,8 @@
 
     /// Merges another copy of a tally, or a part of one.
     pub fn merge(&mut self, other: &TallyRecord) {
-        self.tally_mut(other.instance, other.window).merge(&other.tally);
+        self.tally_mut(other.instance, other.window)
+            .merge(&other.tally);
     }
 
     /// All tallies of a window.
@@ -156,7 +157,12 @@
 
     /// Count of one instance for a tenant in a window.
     #[must_use]
-    pub fn count_of(&self, instance: DaemonInstance, window: WindowNumber, tenant: &str) -> Option<u32> {
+    pub fn count_of(
+        &self,
+        instance: DaemonInstance,
+        window: WindowNumber,
+        tenant: &str,
+    ) -> Option<u32> {
         let tally = self.windows.get(&window)?.get(&instance)?;
         tally.counts.get(tenant).copied()
     }
--- a/crates/fleet/tests/announcements.rs
+++ b/crates/fleet/tests/announcements.rs
@@ -90,7 +90,12 @@
 #[test]
 fn the_order_of_answers_does_not_matter() {
     let start = Instant::now();
-    let answers = [(5, DRAINING), (6, backoff(2)), (6, backoff(9)), (4, DRAINING)];
+    let answers = [
+        (5, DRAINING),
+        (6, backoff(2)),
+        (6, backoff(9)),
+        (4, DRAINING),
+    ];
     for first in 0..answers.len() {
         for second in 0..answers.len() {
             let mut announcements = Announcements::default();
@@ -183,7 +188,9 @@
     bolero::check!()
         .with_type::<Vec<(u8, bool, Option<u8>)>>()
         .for_each(|answers| {
-            let final_availability = |answers: &mut dyn Iterator<Item = &(u8, bool, Option<u8>)>| {
+            let final_availability = |answers: &mut dyn Iterator<
+                Item = &(u8, bool, Option<u8>),
+            >| {
                 let mut announcements = Announcements::default();
                 for (started_ms, drains, seconds) in answers {
                     let backoff = seconds.map_or(RequestedBackoff::NotRequested, |seconds| {
@@ -199,6 +206,9 @@
             };
             let in_order = final_availability(&mut answers.iter());
             assert_eq!(in_order, final_availability(&mut answers.iter().rev()));
-            assert_eq!(in_order, final_availability(&mut answers.iter().chain(answers)));
+            assert_eq!(
+                in_order,
+                final_availability(&mut answers.iter().chain(answers))
+            );
         });
 }
--- a/crates/fleet/tests/candidates.rs
+++ b/crates/fleet/tests/candidates.rs
@@ -9,7 +9,8 @@
 use ponddrift_fleet::capacity::Contract;
 use ponddrift_fleet::configuration::Stage;
 use ponddrift_fleet::directory::{
-    BackEnd, MAX_CANDIDATES_PER_STAGE, CandidateQuery, Candidates, Directory, Incarnation, Lifecycle, Eligibility,
+    BackEnd, CandidateQuery, Candidates, Directory, Eligibility, Incarnation, Lifecycle,
+    MAX_CANDIDATES_PER_STAGE,
 };
 use ponddrift_fleet::revision::{Era, Revision};
 
@@ -89,7 +90,11 @@
             },
         };
         let candidates = directory.candidates(&query, Instant::now());
-        assert_eq!(looked_at.get(), 2 * MAX_CANDIDATES_PER_STAGE, "{engines} engines");
+        assert_eq!(
+            looked_at.get(),
+            2 * MAX_CANDIDATES_PER_STAGE,
+            "{engines} engines"
+        );
         assert!(candidates.back_ends.len() <= 2 * MAX_CANDIDATES_PER_STAGE + 6);
         assert_eq!(candidates.ready.all(), engines);
     }
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -7,7 +7,7 @@
 use ponddrift_fleet::budget::{BudgetSettings, RetryBudget};
 use ponddrift_fleet::capacity::Contract;
 use ponddrift_fleet::directory::{
-    BackEnd, ColdStart, UNCONFIRMED_REMOVAL_GRACE, Directory, Incarnation, Lifecycle, PutOutcome,
+    BackEnd, ColdStart, Directory, Incarnation, Lifecycle, PutOutcome, UNCONFIRMED_REMOVAL_GRACE,
 };
 use ponddrift_fleet::events::{EventError, EventSplitter, MAXIMUM_EVENT_BYTES};
 use ponddrift_fleet::health::{FIRST_CHECK_DELAY, Health, MAX_CHECK_DELAY, Outcome};
--- a/crates/fleet/tests/health.rs
+++ b/crates/fleet/tests/health.rs
@@ -78,7 +78,9 @@
         .expect("ejected");
     now += pause;
     health.receive(&id(), broken(1), now);
-    let next = health.may_check("i-1", pause, now).expect_err("it failed recently");
+    let next = health
+        .may_check("i-1", pause, now)
+        .expect_err("it failed recently");
     assert!(next > pause);
     now += next;
     assert!(health.may_check("i-1", next, now).is_ok());
--- a/crates/fleet/tests/leadership.rs
+++ b/crates/fleet/tests/leadership.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::leadership::{CALL_TIMEOUT, Fencing, Grant, SAFETY_MARGIN, LeaderTerm};
+use ponddrift_fleet::leadership::{CALL_TIMEOUT, Fencing, Grant, LeaderTerm, SAFETY_MARGIN};
 
 const LEASE_DURATION: Duration = Duration::from_secs(3);
 const LONG_AGO: Duration = Duration::from_secs(60);
@@ -38,7 +38,9 @@
     let term = LeaderTerm::new(&grant(asked, asked), Fencing::Checked);
     let renewed = term.renewed(asked + Duration::from_secs(1));
     assert!(!renewed.may_have_expired(asked + LEASE_DURATION));
-    assert!(renewed.may_have_expired(asked + LEASE_DURATION + Duration::from_secs(1) - SAFETY_MARGIN));
+    assert!(
+        renewed.may_have_expired(asked + LEASE_DURATION + Duration::from_secs(1) - SAFETY_MARGIN)
+    );
     assert_eq!(renewed.fencing_token, 7);
 }
 
@@ -62,7 +64,8 @@
         last_call: asked - Duration::from_secs(1),
         ..grant(asked, asked)
     };
-    let term = LeaderTerm::new(&recent_caller, Fencing::Checked).renewed(asked + Duration::from_secs(2));
+    let term =
+        LeaderTerm::new(&recent_caller, Fencing::Checked).renewed(asked + Duration::from_secs(2));
     let earliest_call = recent_caller.last_call + LEASE_DURATION + CALL_TIMEOUT;
     assert!(!term.allows_call(earliest_call - Duration::from_millis(1)));
     assert!(term.allows_call(earliest_call));
--- a/crates/fleet/tests/leadership_model.rs
+++ b/crates/fleet/tests/leadership_model.rs
@@ -228,10 +228,13 @@
         if candidate.paused > 0 {
             return steps;
         }
-        let mut ask = |kind| {
-            let times = scope.store_delays.iter();
-            steps.extend(times.map(|(processing, answering)| Step::SendRequest(kind, *processing, *answering)));
-        };
+        let mut ask =
+            |kind| {
+                let times = scope.store_delays.iter();
+                steps.extend(times.map(|(processing, answering)| {
+                    Step::SendRequest(kind, *processing, *answering)
+                }));
+            };
         if candidate.pending.is_none() && candidate.releases_in.is_none() {
             match candidate.held {
                 // Both candidates watch the store.
@@ -434,7 +437,9 @@
             }
         }
         let other = 1 - index;
-        if self.seen[index].before_other < LEASE_TICKS && self.seen[other].newest < Self::MAX_AGE_TICKS {
+        if self.seen[index].before_other < LEASE_TICKS
+            && self.seen[other].newest < Self::MAX_AGE_TICKS
+        {
             return Err(Violation::AlternatingCalls);
         }
         self.highest = Some((token_age, index));
@@ -521,10 +526,7 @@
     ];
     for (states, violation) in results {
         assert_eq!(violation, None);
-        assert!(
-            states > 1_000,
-            "only {states} states were visited"
-        );
+        assert!(states > 1_000, "only {states} states were visited");
     }
 }
 
@@ -539,7 +541,8 @@
     ];
     for rules in seeded {
         let in_first_scope = explore::<SHORT_LEASE_TICKS>(rules, UNRELIABLE_STORE).1;
-        let violation = in_first_scope.or_else(|| explore::<LONG_LEASE_TICKS>(rules, TWO_RELEASES).1);
+        let violation =
+            in_first_scope.or_else(|| explore::<LONG_LEASE_TICKS>(rules, TWO_RELEASES).1);
         assert!(violation.is_some(), "{rules:?} is not detected");
     }
 }
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -43,7 +43,12 @@
     let mut ended_at = begin;
     for engine in 0..engines {
         ended_at = begin + RUN_DURATION * 2 * (engine + 1);
-        quarantine.record_lost_run(request(), 0, run(&format!("i-{engine}"), ended_at), ended_at);
+        quarantine.record_lost_run(
+            request(),
+            0,
+            run(&format!("i-{engine}"), ended_at),
+            ended_at,
+        );
     }
     ended_at
 }
@@ -83,7 +88,10 @@
         let ended_at = now + Duration::from_millis(later_ms);
         quarantine.record_lost_run(request(), 0, run(engine, ended_at), ended_at);
     }
-    assert_eq!(quarantine.standing(request(), now + RUN_DURATION), Standing::Clear);
+    assert_eq!(
+        quarantine.standing(request(), now + RUN_DURATION),
+        Standing::Clear
+    );
 }
 
 /// Runs may wait for a long time at busy engines: they overlap although their engines terminated
@@ -165,7 +173,10 @@
     let later = ended + RUN_DURATION;
     quarantine.record_released(request(), later);
     assert_eq!(quarantine.standing(request(), later), Standing::Suspected);
-    assert!(quarantine.unstored(later).is_empty(), "it is not stored again");
+    assert!(
+        quarantine.unstored(later).is_empty(),
+        "it is not stored again"
+    );
     let again = later + RUN_DURATION * 2;
     quarantine.record_lost_run(request(), 0, run("i-9", again), again);
     assert!(quarantine.standing(request(), again).is_quarantined());
@@ -179,7 +190,10 @@
     quarantine.record_stored(request(), now);
     assert!(quarantine.standing(request(), now).is_quarantined());
     quarantine.forget_old(now + QUARANTINE_DURATION);
-    assert_eq!(quarantine.standing(request(), now + QUARANTINE_DURATION), Standing::Clear);
+    assert_eq!(
+        quarantine.standing(request(), now + QUARANTINE_DURATION),
+        Standing::Clear
+    );
 }
 
 #[test]
--- a/crates/fleet/tests/rate_limits.rs
+++ b/crates/fleet/tests/rate_limits.rs
@@ -9,8 +9,9 @@
 
 use ponddrift_fleet::directory::{BackEnd, Incarnation, TOMBSTONE_RETENTION};
 use ponddrift_fleet::rate_limits::{
-    Allowance, AnnouncedRate, MAX_REQUESTS_PER_SECOND, MIN_REQUESTS_PER_SECOND, Members, MembersTrust, RateAnswer,
-    RateLimits, RateRecord, RequestRate, Share, SharedBackEnd, TokenBucket,
+    Allowance, AnnouncedRate, MAX_REQUESTS_PER_SECOND, MIN_REQUESTS_PER_SECOND, Members,
+    MembersTrust, RateAnswer, RateLimits, RateRecord, RequestRate, Share, SharedBackEnd,
+    TokenBucket,
 };
 use support::engines;
 
@@ -83,7 +84,11 @@
     assert_eq!(limits.limit(&back_end), None);
     limits.note(&back_end, announces(5.0, at(100, start)), at(200, start));
     limits.note(&back_end, announces(3.0, at(50, start)), at(300, start));
-    assert_eq!(limits.limit(&back_end), Some(rate(5.0)), "the answer belongs to an earlier request");
+    assert_eq!(
+        limits.limit(&back_end),
+        Some(rate(5.0)),
+        "the answer belongs to an earlier request"
+    );
     limits.note(&back_end, announces_none(at(250, start)), at(400, start));
     assert_eq!(
         limits.limit(&back_end),
@@ -93,7 +98,11 @@
     limits.note(&back_end, announces_none(at(301, start)), at(500, start));
     assert_eq!(limits.limit(&back_end), None, "lifted");
     limits.note(&back_end, announces(4.0, at(120, start)), at(600, start));
-    assert_eq!(limits.limit(&back_end), None, "a delayed answer to an earlier request");
+    assert_eq!(
+        limits.limit(&back_end),
+        None,
+        "a delayed answer to an earlier request"
+    );
     limits.note(&back_end, announces(4.0, at(610, start)), at(620, start));
     assert_eq!(limits.limit(&back_end), Some(rate(4.0)));
 }
@@ -123,9 +132,17 @@
     let start = Instant::now();
     let mut limits = single_daemon_limits(start);
     limits.note(&back_end_started_at(5), announces(2.0, start), start);
-    assert_eq!(limits.limit(&back_end_started_at(6)), None, "a later incarnation announced none");
+    assert_eq!(
+        limits.limit(&back_end_started_at(6)),
+        None,
+        "a later incarnation announced none"
+    );
     limits.note(&back_end_started_at(6), announces(1.0, start), start);
-    limits.note(&back_end_started_at(5), announces(3.0, at(9, start)), at(9, start));
+    limits.note(
+        &back_end_started_at(5),
+        announces(3.0, at(9, start)),
+        at(9, start),
+    );
     assert_eq!(limits.limit(&back_end_started_at(6)), Some(rate(1.0)));
     limits.forget_absent(|_id| false, start + TOMBSTONE_RETENTION / 2);
     assert_eq!(limits.limited().len(), 1, "its entry may have lapsed");
@@ -155,7 +172,9 @@
             }
             let [first, second] = &mut daemons;
             let known = |limits: &RateLimits| {
-                let record = limits.record(&back_end.id).map(|(_incarnation, record)| record);
+                let record = limits
+                    .record(&back_end.id)
+                    .map(|(_incarnation, record)| record);
                 record.unwrap_or_default()
             };
             let (of_first, of_second): (RateRecord, RateRecord) = (known(first), known(second));
@@ -184,10 +203,7 @@
     assert!(!bucket.take(resumed));
     bucket.set(0.0, 0.0, at(60_500, start));
     bucket.set(2.0, 1.0, at(60_500, start));
-    assert!(
-        !bucket.take(at(60_500, start)),
-        "a new share starts empty"
-    );
+    assert!(!bucket.take(at(60_500, start)), "a new share starts empty");
 }
 
 /// Shares of all daemons of a fleet in the limit of one back end.
@@ -216,7 +232,10 @@
             let tolerated = 1.5 * per_second * WINDOW_S + 5.0;
             // The remainder is reserved for views of the members that differ temporarily.
             let reserve = 0.5 * per_second + 4.0 - 1e-6;
-            assert!(worst + reserve <= tolerated, "{daemons}, {per_second}: {worst}");
+            assert!(
+                worst + reserve <= tolerated,
+                "{daemons}, {per_second}: {worst}"
+            );
         }
     }
 }
@@ -274,7 +293,9 @@
 fn no_window_exceeds_the_tolerance_while_members_change() {
     bolero::check!()
         .with_type::<(Vec<(u8, u8)>, u8)>()
-        .for_each(|(changes, rate_seed)| assert_no_window_exceeds_the_tolerance(changes, *rate_seed));
+        .for_each(|(changes, rate_seed)| {
+            assert_no_window_exceeds_the_tolerance(changes, *rate_seed)
+        });
 }
 
 /// Regression case: an input that the previous test has found.
--- a/crates/fleet/tests/restored_directory.rs
+++ b/crates/fleet/tests/restored_directory.rs
@@ -6,7 +6,8 @@
 
 use ponddrift_fleet::capacity::Contract;
 use ponddrift_fleet::directory::{
-    BackEnd, UNCONFIRMED_REMOVAL_GRACE, Directory, REMOVAL_HOLD_AFTER_RESTORE, Incarnation, Lifecycle, PutOutcome,
+    BackEnd, Directory, Incarnation, Lifecycle, PutOutcome, REMOVAL_HOLD_AFTER_RESTORE,
+    UNCONFIRMED_REMOVAL_GRACE,
 };
 use ponddrift_fleet::revision::{Era, Revision};
 
@@ -95,7 +96,10 @@
     directory.put(back_end(1, Lifecycle::Ready), revision(0, 39), now);
     directory.remove("a", revision(1, 30), now, false);
     assert!(receives_requests(&directory, now));
-    assert!(!receives_requests(&directory, now + UNCONFIRMED_REMOVAL_GRACE));
+    assert!(!receives_requests(
+        &directory,
+        now + UNCONFIRMED_REMOVAL_GRACE
+    ));
 }
 
 #[test]
@@ -108,7 +112,10 @@
             directory.remove("a", revision(0, 39), now, false);
         }
         directory.remove("a", revision(1, 30), now, true);
-        assert!(!receives_requests(&directory, now), "removed before: {was_removed}");
+        assert!(
+            !receives_requests(&directory, now),
+            "removed before: {was_removed}"
+        );
     }
 }
 
--- a/crates/fleet/tests/usage.rs
+++ b/crates/fleet/tests/usage.rs
@@ -6,7 +6,9 @@
 
 use bolero::generator::TypeGenerator;
 use ponddrift_fleet::fleet_time::FleetTime;
-use ponddrift_fleet::usage::{DaemonInstance, Tally, TallyRecord, UsageLedger, end_of_window, window_at};
+use ponddrift_fleet::usage::{
+    DaemonInstance, Tally, TallyRecord, UsageLedger, end_of_window, window_at,
+};
 
 const LENGTH: Duration = Duration::from_secs(5);
 const FIRST: DaemonInstance = DaemonInstance {
--- a/crates/serving/src/fleet_state/fleet_view.rs
+++ b/crates/serving/src/fleet_state/fleet_view.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use ponddrift_fleet::configuration::{Configuration, Stage};
-use ponddrift_fleet::directory::{BackEnd, ColdStart, Directory, Lifecycle, PutOutcome, WarmupState};
+use ponddrift_fleet::directory::{
+    BackEnd, ColdStart, Directory, Lifecycle, PutOutcome, WarmupState,
+};
 use ponddrift_fleet::rate_limits::Members;
 use ponddrift_fleet::revision::Revision;
 use ponddrift_fleet::routes::RouteTable;
--- a/crates/serving/src/follow.rs
+++ b/crates/serving/src/follow.rs
@@ -12,7 +12,8 @@
     DISTRIBUTOR_TIMEOUT, FOLLOWER_REPORT_WAIT, REREAD_WAIT, ReadPlan,
 };
 use ponddrift_fleet::followers::{
-    FOLLOWER_POLL_WAIT, FollowerTable, MAX_STORE_SILENCE, batch_interval_alone, batch_interval_for_others,
+    FOLLOWER_POLL_WAIT, FollowerTable, MAX_STORE_SILENCE, batch_interval_alone,
+    batch_interval_for_others,
 };
 use ponddrift_fleet::revision::{Era, Revision};
 use ponddrift_runtime::Runtime;
@@ -117,8 +118,7 @@
     #[must_use]
     pub fn has_store_contact(&self) -> bool {
         let own = self.store_silence();
-        own.is_some_and(|silence| silence < MAX_STORE_SILENCE)
-            || self.reliable_until().is_some()
+        own.is_some_and(|silence| silence < MAX_STORE_SILENCE) || self.reliable_until().is_some()
     }
 
     fn reliable_until(&self) -> Option<Instant> {
--- a/crates/serving/src/peers/suspects.rs
+++ b/crates/serving/src/peers/suspects.rs
@@ -155,7 +155,10 @@
                 missing_there.push(suspicion_to_wire(&suspicion, now()));
             }
             // Runs lost at several daemons met here: nobody else may know of them together.
-            if update.added_information && update.after != Standing::Clear && self.is_recorder(fingerprint) {
+            if update.added_information
+                && update.after != Standing::Clear
+                && self.is_recorder(fingerprint)
+            {
                 self.pipeline.changed_suspects().add(fingerprint);
             }
         }
--- a/crates/serving/src/pipeline/probe.rs
+++ b/crates/serving/src/pipeline/probe.rs
@@ -74,7 +74,11 @@
                     }
                     CheckEnd::Unwell => {}
                 }
-                match pipeline.placement().health.record_failed_check(&back_end.id) {
+                match pipeline
+                    .placement()
+                    .health
+                    .record_failed_check(&back_end.id)
+                {
                     Some(next) => pause = pipeline.spread(next),
                     None => return,
                 }
@@ -95,7 +99,11 @@
         if self.placement().is_closed(back_end, now()) {
             return;
         }
-        if !self.placement().health.note_peer_ejection(&back_end.id, now()) {
+        if !self
+            .placement()
+            .health
+            .note_peer_ejection(&back_end.id, now())
+        {
             return;
         }
         let pipeline = Arc::clone(self);
--- a/crates/serving/src/pipeline/quarantining.rs
+++ b/crates/serving/src/pipeline/quarantining.rs
@@ -13,7 +13,12 @@
 use crate::time::now;
 
 impl Pipeline {
-    pub(super) fn record_lost_run(&self, job: &Job, engine: &Arc<BackEnd>, begun: Instant) -> Update {
+    pub(super) fn record_lost_run(
+        &self,
+        job: &Job,
+        engine: &Arc<BackEnd>,
+        begun: Instant,
+    ) -> Update {
         let run = LostRun {
             engine: Arc::clone(&engine.id),
             begun,
--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -77,9 +77,9 @@
     /// Returns whether the store holds it now.
     async fn file(&self, unstored: &UnstoredQuarantine) -> bool {
         let fingerprint = unstored.fingerprint;
-        let filing = self
-            .store
-            .file_quarantine(fingerprint, &unstored.engines, QUARANTINE_DURATION);
+        let filing =
+            self.store
+                .file_quarantine(fingerprint, &unstored.engines, QUARANTINE_DURATION);
         match filing.await {
             Ok(()) => {
                 tracing::warn!(
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -54,7 +54,11 @@
 impl UsageRecorder {
     /// Nothing counted yet.
     #[must_use]
-    pub fn new(clock: Arc<dyn Clock>, instance: DaemonInstance, window_length: Duration) -> Arc<Self> {
+    pub fn new(
+        clock: Arc<dyn Clock>,
+        instance: DaemonInstance,
+        window_length: Duration,
+    ) -> Arc<Self> {
         Arc::new(Self {
             clock,
             instance,
