--- a/crates/serving/src/quarantine.rs
+++ b/crates/serving/src/quarantine.rs
@@ -78,9 +78,9 @@
     /// Returns whether the store holds the quarantine now.
     async fn write_quarantine(&self, unstored: &UnstoredQuarantine) -> bool {
         let fingerprint = unstored.fingerprint;
-        let filing = self
-            .store
-            .file_quarantine(fingerprint, &unstored.engines, QUARANTINE_DURATION);
+        let filing =
+            self.store
+                .file_quarantine(fingerprint, &unstored.engines, QUARANTINE_DURATION);
         match filing.await {
             Ok(()) => {
                 tracing::warn!(
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -57,7 +57,11 @@
 impl UsageRecorder {
     /// Creates a recorder without any counts.
     #[must_use]
-    pub fn new(clock: Arc<dyn Clock>, instance: DaemonInstance, window_length: Duration) -> Arc<Self> {
+    pub fn new(
+        clock: Arc<dyn Clock>,
+        instance: DaemonInstance,
+        window_length: Duration,
+    ) -> Arc<Self> {
         Arc::new(Self {
             clock,
             instance,
