--- a/crates/serving/src/pipeline/intake.rs
+++ b/crates/serving/src/pipeline/intake.rs
@@ -295,7 +295,7 @@
     let time = deadline.saturating_duration_since(now());
     match body::read_all(body, limit, time).await {
         Ok(bytes) => Ok(bytes),
-        Err(ReadError::TooLarge { .. }) => Err(Failure::TooLarge),
+        Err(ReadError::TooLarge { .. }) => Err(Failure::BodyTooLarge),
         Err(_) => Err(Failure::BodyTooSlow),
     }
 }
