--- a/crates/serving/src/capacity.rs
+++ b/crates/serving/src/capacity.rs
@@ -124,7 +124,13 @@
         let work = work.into_iter().find(|(name, _work)| *name == service.name);
         let planner = self.planners.entry(Arc::clone(&service.name)).or_default();
         let work = work.map(|(_name, work)| work);
-        planner.observe(work, present, autoscaling, self.dependencies.settings, now());
+        planner.observe(
+            work,
+            present,
+            autoscaling,
+            self.dependencies.settings,
+            now(),
+        );
     }
 
     /// Orders engines where the current counts differ from the plan.
@@ -204,7 +210,11 @@
             contract: target.contract,
             count,
         };
-        let result = self.dependencies.provider.order_engines(&caller, &order).await;
+        let result = self
+            .dependencies
+            .provider
+            .order_engines(&caller, &order)
+            .await;
         tracing::info!(
             service = &*target.service,
             zone = &*target.zone,
--- a/crates/serving/src/fleet_state/fleet_view.rs
+++ b/crates/serving/src/fleet_state/fleet_view.rs
@@ -117,7 +117,13 @@
     }
 
     /// Applies a decoded item that is newer than the known item of the same key.
-    pub(super) fn apply(&mut self, decoded: Decoded, item: &Item, source: UpdateSource, now: Instant) {
+    pub(super) fn apply(
+        &mut self,
+        decoded: Decoded,
+        item: &Item,
+        source: UpdateSource,
+        now: Instant,
+    ) {
         let revision = item.revision;
         match decoded {
             Decoded::Configuration(configuration) => {
@@ -295,7 +301,13 @@
         }
     }
 
-    fn apply_back_end(&mut self, back_end: BackEnd, item: &Item, source: UpdateSource, now: Instant) {
+    fn apply_back_end(
+        &mut self,
+        back_end: BackEnd,
+        item: &Item,
+        source: UpdateSource,
+        now: Instant,
+    ) {
         let revision = item.revision;
         let known = self.directory.get(&back_end.id);
         let changed = known.map_or(!self.is_first_reading(), |known| {
@@ -330,7 +342,13 @@
         }
     }
 
-    fn remove_back_end(&mut self, id: &str, revision: Revision, source: UpdateSource, now: Instant) {
+    fn remove_back_end(
+        &mut self,
+        id: &str,
+        revision: Revision,
+        source: UpdateSource,
+        now: Instant,
+    ) {
         let in_doubt = self.is_in_doubt(now);
         tracing::info!(
             back_end = id,
--- a/crates/serving/src/fleet_state/known_era.rs
+++ b/crates/serving/src/fleet_state/known_era.rs
@@ -58,7 +58,8 @@
     /// Records an era named by a peer, unless the store refuted such a claim recently.
     pub(super) fn observe_from_peer(&self, era: Era, now: Instant) {
         let refuted_at = self.times().refuted_at;
-        let is_refuted = refuted_at.is_some_and(|at| now.saturating_duration_since(at) < REFUTATION_PERIOD);
+        let is_refuted =
+            refuted_at.is_some_and(|at| now.saturating_duration_since(at) < REFUTATION_PERIOD);
         if !is_refuted {
             self.raise(era, "peer", now);
         }
--- a/crates/serving/src/fleet_state/retained.rs
+++ b/crates/serving/src/fleet_state/retained.rs
@@ -67,9 +67,12 @@
             return false;
         }
         let has_changed = match decoded {
-            Decoded::Configuration(configuration) => {
-                self.apply_configuration(*configuration, item.revision, super::UpdateSource::Peer, now)
-            }
+            Decoded::Configuration(configuration) => self.apply_configuration(
+                *configuration,
+                item.revision,
+                super::UpdateSource::Peer,
+                now,
+            ),
             Decoded::BackEnd(back_end, _warmth) => self.directory.put_over_copy(back_end),
             Decoded::BackEndRemoved(id) => self.remove_over_copy(&id, now),
             _ => false,
--- a/crates/serving/src/follow.rs
+++ b/crates/serving/src/follow.rs
@@ -21,10 +21,10 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::fleet_state::{FleetState, UpdateSource, daemon_identity};
+use crate::full_read::FullRead;
 use crate::metrics::Metrics;
 use crate::store::{Changes, Consistency, FleetStore, StoreError};
 use crate::time::{self, now};
-use crate::full_read::FullRead;
 use announcer::Announcer;
 pub(crate) use announcer::MISSING_KEY_GRACE;
 use distributor_list::DistributorList;
@@ -165,7 +165,11 @@
     runtime.spawner.spawn(Box::pin(follower.run()));
     let announcer = Announcer::new(store, state, metrics, runtime.seed);
     runtime.spawner.spawn(Box::pin(announcer.run()));
-    let era_watcher = watch_store_era(Arc::clone(store), Arc::clone(state), Arc::clone(follow_status));
+    let era_watcher = watch_store_era(
+        Arc::clone(store),
+        Arc::clone(state),
+        Arc::clone(follow_status),
+    );
     runtime.spawner.spawn(Box::pin(era_watcher));
     let distributor_list = DistributorList::new(store, state);
     runtime.spawner.spawn(Box::pin(distributor_list.run()));
@@ -173,7 +177,11 @@
 
 /// Passes each new era that any answer of the store names to the state, so that all keys are read
 /// again.
-async fn watch_store_era(store: Arc<dyn FleetStore>, state: Arc<FleetState>, follow_status: Arc<FollowStatus>) {
+async fn watch_store_era(
+    store: Arc<dyn FleetStore>,
+    state: Arc<FleetState>,
+    follow_status: Arc<FollowStatus>,
+) {
     let mut era = store.era();
     loop {
         let era_seen = *era.borrow_and_update();
@@ -259,7 +267,13 @@
         };
         self.retry_delay = (self.retry_delay * 2).min(maximum);
         // Retry both after the delay and after a notification.
-        drop(tokio::time::timeout(retry_delay, self.follow_status.neighbour_has_contact.notified()).await);
+        drop(
+            tokio::time::timeout(
+                retry_delay,
+                self.follow_status.neighbour_has_contact.notified(),
+            )
+            .await,
+        );
     }
 
     /// Logs when this daemon starts or stops relying on its neighbours.
@@ -270,7 +284,10 @@
         self.relies_on_neighbours = relies_on_neighbours;
         let position = self.state.position();
         if relies_on_neighbours {
-            tracing::info!(position = position.map(display), "store_followed_by_neighbours");
+            tracing::info!(
+                position = position.map(display),
+                "store_followed_by_neighbours"
+            );
         } else {
             let follows_for_others = self.state.topology().follows_store;
             tracing::info!(
@@ -312,7 +329,8 @@
         }
         // The changes begin at the current position, which never goes back, so they are always
         // applied.
-        self.state.apply_changes(changes, UpdateSource::Store, now());
+        self.state
+            .apply_changes(changes, UpdateSource::Store, now());
         if has_changes {
             self.follow_status.set_last_answer(Some(now()));
             tokio::time::sleep(self.batching_delay(follows_for_others)).await;
@@ -393,7 +411,8 @@
         if known.is_some() && plan.providers.is_empty() {
             // The peer that announced the new era has read it, while the store may reject this
             // machine's calls, whether or not this daemon follows it for others.
-            plan.providers.extend(lock(&self.follow_status.peer_ahead).take());
+            plan.providers
+                .extend(lock(&self.follow_status.peer_ahead).take());
             plan.patience = DISTRIBUTOR_PATIENCE;
         }
         reading.require_newer_than(known);
--- a/crates/serving/src/follow/distributor_list.rs
+++ b/crates/serving/src/follow/distributor_list.rs
@@ -52,7 +52,9 @@
         let zone = &self.state.own().zone;
         let era = self.state.era().newest();
         // A list that was written may be lost if the store was restored from a backup.
-        let mut written = self.written.take_if(|(written_in, _list)| *written_in == era);
+        let mut written = self
+            .written
+            .take_if(|(written_in, _list)| *written_in == era);
         if written.is_none() {
             written = Some((era, self.store.read_distributors(zone).await?));
         }
--- a/crates/serving/src/full_read.rs
+++ b/crates/serving/src/full_read.rs
@@ -47,7 +47,9 @@
         "a page does not continue after the requested key; another peer, or the store, is read"
     )]
     OutOfOrder,
-    #[error("a page belongs to another era of the store than those before it; all pages are read again")]
+    #[error(
+        "a page belongs to another era of the store than those before it; all pages are read again"
+    )]
     EraMismatch,
 }
 
--- a/crates/serving/src/leader.rs
+++ b/crates/serving/src/leader.rs
@@ -164,7 +164,8 @@
     /// Waits for the candidacy delay. Returns whether this daemon should then try to become the
     /// leader.
     async fn wait_for_candidacy(&mut self) -> bool {
-        let delay = MAX_CANDIDACY_DELAY.mul_f64(self.random.random_range(MIN_CANDIDACY_DELAY_FRACTION..1.0));
+        let delay = MAX_CANDIDACY_DELAY
+            .mul_f64(self.random.random_range(MIN_CANDIDACY_DELAY_FRACTION..1.0));
         tokio::time::sleep(delay).await;
         if !self.needs_leader() {
             return false;
@@ -187,7 +188,10 @@
     async fn acquire_lease(&self) -> Result<(Lease, Tenure), StoreError> {
         let asked = now();
         let lease = self.store.grant(self.settings.lease).await?;
-        let acquired = self.store.acquire_leadership(&self.settings.holder, lease).await;
+        let acquired = self
+            .store
+            .acquire_leadership(&self.settings.holder, lease)
+            .await;
         let fencing_token = match acquired {
             Ok(revision) => revision.as_token(),
             Err(error) => {
--- a/crates/serving/src/orders/engine_calls.rs
+++ b/crates/serving/src/orders/engine_calls.rs
@@ -58,7 +58,11 @@
             .flatten()
     }
 
-    pub(super) async fn order(&self, engine: &Arc<BackEnd>, facts: &OrderFacts<'_>) -> OrderOutcome {
+    pub(super) async fn order(
+        &self,
+        engine: &Arc<BackEnd>,
+        facts: &OrderFacts<'_>,
+    ) -> OrderOutcome {
         let Some(request) = self.build_request(engine, facts) else {
             return OrderOutcome::NotSent;
         };
--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -31,7 +31,7 @@
 use crate::pipeline::Pipeline;
 use crate::store::Changes;
 use crate::time::now;
-use message::{UnavailableEngineRow, PrefixRow, LoadReportRow};
+use message::{LoadReportRow, PrefixRow, UnavailableEngineRow};
 use rate_limits::PendingLimit;
 use retained::SeenSets;
 
@@ -88,7 +88,9 @@
     }
     spawner.spawn(Box::pin(Arc::clone(&peers).publish_suspects()));
     spawner.spawn(Box::pin(Arc::clone(&peers).request_rate_limits()));
-    spawner.spawn(Box::pin(Arc::clone(&peers).apply_pending_limits_while_reading()));
+    spawner.spawn(Box::pin(
+        Arc::clone(&peers).apply_pending_limits_while_reading(),
+    ));
     spawner.spawn(Box::pin(Arc::clone(&peers).publish_rate_limits()));
     spawner.spawn(Box::pin(Arc::clone(&peers).deposit_retries()));
     spawner.spawn(Box::pin(peers.receive()));
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -12,9 +12,10 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::mpsc;
 
-use super::message::{self, Digest, Message, LoadReportRow};
+use super::message::{self, Digest, LoadReportRow, Message};
 use super::translate::{
-    unavailable_to_wire, prefix_to_wire, prefill_timing_to_wire, result_to_wire, load_row_to_wire, work_to_wire,
+    load_row_to_wire, prefill_timing_to_wire, prefix_to_wire, result_to_wire, unavailable_to_wire,
+    work_to_wire,
 };
 use super::{Forwarded, Peers};
 use crate::back_end_index::hash;
--- a/crates/serving/src/peers/queries.rs
+++ b/crates/serving/src/peers/queries.rs
@@ -13,7 +13,7 @@
 use ponddrift_fleet::revision::Revision;
 use ponddrift_fleet::usage::{TallyOf, TenantCounts, WindowNumber};
 
-use crate::fleet_state::{FleetState, ChangesAnswer};
+use crate::fleet_state::{ChangesAnswer, FleetState};
 use crate::pipeline::Pipeline;
 use crate::store::Page;
 use crate::time::{self, now};
--- a/crates/serving/src/peers/rate_limits.rs
+++ b/crates/serving/src/peers/rate_limits.rs
@@ -175,7 +175,12 @@
 
     /// Merges limits received from a peer. If the peer asks for it, replies with what the peer
     /// lacks: it may have started recently or missed datagrams.
-    pub(super) async fn receive_rate_limits(&self, rows: &[RateRow], wants_more: bool, from: SocketAddr) {
+    pub(super) async fn receive_rate_limits(
+        &self,
+        rows: &[RateRow],
+        wants_more: bool,
+        from: SocketAddr,
+    ) {
         let index = self.state.back_end_index();
         let is_of_other_zone = !self.is_neighbour(from);
         let mut missing_there = Vec::new();
--- a/crates/serving/src/peers/receive.rs
+++ b/crates/serving/src/peers/receive.rs
@@ -11,15 +11,15 @@
 
 use super::message::{self, Digest, MAX_DATAGRAM_BYTES, Message};
 use super::translate::{
-    deposits_from_wire, prefix_from_wire, prefill_timing_from_wire, report_from_wire, results_from_wire,
-    work_from_wire,
+    deposits_from_wire, prefill_timing_from_wire, prefix_from_wire, report_from_wire,
+    results_from_wire, work_from_wire,
 };
 use super::{Peers, queries};
 use crate::back_end_index::BackEndIndex;
 use crate::fleet_state::{ChangesAnswer, UpdateSource};
+use crate::full_read::FullRead;
 use crate::store::{Changes, Consistency};
 use crate::time::now;
-use crate::full_read::FullRead;
 
 /// Delay before the next attempt after the socket failed.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(500);
--- a/crates/serving/src/peers/retained.rs
+++ b/crates/serving/src/peers/retained.rs
@@ -49,7 +49,8 @@
     /// Fetches the items that a peer retains, unless they are known or this daemon cannot apply
     /// them yet.
     pub(super) fn observe_retained(self: &Arc<Self>, items_hash: u64, from: SocketAddr) {
-        let is_known = self.state.retained_hash() == Some(items_hash) || self.seen_sets().contains(items_hash);
+        let is_known =
+            self.state.retained_hash() == Some(items_hash) || self.seen_sets().contains(items_hash);
         let can_apply = self.state.position().is_some() && !self.state.is_of_earlier_era();
         if is_known || !can_apply || self.is_fetching_retained.swap(true, Ordering::Relaxed) {
             return;
--- a/crates/serving/src/peers/suspects.rs
+++ b/crates/serving/src/peers/suspects.rs
@@ -57,7 +57,9 @@
             let due = due
                 .into_iter()
                 .map(|(_at, fingerprint)| (fingerprint, false));
-            let new_changes = new_changes.into_iter().map(|fingerprint| (fingerprint, true));
+            let new_changes = new_changes
+                .into_iter()
+                .map(|fingerprint| (fingerprint, true));
             self.publish_requests(due.chain(new_changes)).await;
         }
     }
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -14,15 +14,19 @@
 use ponddrift_fleet::stages::StageWork;
 
 use super::message::{
-    UnavailableEngineRow, BackEndLoadRow, DepositsRow, PrefixRow, LostRunRow, NamedRateRow, RateRow, PrefillTimingRow,
-    LoadReportRow, ResultRow, ServiceWorkRow, SuspectRow, TOKENS_PER_UNIT,
+    BackEndLoadRow, DepositsRow, LoadReportRow, LostRunRow, NamedRateRow, PrefillTimingRow,
+    PrefixRow, RateRow, ResultRow, ServiceWorkRow, SuspectRow, TOKENS_PER_UNIT,
+    UnavailableEngineRow,
 };
 use crate::back_end_index::{BackEndIndex, hash};
 
 /// Milliseconds per second.
 const MS_PER_S: f64 = 1000.0;
 
-#[expect(clippy::cast_possible_truncation, reason = "the number of retries is small")]
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "the number of retries is small"
+)]
 pub(super) fn deposits_to_wire(deposits: &Deposits) -> DepositsRow {
     let retries = deposits.repeats.iter();
     DepositsRow {
--- a/crates/serving/src/store.rs
+++ b/crates/serving/src/store.rs
@@ -171,7 +171,10 @@
     fn revoke(&self, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
     /// Finds the lease under which the store holds this daemon's key with exactly the current
     /// value. Returns `None` if there is none. The answer may be a few seconds out of date.
-    fn find_announcement_lease(&self, daemon: &Member) -> BoxFuture<'_, Result<Option<Lease>, StoreError>>;
+    fn find_announcement_lease(
+        &self,
+        daemon: &Member,
+    ) -> BoxFuture<'_, Result<Option<Lease>, StoreError>>;
     /// Writes the daemon's key under its lease.
     fn announce(&self, daemon: &Member, lease: Lease) -> BoxFuture<'_, Result<(), StoreError>>;
     /// Reads which daemons of a zone serve the full contents of the store to others; empty if no
@@ -186,7 +189,11 @@
     ) -> BoxFuture<'a, Result<(), StoreError>>;
     /// Writes the leader's key under its lease if no leader exists. Returns the revision of the
     /// write, which increases with each leader.
-    fn acquire_leadership(&self, holder: &str, lease: Lease) -> BoxFuture<'_, Result<Revision, StoreError>>;
+    fn acquire_leadership(
+        &self,
+        holder: &str,
+        lease: Lease,
+    ) -> BoxFuture<'_, Result<Revision, StoreError>>;
     /// Writes the usage figures of a window once. If figures were written before, they are left
     /// unchanged and returned. Fails with [`StoreError::Conflict`] if the window is so old that its
     /// place in the store was reused for a later one.
--- a/crates/serving/src/usage.rs
+++ b/crates/serving/src/usage.rs
@@ -242,7 +242,8 @@
             self.unsent
                 .retain(|(window, _tenant)| *window != closed_window.window);
         }
-        self.closed_windows.retain(|closed_window| closed_window.sends_left > 0);
+        self.closed_windows
+            .retain(|closed_window| closed_window.sends_left > 0);
         closed
     }
 
--- a/crates/serving/src/usage/report.rs
+++ b/crates/serving/src/usage/report.rs
@@ -350,7 +350,10 @@
         self.dependencies.metrics.usage_report(result_name(&result));
         match result {
             Ok(()) => return StepOutcome::Reported,
-            Err(ProviderError::Fenced) => self.dependencies.leadership.report_fenced_off(fencing_token),
+            Err(ProviderError::Fenced) => self
+                .dependencies
+                .leadership
+                .report_fenced_off(fencing_token),
             Err(_error) => {}
         }
         progress.schedule_retry();
