--- a/crates/serve/src/daemon.rs
+++ b/crates/serve/src/daemon.rs
@@ -48,7 +48,8 @@
     /// # Errors
     /// When a listen address cannot be bound. A failure to bind `listen.metrics` is only logged.
     pub async fn start(runtime: &Runtime, settings: Settings) -> Result<Self> {
-        let store: Arc<dyn FleetStore> = Arc::new(PlatformStore::new(runtime, settings.store_address));
+        let store: Arc<dyn FleetStore> =
+            Arc::new(PlatformStore::new(runtime, settings.store_address));
         let own_member = Member {
             name: Arc::clone(&settings.name),
             zone: Arc::clone(&settings.zone),
@@ -78,9 +79,10 @@
             Arc::clone(&metrics),
             &pipeline_settings,
         );
-        let readiness_server = front::serve_status(runtime, settings.readiness_address, &pipeline, &metrics)
-            .await
-            .wrap_err("cannot bind listen.readiness: is another process using this address?")?;
+        let readiness_server =
+            front::serve_status(runtime, settings.readiness_address, &pipeline, &metrics)
+                .await
+                .wrap_err("cannot bind listen.readiness: is another process using this address?")?;
         let metrics_server = match settings.metrics_address {
             Some(address) => serve_metrics(runtime, address, &pipeline, &metrics).await,
             None => None,
@@ -238,7 +240,11 @@
     provider: Arc<dyn Provider>,
 }
 
-fn start_provider_tasks(runtime: &Runtime, settings: &Settings, dependencies: &ProviderTaskDependencies) {
+fn start_provider_tasks(
+    runtime: &Runtime,
+    settings: &Settings,
+    dependencies: &ProviderTaskDependencies,
+) {
     if let (Some(usage), Some(usage_recorder)) = (settings.usage, &dependencies.usage_recorder) {
         let report_settings = ReportSettings {
             holder: Arc::clone(&settings.name),
--- a/crates/serve/src/logging.rs
+++ b/crates/serve/src/logging.rs
@@ -25,7 +25,10 @@
 impl LogGuard {
     /// Number of lines dropped because the reader of standard output was slow.
     pub fn dropped_lines(&self) -> usize {
-        self.dropped_counters.iter().map(ErrorCounter::dropped_lines).sum()
+        self.dropped_counters
+            .iter()
+            .map(ErrorCounter::dropped_lines)
+            .sum()
     }
 }
 
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -124,8 +124,10 @@
     );
     let zone = required_text(&mut reader, "daemon.zone", "the name of the zone");
     let is_first_start = reader.flag("daemon.first_start", false);
-    let callers_address = socket_address(&mut reader, "listen.callers").unwrap_or(unspecified_address);
-    let readiness_address = socket_address(&mut reader, "listen.readiness").unwrap_or(unspecified_address);
+    let callers_address =
+        socket_address(&mut reader, "listen.callers").unwrap_or(unspecified_address);
+    let readiness_address =
+        socket_address(&mut reader, "listen.readiness").unwrap_or(unspecified_address);
     let peers_address = socket_address(&mut reader, "listen.peers").unwrap_or(unspecified_address);
     let metrics_address = reader
         .has("listen.metrics")
@@ -140,8 +142,16 @@
         slack: reader.fraction("retry.budget_slack", 10.0, 0.0..=100_000.0),
     };
     let intake_bounds = IntakeBounds {
-        requests: saturating_usize(reader.number("limits.requests_in_progress", 2_000, 1..=1_000_000)),
-        body_bytes: saturating_usize(reader.number("limits.held_body_bytes", 64 << 20, 1 << 16..=1 << 40)),
+        requests: saturating_usize(reader.number(
+            "limits.requests_in_progress",
+            2_000,
+            1..=1_000_000,
+        )),
+        body_bytes: saturating_usize(reader.number(
+            "limits.held_body_bytes",
+            64 << 20,
+            1 << 16..=1 << 40,
+        )),
     };
     let leader_lease = reader.milliseconds("leader.lease_ms", 3_000, 1_000..=HOUR_MS);
     let fencing = fencing(&mut reader);
@@ -156,7 +166,9 @@
             "names separated by commas",
         )
         .unwrap_or_default();
-    let is_accepted_call = |call| provider_address.is_some() && accepted_calls.split(',').any(|name| name.trim() == call);
+    let is_accepted_call = |call| {
+        provider_address.is_some() && accepted_calls.split(',').any(|name| name.trim() == call)
+    };
     let usage = usage_settings(&mut reader, is_accepted_call(USAGE_REPORT_CALL));
     let capacity = capacity_settings(&mut reader, is_accepted_call(AUTOSCALE_CALL));
     let stop = stop_settings(&mut reader);
@@ -167,7 +179,8 @@
             "a log filter such as info",
         )
         .unwrap_or_default();
-    let log_buffered_lines = saturating_usize(reader.number("log.lines_waiting", 8_192, 16..=1_000_000));
+    let log_buffered_lines =
+        saturating_usize(reader.number("log.lines_waiting", 8_192, 16..=1_000_000));
     reader.finish()?;
     Ok(Settings {
         name: Arc::from(name),
--- a/crates/serve/tests/announcements.rs
+++ b/crates/serve/tests/announcements.rs
@@ -81,7 +81,10 @@
     let is_during_backoff = |arrival: &Arrival| {
         arrivals.iter().any(|announcement| {
             let elapsed = arrival.at.saturating_duration_since(announcement.at);
-            announcement.sent_to_rest && announcement.from == arrival.from && elapsed > IN_FLIGHT_TIME && elapsed < backoff
+            announcement.sent_to_rest
+                && announcement.from == arrival.from
+                && elapsed > IN_FLIGHT_TIME
+                && elapsed < backoff
         })
     };
     arrivals
@@ -108,7 +111,10 @@
         draining.say_leaving();
         let pause = Duration::from_millis(20);
         send_requests(&mut fleet, 0, 20, pause, plain_requests("first", "post"));
-        assert!(!draining.arrivals().is_empty(), "it received requests at first");
+        assert!(
+            !draining.arrivals().is_empty(),
+            "it received requests at first"
+        );
         fleet.wait(ANNOUNCEMENT_DELAY);
         let since = virtual_now(&mut fleet);
         let answers = send_requests(&mut fleet, 0, 40, pause, plain_requests("later", "post"));
@@ -133,12 +139,19 @@
         draining.say_leaving();
         let pause = Duration::from_millis(20);
         send_requests(&mut fleet, 0, 20, pause, prompt_requests("first", "tag"));
-        assert!(!draining.arrivals().is_empty(), "it received requests at first");
+        assert!(
+            !draining.arrivals().is_empty(),
+            "it received requests at first"
+        );
         fleet.wait(ANNOUNCEMENT_DELAY);
         let since = virtual_now(&mut fleet);
         let answers = send_requests(&mut fleet, 0, 40, pause, prompt_requests("later", "tag"));
         assert!(all_served(&answers), "another back end serves");
-        assert_eq!(arrivals_since(&draining, since), [], "prefill engine: {is_prefill}");
+        assert_eq!(
+            arrivals_since(&draining, since),
+            [],
+            "prefill engine: {is_prefill}"
+        );
     }
 }
 
@@ -155,7 +168,10 @@
     let pause = Duration::from_millis(30);
     let answers = send_requests(&mut fleet, 0, 150, pause, plain_requests("ask", "fetch"));
     for engine in &fleet.records[..2] {
-        assert!(!engine.arrivals().is_empty(), "it received requests at first");
+        assert!(
+            !engine.arrivals().is_empty(),
+            "it received requests at first"
+        );
         assert_eq!(arrivals_during_backoff(engine, BACKOFF), 0);
     }
     assert!(all_served(&answers), "the two other back ends serve");
@@ -176,7 +192,10 @@
     let pause = Duration::from_millis(30);
     let answers = send_requests(&mut fleet, 0, 150, pause, prompt_requests("ask", "tag"));
     for engine in &backing_off {
-        assert!(!engine.arrivals().is_empty(), "it received requests at first");
+        assert!(
+            !engine.arrivals().is_empty(),
+            "it received requests at first"
+        );
         assert_eq!(arrivals_during_backoff(engine, BACKOFF), 0);
     }
     assert!(all_served(&answers), "the other engines serve");
@@ -185,7 +204,11 @@
 /// Sends rounds of prompts, one to each daemon. Returns the round of each request that failed.
 fn failed_rounds(fleet: &mut Fleet, rounds: u32, pause: Duration) -> Vec<u32> {
     let client = fleet.client.clone();
-    let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
+    let targets: Vec<SocketAddr> = fleet
+        .daemons
+        .iter()
+        .map(|daemon| daemon.callers_address)
+        .collect();
     fleet.run(async move {
         let mut asked = Vec::new();
         for round in 0..rounds {
@@ -264,7 +287,10 @@
             );
         }
         let arrivals_after: usize = engines.iter().map(|engine| engine.arrivals().len()).sum();
-        assert_eq!(arrivals_after, arrivals_before, "{route}: no request during the backoff");
+        assert_eq!(
+            arrivals_after, arrivals_before,
+            "{route}: no request during the backoff"
+        );
         for engine in &engines {
             engine.behave_well();
         }
@@ -301,7 +327,10 @@
     fleet.records[1].vanish(&fleet.store);
     fleet.wait(Duration::from_millis(50));
     let answers = send_requests(&mut fleet, 0, 20, pause, plain_requests("again", "post"));
-    assert!(all_served(&answers), "it has restarted and is the only back end");
+    assert!(
+        all_served(&answers),
+        "it has restarted and is the only back end"
+    );
 }
 
 #[test]
@@ -318,7 +347,10 @@
     let pause = Duration::from_millis(50);
     send_requests(&mut fleet, 0, 40, pause, prompt_requests("ask", "tag"));
     let asked = arrivals_since(&engine, since).len();
-    assert!(asked > 2, "it named no valid backoff, so it is tried again soon");
+    assert!(
+        asked > 2,
+        "it named no valid backoff, so it is tried again soon"
+    );
 }
 
 /// The chosen decode engine may start to drain while the prompt is prefilled, which takes seconds.
@@ -342,9 +374,16 @@
         });
         answer.expect("a response, not a closed connection")
     });
-    assert!(!prefill_engine.arrivals().is_empty(), "the prompt was prefilled separately");
+    assert!(
+        !prefill_engine.arrivals().is_empty(),
+        "the prompt was prefilled separately"
+    );
     assert_eq!(decode_engine.arrivals(), []);
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     fleet.wait(Duration::from_millis(100));
-    assert_eq!(prefill_engine.freed_handles().len(), 1, "its handle is freed");
+    assert_eq!(
+        prefill_engine.freed_handles().len(),
+        1,
+        "its handle is freed"
+    );
 }
--- a/crates/serve/tests/capacity.rs
+++ b/crates/serve/tests/capacity.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ponddrift_platform_stand_ins::{EngineOrderNote, EngineStandIn, ProviderMode};
-use support::{Fleet, MODELS, FleetOptions, configuration, routes};
+use support::{Fleet, FleetOptions, MODELS, configuration, routes};
 
 const OPTIONS: FleetOptions = FleetOptions {
     daemons: 3,
@@ -29,7 +29,9 @@
 fn configuration_with_autoscaling(version: u64) -> String {
     let text = configuration(version, &routes());
     let mut value: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
-    let services = value["services"].as_array_mut().expect("a list of services");
+    let services = value["services"]
+        .as_array_mut()
+        .expect("a list of services");
     let model_service = services
         .iter_mut()
         .find(|service| service["name"] == MODELS);
@@ -53,7 +55,9 @@
             engines.push(engine);
         }
     }
-    fleet.store.put("op/config", configuration_with_autoscaling(1));
+    fleet
+        .store
+        .put("op/config", configuration_with_autoscaling(1));
     (fleet, engines)
 }
 
@@ -83,7 +87,11 @@
     let (mut fleet, _engines) = fleet(OPTIONS);
     fleet.wait(Duration::from_secs(8));
     for zone in ZONES {
-        assert_eq!(newest_order_count(&fleet, zone, true), Some(SPOT_PER_ZONE), "zone {zone}");
+        assert_eq!(
+            newest_order_count(&fleet, zone, true),
+            Some(SPOT_PER_ZONE),
+            "zone {zone}"
+        );
     }
     assert!(
         engine_orders_of_kind(&fleet, false).is_empty(),
@@ -92,7 +100,11 @@
     add_ordered_spot_engines(&mut fleet);
     fleet.wait(Duration::from_secs(2));
     for zone in ZONES {
-        assert_eq!(newest_order_count(&fleet, zone, false), Some(1), "zone {zone}");
+        assert_eq!(
+            newest_order_count(&fleet, zone, false),
+            Some(1),
+            "zone {zone}"
+        );
     }
     let engine_orders = fleet.provider.engine_orders();
     assert!(
@@ -119,10 +131,17 @@
         "{} in 14 s",
         refused.len()
     );
-    assert!(engine_orders_of_kind(&fleet, false).is_empty(), "all on-demand engines are kept");
+    assert!(
+        engine_orders_of_kind(&fleet, false).is_empty(),
+        "all on-demand engines are kept"
+    );
     fleet.provider.set_spot_unavailable(false);
     fleet.wait(Duration::from_secs(3));
-    assert!(engine_orders_of_kind(&fleet, true).iter().any(|order| order.taken));
+    assert!(
+        engine_orders_of_kind(&fleet, true)
+            .iter()
+            .any(|order| order.taken)
+    );
 }
 
 #[test]
@@ -132,7 +151,12 @@
     fleet.wait(Duration::from_secs(12));
     let repeated_orders = engine_orders_of_kind(&fleet, true);
     assert!(repeated_orders.len() > 2, "the order is repeated");
-    assert!(repeated_orders.iter().all(|order| order.count == SPOT_PER_ZONE), "{repeated_orders:?}");
+    assert!(
+        repeated_orders
+            .iter()
+            .all(|order| order.count == SPOT_PER_ZONE),
+        "{repeated_orders:?}"
+    );
 }
 
 #[test]
@@ -162,7 +186,8 @@
 }
 
 #[test]
-fn nothing_is_ordered_where_the_provider_takes_no_orders_or_the_configuration_sets_no_autoscaling() {
+fn nothing_is_ordered_where_the_provider_takes_no_orders_or_the_configuration_sets_no_autoscaling()
+{
     let (mut fleet, _engines) = fleet(FleetOptions {
         orders_engines: false,
         ..OPTIONS
--- a/crates/serve/tests/crashing_requests.rs
+++ b/crates/serve/tests/crashing_requests.rs
@@ -91,7 +91,11 @@
         engines,
         RESTART_DELAY,
     );
-    let targets: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
+    let targets: Vec<_> = fleet
+        .daemons
+        .iter()
+        .map(|daemon| daemon.callers_address)
+        .collect();
     let calls: FuturesUnordered<_> = (0..repetitions.count)
         .map(|number| {
             let client = fleet.client.clone();
@@ -269,7 +273,8 @@
 }
 
 #[test]
-fn a_quarantine_stays_in_force_and_is_stored_again_after_the_store_is_restored_from_an_older_copy() {
+fn a_quarantine_stays_in_force_and_is_stored_again_after_the_store_is_restored_from_an_older_copy()
+{
     let mut fleet = crashing_fleet(fleet_options());
     fleet.store.name_era(1);
     fleet.wait(Duration::from_secs(1));
@@ -355,7 +360,11 @@
         ..harmless_request(number)
     };
     let client = fleet.client.clone();
-    let targets: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
+    let targets: Vec<_> = fleet
+        .daemons
+        .iter()
+        .map(|daemon| daemon.callers_address)
+        .collect();
     let calls: FuturesUnordered<_> = (0..12)
         .map(|number| {
             let client = client.clone();
@@ -385,7 +394,9 @@
         count: 8,
         interval: Duration::from_millis(50),
     };
-    let answers = send_repeatedly(&mut fleet, repetitions, |number| popular_request(100 + number));
+    let answers = send_repeatedly(&mut fleet, repetitions, |number| {
+        popular_request(100 + number)
+    });
     let statuses: Vec<StatusCode> = answers.iter().map(|answer| answer.status).collect();
     assert_eq!(statuses, [StatusCode::OK; 8]);
 }
@@ -425,7 +436,9 @@
         count: 8,
         interval: Duration::from_millis(50),
     };
-    let answers = send_repeatedly(&mut fleet, repetitions, |number| popular_request(100 + number));
+    let answers = send_repeatedly(&mut fleet, repetitions, |number| {
+        popular_request(100 + number)
+    });
     let statuses: Vec<StatusCode> = answers.iter().map(|answer| answer.status).collect();
     assert_eq!(statuses, [StatusCode::OK; 8]);
 }
--- a/crates/serve/tests/fleet_changes.rs
+++ b/crates/serve/tests/fleet_changes.rs
@@ -45,7 +45,10 @@
             );
             assert_eq!(answer.status, StatusCode::OK);
         }
-        assert!(fleet.records[0].runs().is_empty(), "draining entry: {is_draining}");
+        assert!(
+            fleet.records[0].runs().is_empty(),
+            "draining entry: {is_draining}"
+        );
     }
 }
 
@@ -122,7 +125,8 @@
     fleet.configure(2, &remaining_routes);
     fleet.records[0].record(&fleet.store, "draining");
     fleet.wait(Duration::from_millis(1_900));
-    let removed_route = ask_at(&mut fleet, 1, &ClientRequest::plain("1", "fetch")).expect("a response");
+    let removed_route =
+        ask_at(&mut fleet, 1, &ClientRequest::plain("1", "fetch")).expect("a response");
     assert_eq!(removed_route.status, StatusCode::NOT_FOUND);
     for number in 2..6 {
         let request = ClientRequest::plain(&number.to_string(), "post");
@@ -169,12 +173,13 @@
     let client = fleet.client.clone();
     let answer = fleet.run(async move {
         let request = with_long_deadline(ClientRequest::prompt("1", "verdict", 40, 200));
-        let (response, readiness) = tokio::join!(client.ask(daemon.callers_address, &request), async {
-            sleep(Duration::from_millis(200)).await;
-            daemon.terminate();
-            sleep(Duration::from_millis(20)).await;
-            client.status(daemon.readiness_address, "/readiness").await
-        });
+        let (response, readiness) =
+            tokio::join!(client.ask(daemon.callers_address, &request), async {
+                sleep(Duration::from_millis(200)).await;
+                daemon.terminate();
+                sleep(Duration::from_millis(20)).await;
+                client.status(daemon.readiness_address, "/readiness").await
+            });
         assert_eq!(readiness, Some(StatusCode::SERVICE_UNAVAILABLE));
         wait_until(|| daemon.has_stopped()).await;
         response
@@ -202,12 +207,18 @@
             daemon.terminate();
             sleep(Duration::from_millis(1_000)).await;
             let early_request = ClientRequest::plain("2", "post");
-            let early_response = client.ask(daemon.callers_address, &early_request).await.expect("a response");
+            let early_response = client
+                .ask(daemon.callers_address, &early_request)
+                .await
+                .expect("a response");
             assert_eq!(early_response.status, StatusCode::OK);
             assert_eq!(early_response.headers["connection"], "close");
             sleep(Duration::from_millis(2_500)).await;
             let late_request = ClientRequest::plain("3", "post");
-            let late_response = client.ask(daemon.callers_address, &late_request).await.expect("a response");
+            let late_response = client
+                .ask(daemon.callers_address, &late_request)
+                .await
+                .expect("a response");
             assert_eq!(late_response.status, StatusCode::SERVICE_UNAVAILABLE);
             assert!(late_response.retry_after_s().is_some());
         };
@@ -229,21 +240,35 @@
         };
         // A decode engine also ran a prompt that was prefilled separately, but did not prefill it.
         let mut engines = fleet.prefill.iter().chain(&fleet.decode);
-        engines.find(has_prefilled).expect("an engine that prefilled it").id().to_owned()
+        engines
+            .find(has_prefilled)
+            .expect("an engine that prefilled it")
+            .id()
+            .to_owned()
     };
     let first_engine = {
         ask(&mut fleet, &prompt("1"));
         find_prefilling_engine(&fleet, "1")
     };
     // The first engine drains, and another engine prefills and caches the prefix.
-    let draining_engine = fleet.prefill.iter().find(|engine| engine.id() == first_engine);
-    draining_engine.expect("an engine of this identity").record(&fleet.store, "draining");
+    let draining_engine = fleet
+        .prefill
+        .iter()
+        .find(|engine| engine.id() == first_engine);
+    draining_engine
+        .expect("an engine of this identity")
+        .record(&fleet.store, "draining");
     fleet.wait(Duration::from_millis(100));
     ask(&mut fleet, &prompt("2"));
     let second_engine = find_prefilling_engine(&fleet, "2");
     assert_ne!(second_engine, first_engine);
-    let returning_engine = fleet.prefill.iter().find(|engine| engine.id() == first_engine);
-    returning_engine.expect("an engine of this identity").record(&fleet.store, "ready");
+    let returning_engine = fleet
+        .prefill
+        .iter()
+        .find(|engine| engine.id() == first_engine);
+    returning_engine
+        .expect("an engine of this identity")
+        .record(&fleet.store, "ready");
     let handle = fleet.simulation.handle();
     handle.power_off(fleet.daemons[0].host);
     fleet.wait(Duration::from_millis(200));
@@ -252,7 +277,10 @@
     ask(&mut fleet, &prompt("3"));
     let last_engine = find_prefilling_engine(&fleet, "3");
     // Both engines have the prefix cached; a third one would have to prefill it again.
-    assert!(last_engine == second_engine || last_engine == first_engine, "{last_engine}");
+    assert!(
+        last_engine == second_engine || last_engine == first_engine,
+        "{last_engine}"
+    );
 }
 
 #[test]
@@ -274,7 +302,10 @@
         let is_refused = answer.status == StatusCode::SERVICE_UNAVAILABLE;
         assert!(is_served || is_refused, "{}", answer.status);
     }
-    assert!(other_engine.rejected() > 0, "it received and rejected requests");
+    assert!(
+        other_engine.rejected() > 0,
+        "it received and rejected requests"
+    );
     assert!(other_engine.runs().is_empty());
 }
 
--- a/crates/serve/tests/hostile_peers.rs
+++ b/crates/serve/tests/hostile_peers.rs
@@ -19,10 +19,16 @@
 /// Runs a server that sends a surplus response after each response, after a pause.
 async fn run_surplus_server(runtime: Runtime, pause: Duration) {
     let address = SocketAddr::from((SURPLUS_SERVER_IP, 8080));
-    let listener = runtime.network.listen(address).await.expect("the address is free");
+    let listener = runtime
+        .network
+        .listen(address)
+        .await
+        .expect("the address is free");
     loop {
         let (stream, _peer) = listener.accept().await.expect("the listener is open");
-        runtime.spawner.spawn(Box::pin(serve_with_surplus(stream, pause)));
+        runtime
+            .spawner
+            .spawn(Box::pin(serve_with_surplus(stream, pause)));
     }
 }
 
@@ -90,7 +96,12 @@
                 let own_text = format!("answer to r{number}");
                 let is_own = answer.status == StatusCode::OK && answer.text() == own_text;
                 let is_bad_gateway = answer.status == StatusCode::BAD_GATEWAY;
-                assert!(is_own || is_bad_gateway, "{:?} {}", answer.status, answer.text());
+                assert!(
+                    is_own || is_bad_gateway,
+                    "{:?} {}",
+                    answer.status,
+                    answer.text()
+                );
             }
         });
     }
@@ -99,12 +110,18 @@
 #[test]
 fn random_bytes_from_a_peer_have_no_effect() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
+    let (_host, runtime) = fleet
+        .simulation
+        .add_client(host_spec("stranger", [10, 0, 3, 9]));
     let daemon_peers_address = SocketAddr::from(([10, 0, 2, 1], 7660));
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
         let local_address = SocketAddr::from(([10, 0, 3, 9], 5000));
-        let socket = runtime.network.bind_datagram(local_address).await.expect("the address is free");
+        let socket = runtime
+            .network
+            .bind_datagram(local_address)
+            .await
+            .expect("the address is free");
         let mut random = Pcg64Mcg::seed_from_u64(11);
         for length in 0..600 {
             let mut bytes = vec![0; length];
@@ -115,7 +132,11 @@
             }
             drop(socket.send_to(&bytes, daemon_peers_address).await);
         }
-        let mut stream = runtime.network.connect(daemon_peers_address).await.expect("the daemon listens");
+        let mut stream = runtime
+            .network
+            .connect(daemon_peers_address)
+            .await
+            .expect("the daemon listens");
         drop(stream.write_all(&[7; 3]).await);
         tokio::time::sleep(Duration::from_millis(200)).await;
         let request = ClientRequest::plain("after", "post");
@@ -145,14 +166,22 @@
     fleet.store.name_era(1);
     fleet.wait(Duration::from_secs(2));
     let before = fleet.store.pages_read().len();
-    let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
+    let (_host, runtime) = fleet
+        .simulation
+        .add_client(host_spec("stranger", [10, 0, 3, 9]));
     let daemon = SocketAddr::from(([10, 0, 2, 1], 7660));
     fleet.run(async move {
         let local_address = SocketAddr::from(([10, 0, 3, 9], 5000));
-        let socket = runtime.network.bind_datagram(local_address).await.expect("the address is free");
+        let socket = runtime
+            .network
+            .bind_datagram(local_address)
+            .await
+            .expect("the address is free");
         let future_position = 1 << 50;
         for _ in 0..24 {
-            let sent = socket.send_to(&encode_digest(future_position), daemon).await;
+            let sent = socket
+                .send_to(&encode_digest(future_position), daemon)
+                .await;
             sent.expect("the datagram is sent");
             tokio::time::sleep(Duration::from_millis(250)).await;
         }
@@ -202,14 +231,27 @@
             fleet.store.come_back_from(&copy);
             fleet.wait(Duration::from_secs(2));
         }
-        let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
+        let (_host, runtime) = fleet
+            .simulation
+            .add_client(host_spec("stranger", [10, 0, 3, 9]));
         let daemon = SocketAddr::from(([10, 0, 2, 1], 7660));
         let configuration_without_route = support::configuration(2, &support::routes()[..1]);
         fleet.run(async move {
             let local_address = SocketAddr::from(([10, 0, 3, 9], 5000));
-            let socket = runtime.network.bind_datagram(local_address).await.expect("the address is free");
-            let changes = encode_configuration_change(known_revision, known_revision + 1, &configuration_without_route);
-            socket.send_to(&changes, daemon).await.expect("the datagram is sent");
+            let socket = runtime
+                .network
+                .bind_datagram(local_address)
+                .await
+                .expect("the address is free");
+            let changes = encode_configuration_change(
+                known_revision,
+                known_revision + 1,
+                &configuration_without_route,
+            );
+            socket
+                .send_to(&changes, daemon)
+                .await
+                .expect("the datagram is sent");
             tokio::time::sleep(Duration::from_millis(50)).await;
         });
         let serves_the_route = fleet.ask_each_daemon("route") == 1;
--- a/crates/serve/tests/neighbours.rs
+++ b/crates/serve/tests/neighbours.rs
@@ -31,7 +31,8 @@
         let mut has_route_by_daemon = Vec::new();
         for daemon in daemons {
             let answer = client.ask(daemon.callers_address, &request).await;
-            has_route_by_daemon.push(answer.is_some_and(|answer| answer.status != StatusCode::NOT_FOUND));
+            has_route_by_daemon
+                .push(answer.is_some_and(|answer| answer.status != StatusCode::NOT_FOUND));
         }
         has_route_by_daemon
     })
@@ -52,7 +53,10 @@
     // Two daemons watch it with one call per second each; all renew their leases every three
     // seconds.
     let max_calls = 2 * 30 + 8 * 10 + 40;
-    assert!(calls <= max_calls, "{calls} calls in 30 s, {max_calls} at most");
+    assert!(
+        calls <= max_calls,
+        "{calls} calls in 30 s, {max_calls} at most"
+    );
 }
 
 #[test]
@@ -66,7 +70,10 @@
     // Two daemons retry every 0.8 s, the six others every 1.4 s; all try to renew their leases
     // every three seconds.
     let max_calls = 2 * 26 + 6 * 15 + 8 * 7 + 30;
-    assert!(calls <= max_calls, "{calls} calls in 20 s, {max_calls} at most");
+    assert!(
+        calls <= max_calls,
+        "{calls} calls in 20 s, {max_calls} at most"
+    );
     fleet.store.set_mode(StoreMode::Up);
     remove_route(&mut fleet);
     fleet.wait(Duration::from_millis(2_500));
@@ -80,7 +87,10 @@
         remove_route(&mut fleet);
         fleet.wait(Duration::from_millis(200));
         let has_route_by_daemon = has_route(&mut fleet, "1");
-        assert!(!has_route_by_daemon.contains(&true), "{daemons} daemons: {has_route_by_daemon:?}");
+        assert!(
+            !has_route_by_daemon.contains(&true),
+            "{daemons} daemons: {has_route_by_daemon:?}"
+        );
     }
 }
 
@@ -137,7 +147,10 @@
         remove_route(&mut fleet);
         fleet.wait(Duration::from_millis(1_900));
         let has_route_by_daemon = has_route(&mut fleet, "1");
-        assert!(!has_route_by_daemon.contains(&true), "{first} refused: {has_route_by_daemon:?}");
+        assert!(
+            !has_route_by_daemon.contains(&true),
+            "{first} refused: {has_route_by_daemon:?}"
+        );
     }
 }
 
@@ -218,7 +231,10 @@
         let first = format!("first-{number}");
         let (engine_of_second, run) = prefill_run(&fleet, &format!("second-{number}"));
         // An engine that ran the first request has the prefix cached.
-        let is_cached = engine_of_second.runs().iter().any(|run| run.request == first);
+        let is_cached = engine_of_second
+            .runs()
+            .iter()
+            .any(|run| run.request == first);
         assert!(
             is_cached || run.fetched_from.is_some(),
             "prefix {number}: {run:?}"
--- a/crates/serve/tests/orders.rs
+++ b/crates/serve/tests/orders.rs
@@ -25,7 +25,11 @@
 /// Sends long prompts for `time`, which load the prefill engines more than the decode engines.
 fn send_long_prompts(fleet: &mut Fleet, time: Duration) {
     let client = fleet.client.clone();
-    let daemons: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
+    let daemons: Vec<_> = fleet
+        .daemons
+        .iter()
+        .map(|daemon| daemon.callers_address)
+        .collect();
     fleet.run(async move {
         let end_time = tokio::time::Instant::now() + time;
         let mut number = 0_u32;
@@ -54,7 +58,10 @@
     for pair in orders.windows(2) {
         if pair[0].holder != pair[1].holder {
             assert!(pair[1].fence > pair[0].fence, "{pair:?}");
-            assert!(pair[1].at - pair[0].at > LEASE, "two leaders at the same time: {pair:?}");
+            assert!(
+                pair[1].at - pair[0].at > LEASE,
+                "two leaders at the same time: {pair:?}"
+            );
         }
     }
 }
@@ -74,8 +81,18 @@
 fn a_leader_cut_off_from_the_store_stops_before_another_one_begins() {
     let mut fleet = Fleet::new(OPTIONS);
     send_long_prompts(&mut fleet, Duration::from_secs(12));
-    let first_leader = orders(&fleet).last().expect("at least one order").holder.clone();
-    let leader_index = usize::from(first_leader.as_bytes().last().expect("a daemon name that ends in a digit") - b'1');
+    let first_leader = orders(&fleet)
+        .last()
+        .expect("at least one order")
+        .holder
+        .clone();
+    let leader_index = usize::from(
+        first_leader
+            .as_bytes()
+            .last()
+            .expect("a daemon name that ends in a digit")
+            - b'1',
+    );
     let handle = fleet.simulation.handle();
     handle.cut(fleet.daemons[leader_index].host, fleet.store_host);
     send_long_prompts(&mut fleet, Duration::from_secs(5));
@@ -89,7 +106,14 @@
     let mut fleet = Fleet::new(OPTIONS);
     send_long_prompts(&mut fleet, Duration::from_secs(12));
     let first_leader = orders(&fleet).last().expect("at least one order").clone();
-    let leader_index = usize::from(first_leader.holder.as_bytes().last().expect("a daemon name that ends in a digit") - b'1');
+    let leader_index = usize::from(
+        first_leader
+            .holder
+            .as_bytes()
+            .last()
+            .expect("a daemon name that ends in a digit")
+            - b'1',
+    );
     let handle = fleet.simulation.handle();
     handle.freeze(fleet.daemons[leader_index].host);
     fleet.wait(Duration::from_secs(8));
@@ -98,7 +122,9 @@
     fleet.wait(Duration::from_secs(2));
     let later_orders: Vec<_> = orders(&fleet).split_off(orders_before);
     assert!(
-        later_orders.iter().all(|order| order.fence != first_leader.fence),
+        later_orders
+            .iter()
+            .all(|order| order.fence != first_leader.fence),
         "{later_orders:?}"
     );
     assert_one_leader_at_a_time(&orders(&fleet));
@@ -141,7 +167,13 @@
         let Some(first_leader) = orders_before.last().map(|order| order.holder.clone()) else {
             continue;
         };
-        let leader_index = usize::from(first_leader.as_bytes().last().expect("a daemon name that ends in a digit") - b'1');
+        let leader_index = usize::from(
+            first_leader
+                .as_bytes()
+                .last()
+                .expect("a daemon name that ends in a digit")
+                - b'1',
+        );
         let handle = fleet.simulation.handle();
         handle.cut(fleet.daemons[leader_index].host, fleet.store_host);
         for other in (0..3).filter(|other| *other != leader_index) {
@@ -203,6 +235,13 @@
         .iter()
         .zip(&ordered_after)
         .filter(|(ordered_before, ordered_after)| **ordered_before && **ordered_after);
-    assert_eq!(both.count(), 0, "without draining: {ordered_before:?}, with draining: {ordered_after:?}");
-    assert!(ordered_after.contains(&true), "another engine gets an order");
+    assert_eq!(
+        both.count(),
+        0,
+        "without draining: {ordered_before:?}, with draining: {ordered_after:?}"
+    );
+    assert!(
+        ordered_after.contains(&true),
+        "another engine gets an order"
+    );
 }
--- a/crates/serve/tests/overload.rs
+++ b/crates/serve/tests/overload.rs
@@ -36,7 +36,10 @@
                 let mut request = ClientRequest::prompt(&number.to_string(), "verdict", 0, tokens);
                 request.deadline_ms = deadline_ms.unwrap_or(request.deadline_ms);
                 let answer = client.ask(target, &request).await;
-                (answer.expect("a response, not a closed connection"), started_at.elapsed())
+                (
+                    answer.expect("a response, not a closed connection"),
+                    started_at.elapsed(),
+                )
             }
         });
         join_all(asked).await
@@ -80,7 +83,12 @@
             answer.status == StatusCode::SERVICE_UNAVAILABLE && *took < Duration::from_millis(50)
         })
         .collect();
-    assert!(refused.len() > 20, "{} of {}", refused.len(), responses.len());
+    assert!(
+        refused.len() > 20,
+        "{} of {}",
+        refused.len(),
+        responses.len()
+    );
     for (answer, _took) in refused {
         let retry_after_s = answer.retry_after_s().expect("a Retry-After header");
         assert!(
--- a/crates/serve/tests/rate_limits.rs
+++ b/crates/serve/tests/rate_limits.rs
@@ -97,12 +97,17 @@
 /// Applies the load to all daemons. Returns the statuses of the responses.
 fn apply_load(fleet: &mut Fleet, name: &str, load: Load) -> Vec<StatusCode> {
     let client = fleet.client.clone();
-    let targets: Vec<SocketAddr> = fleet.daemons.iter().map(|daemon| daemon.callers_address).collect();
+    let targets: Vec<SocketAddr> = fleet
+        .daemons
+        .iter()
+        .map(|daemon| daemon.callers_address)
+        .collect();
     let name = name.to_owned();
     fleet.run(async move {
         let daemons = u32::try_from(targets.len()).expect("a small number");
         let pause = Duration::from_secs(1) * daemons / load.per_second;
-        let rounds = u32::try_from(load.time.as_micros() / pause.as_micros()).expect("a small number");
+        let rounds =
+            u32::try_from(load.time.as_micros() / pause.as_micros()).expect("a small number");
         let mut requests = Vec::new();
         for (daemon, target) in (0..).zip(targets.iter().copied()) {
             // Requests to different daemons are offset in time.
@@ -194,7 +199,10 @@
     fleet.run(async move {
         let started_at = Instant::now();
         let answer = client.ask(target, request).await;
-        (answer.expect("a response, not a closed connection"), started_at.elapsed())
+        (
+            answer.expect("a response, not a closed connection"),
+            started_at.elapsed(),
+        )
     })
 }
 
@@ -391,7 +399,10 @@
         .collect();
     for (answer, took) in refusals {
         assert!(took < Duration::from_millis(50), "at once: {took:?}");
-        assert!(answer.retry_after_s().is_some(), "a Retry-After header is set");
+        assert!(
+            answer.retry_after_s().is_some(),
+            "a Retry-After header is set"
+        );
     }
 }
 
@@ -407,7 +418,11 @@
 /// request that it accepts no more. Only a check just before the send can hold the prompt back.
 #[test]
 fn the_chosen_engine_is_checked_again_just_before_the_send() {
-    for announcement in [Announcement::Draining, Announcement::Backoff, Announcement::ZeroRate] {
+    for announcement in [
+        Announcement::Draining,
+        Announcement::Backoff,
+        Announcement::ZeroRate,
+    ] {
         let mut fleet = Fleet::new(FleetOptions {
             decode: 1,
             ..FleetOptions::default()
@@ -435,7 +450,11 @@
         });
         assert!(short.is_some(), "its response carried the announcement");
         let long = long.expect("a response, not a closed connection");
-        assert_eq!(long.status, StatusCode::SERVICE_UNAVAILABLE, "{announcement:?}");
+        assert_eq!(
+            long.status,
+            StatusCode::SERVICE_UNAVAILABLE,
+            "{announcement:?}"
+        );
         let arrivals: Vec<String> = engine
             .arrivals()
             .into_iter()
--- a/crates/serve/tests/recovery.rs
+++ b/crates/serve/tests/recovery.rs
@@ -213,7 +213,10 @@
     fleet.wait(Duration::from_millis(500));
     fleet.store.remove("ponddrift/daemons/daemon-7");
     fleet.wait(Duration::from_secs(8));
-    assert_eq!(daemon_keys_with_revisions(&fleet).len(), usize::from(MANY_DAEMONS));
+    assert_eq!(
+        daemon_keys_with_revisions(&fleet).len(),
+        usize::from(MANY_DAEMONS)
+    );
 }
 
 /// Runs a peer that answers each request with the next of several invalid pages.
@@ -253,7 +256,9 @@
         let name = format!("nonsense-{}", ip[3]);
         fleet
             .simulation
-            .add_host(host_spec(&name, ip), move |runtime| run_invalid_distributor(runtime, ip));
+            .add_host(host_spec(&name, ip), move |runtime| {
+                run_invalid_distributor(runtime, ip)
+            });
     }
     let list = ips.map(|ip| SocketAddr::from((ip, 7660)).to_string());
     let list = serde_json::to_string(&list).expect("a list");
--- a/crates/serve/tests/requests.rs
+++ b/crates/serve/tests/requests.rs
@@ -25,11 +25,15 @@
 fn a_daemon_without_a_configuration_is_not_ready_and_refuses_requests() {
     let mut fleet = Fleet::without_configuration(FleetOptions::default());
     let (client, daemon) = (fleet.client.clone(), fleet.daemons[0].clone());
-    let readiness = fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
+    let readiness =
+        fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
     assert_eq!(readiness, Some(StatusCode::SERVICE_UNAVAILABLE));
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(answer.retry_after_s().is_some(), "a Retry-After header is set");
+    assert!(
+        answer.retry_after_s().is_some(),
+        "a Retry-After header is set"
+    );
     assert_eq!(total_runs(&fleet.records), 0);
 }
 
@@ -37,7 +41,8 @@
 fn plain_responses_are_passed_on_unchanged() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let (client, daemon) = (fleet.client.clone(), fleet.daemons[0].clone());
-    let readiness = fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
+    let readiness =
+        fleet.run(async move { client.status(daemon.readiness_address, "/readiness").await });
     assert_eq!(readiness, Some(StatusCode::OK));
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::OK);
@@ -159,9 +164,13 @@
     fleet.run(async move {
         let plain_request = ClientRequest::plain("1", "post");
         let disconnect_after = Duration::from_millis(100);
-        client.ask_and_leave(target, &plain_request, disconnect_after).await;
+        client
+            .ask_and_leave(target, &plain_request, disconnect_after)
+            .await;
         let stream_request = ClientRequest::prompt("2", "tag", 40, 200);
-        client.ask_and_leave(target, &stream_request, disconnect_after).await;
+        client
+            .ask_and_leave(target, &stream_request, disconnect_after)
+            .await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     for engines in [&fleet.records, &fleet.decode] {
@@ -184,7 +193,9 @@
     fleet.run(async move {
         let stream_request = ClientRequest::prompt("2", "verdict", 40, 200);
         let disconnect_after = Duration::from_millis(300);
-        client.ask_and_leave(target, &stream_request, disconnect_after).await;
+        client
+            .ask_and_leave(target, &stream_request, disconnect_after)
+            .await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     let runs: Vec<_> = fleet.decode.iter().flat_map(EngineStandIn::runs).collect();
@@ -218,7 +229,9 @@
     let mut value: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
     let mut service = value["services"][0].clone();
     service["name"] = serde_json::json!("others");
-    let services = value["services"].as_array_mut().expect("a list of services");
+    let services = value["services"]
+        .as_array_mut()
+        .expect("a list of services");
     services.push(service);
     fleet.store.put("op/config", value.to_string());
     fleet.wait(Duration::from_millis(100));
--- a/crates/serve/tests/restored_store.rs
+++ b/crates/serve/tests/restored_store.rs
@@ -91,7 +91,10 @@
 }
 
 fn count(statuses: &[StatusCode], expected_status: StatusCode) -> usize {
-    statuses.iter().filter(|status| **status == expected_status).count()
+    statuses
+        .iter()
+        .filter(|status| **status == expected_status)
+        .count()
 }
 
 /// Asserts that each daemon has applied [`write_changes`]: it knows that the route was removed, and
@@ -404,7 +407,8 @@
         }
     }
     let (oldest, newest) = (windows.keys().min(), windows.keys().max());
-    let expected_count = newest.expect("at least one window") - oldest.expect("at least one window") + 1;
+    let expected_count =
+        newest.expect("at least one window") - oldest.expect("at least one window") + 1;
     assert_eq!(windows.len() as u64, expected_count, "{:?}", windows.keys());
 }
 
--- a/crates/serve/tests/settings.rs
+++ b/crates/serve/tests/settings.rs
@@ -12,7 +12,11 @@
     let end = text.find(&closing_tag).expect("the end of the section");
     let contents = &text[begin + opening_tag.len()..end];
     let kept = if is_given { contents } else { "" };
-    format!("{}{kept}{}", &text[..begin], &text[end + closing_tag.len()..])
+    format!(
+        "{}{kept}{}",
+        &text[..begin],
+        &text[end + closing_tag.len()..]
+    )
 }
 
 /// Template values that a deployment may leave out.
@@ -40,14 +44,16 @@
 
 fn render_sections(has_optional_values: bool) -> String {
     let replacement = if has_optional_values { "" } else { "false" };
-    let text = OPTIONAL_FLAGS.iter().fold(TEMPLATE.to_owned(), |text, flag| {
-        let false_section = format!("{{{{^{flag}}}}}false{{{{/{flag}}}}}");
-        assert!(text.contains(&false_section));
-        text.replace(&false_section, replacement)
-    });
-    OPTIONAL_VALUES
+    let text = OPTIONAL_FLAGS
         .iter()
-        .fold(text, |text, name| render_section(&text, name, has_optional_values))
+        .fold(TEMPLATE.to_owned(), |text, flag| {
+            let false_section = format!("{{{{^{flag}}}}}false{{{{/{flag}}}}}");
+            assert!(text.contains(&false_section));
+            text.replace(&false_section, replacement)
+        });
+    OPTIONAL_VALUES.iter().fold(text, |text, name| {
+        render_section(&text, name, has_optional_values)
+    })
 }
 
 fn render_template(has_optional_values: bool) -> String {
@@ -74,9 +80,10 @@
         ("{{bounds.usageLateS}}", "10"),
     ]
     .iter()
-    .fold(render_sections(has_optional_values), |text, (placeholder, value)| {
-        text.replace(placeholder, value)
-    })
+    .fold(
+        render_sections(has_optional_values),
+        |text, (placeholder, value)| text.replace(placeholder, value),
+    )
 }
 
 #[test]
@@ -90,7 +97,10 @@
     assert_eq!(settings.link_megabits_per_second, 1000);
     assert!((settings.retry_budget.slack - 54.0).abs() < f64::EPSILON);
     assert!(settings.stop.accept_period < settings.stop.exit_deadline);
-    assert!(settings.stop.exit_deadline.as_secs_f64() < 8.0, "within the grace period");
+    assert!(
+        settings.stop.exit_deadline.as_secs_f64() < 8.0,
+        "within the grace period"
+    );
     assert_eq!(settings.fencing, Fencing::Checked);
     assert!(settings.is_first_start);
     let usage = settings.usage.expect("usage reports are enabled");
@@ -153,6 +163,10 @@
     assert!(!text.contains("{{"), "a placeholder is left: {text}");
     let settings = check(&text).expect("valid settings");
     assert!((settings.retry_budget.slack - 10.0).abs() < f64::EPSILON);
-    assert_eq!(settings.fencing, Fencing::Ignored, "the platform sets it to false");
+    assert_eq!(
+        settings.fencing,
+        Fencing::Ignored,
+        "the platform sets it to false"
+    );
     assert_eq!((settings.usage, settings.capacity), (None, None));
 }
--- a/crates/serve/tests/silent_connections.rs
+++ b/crates/serve/tests/silent_connections.rs
@@ -18,7 +18,10 @@
     fleet.run(async move {
         let started_at = Instant::now();
         let answer = client.ask(target, request).await;
-        (answer.expect("a response, not a closed connection"), started_at.elapsed())
+        (
+            answer.expect("a response, not a closed connection"),
+            started_at.elapsed(),
+        )
     })
 }
 
@@ -53,7 +56,10 @@
         assert_eq!(answer.status, StatusCode::OK, "request {number}");
         slow_requests += usize::from(took > Duration::from_millis(300));
     }
-    assert!(slow_requests <= 1, "{slow_requests} requests waited for silent connections");
+    assert!(
+        slow_requests <= 1,
+        "{slow_requests} requests waited for silent connections"
+    );
 }
 
 #[test]
--- a/crates/serve/tests/streams.rs
+++ b/crates/serve/tests/streams.rs
@@ -60,7 +60,10 @@
     assert_eq!(runs.len(), 1);
     let source = runs[0].source.clone().expect("decoded from a handle");
     assert!(source.ends_with("/h-1"), "{source}");
-    assert!(fleet.prefill[0].freed_handles().is_empty(), "the decode engine took it");
+    assert!(
+        fleet.prefill[0].freed_handles().is_empty(),
+        "the decode engine took it"
+    );
 }
 
 #[test]
@@ -103,7 +106,9 @@
     fleet.run(async move {
         let request = ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900);
         let disconnect_after = Duration::from_millis(300);
-        client.ask_and_leave(target, &request, disconnect_after).await;
+        client
+            .ask_and_leave(target, &request, disconnect_after)
+            .await;
         tokio::time::sleep(Duration::from_millis(200)).await;
     });
     assert_eq!(fleet.prefill[0].freed_handles(), ["h-1"]);
@@ -161,7 +166,10 @@
             resumed += 1;
         }
     }
-    assert!(resumed > 0, "responses keep the headers of the first engine");
+    assert!(
+        resumed > 0,
+        "responses keep the headers of the first engine"
+    );
     assert!(second.runs().iter().any(|run| run.resumed_after == Some(2)));
 }
 
@@ -188,7 +196,9 @@
     build_up_retry_budget(&mut fleet);
     let prompts = |from: u32| -> Vec<ClientRequest> {
         (from..from + 8)
-            .map(|number| ClientRequest::prompt(&format!("p{number}"), "verdict", LONG_PROMPT_TOKENS, 900))
+            .map(|number| {
+                ClientRequest::prompt(&format!("p{number}"), "verdict", LONG_PROMPT_TOKENS, 900)
+            })
             .collect()
     };
     for request in prompts(0) {
@@ -268,7 +278,9 @@
     fleet.run(async move {
         let request = ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900);
         let disconnect_after = Duration::from_millis(100);
-        client.ask_and_leave(target, &request, disconnect_after).await;
+        client
+            .ask_and_leave(target, &request, disconnect_after)
+            .await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     let runs = fleet.prefill[0].runs();
@@ -301,5 +313,8 @@
         .sum();
     // With the budget ratio and slack of the test settings.
     let max_arrivals = REQUESTS + REQUESTS / 5 + 20;
-    assert!(arrivals <= max_arrivals, "{arrivals} arrivals, {max_arrivals} at most");
+    assert!(
+        arrivals <= max_arrivals,
+        "{arrivals} arrivals, {max_arrivals} at most"
+    );
 }
--- a/crates/serve/tests/support/mod.rs
+++ b/crates/serve/tests/support/mod.rs
@@ -189,13 +189,18 @@
         engine.record(&self.store, "ready");
         let serving_engine = engine.clone();
         let name = format!("engine-{}", self.engine_count);
-        let host = self.simulation.add_host(host_spec(&name, ip), move |runtime| {
-            let serving_engine = serving_engine.clone();
-            async move {
-                let _server = serving_engine.serve(&runtime).await.expect("the address is free");
-                std::future::pending().await
-            }
-        });
+        let host = self
+            .simulation
+            .add_host(host_spec(&name, ip), move |runtime| {
+                let serving_engine = serving_engine.clone();
+                async move {
+                    let _server = serving_engine
+                        .serve(&runtime)
+                        .await
+                        .expect("the address is free");
+                    std::future::pending().await
+                }
+            });
         (engine, host)
     }
 
@@ -212,29 +217,33 @@
             is_stopped: Rc::clone(&is_stopped),
         };
         let name = format!("daemon-{number}");
-        let host = self.simulation.add_host(host_spec(&name, ip), move |runtime| {
-            let settings = settings.clone();
-            let stop_requested = Arc::clone(&stop_requested);
-            let is_stopped = Rc::clone(&is_stopped);
-            async move {
-                let daemon = Daemon::start(&runtime, settings).await.expect("the daemon starts");
-                // Concurrent with requests, as in the program: maintenance must not delay them.
-                let maintenance = async {
-                    loop {
-                        sleep(MAINTENANCE_INTERVAL).await;
-                        daemon.run_maintenance(0);
+        let host = self
+            .simulation
+            .add_host(host_spec(&name, ip), move |runtime| {
+                let settings = settings.clone();
+                let stop_requested = Arc::clone(&stop_requested);
+                let is_stopped = Rc::clone(&is_stopped);
+                async move {
+                    let daemon = Daemon::start(&runtime, settings)
+                        .await
+                        .expect("the daemon starts");
+                    // Concurrent with requests, as in the program: maintenance must not delay them.
+                    let maintenance = async {
+                        loop {
+                            sleep(MAINTENANCE_INTERVAL).await;
+                            daemon.run_maintenance(0);
+                        }
+                    };
+                    tokio::select! {
+                        biased;
+                        () = stop_requested.notified() => {}
+                        () = maintenance => {}
                     }
-                };
-                tokio::select! {
-                    biased;
-                    () = stop_requested.notified() => {}
-                    () = maintenance => {}
+                    daemon.stop().await;
+                    *is_stopped.borrow_mut() = true;
+                    std::future::pending().await
                 }
-                daemon.stop().await;
-                *is_stopped.borrow_mut() = true;
-                std::future::pending().await
-            }
-        });
+            });
         self.daemons.push(DaemonHost { host, ..daemon });
     }
 
@@ -265,7 +274,8 @@
             for (number, daemon) in daemons.iter().enumerate() {
                 let request = ClientRequest::plain(&format!("{name}-{number}"), "fetch");
                 let answer = client.ask(daemon.callers_address, &request).await;
-                served_count += usize::from(answer.is_some_and(|answer| answer.status == StatusCode::OK));
+                served_count +=
+                    usize::from(answer.is_some_and(|answer| answer.status == StatusCode::OK));
             }
             served_count
         })
@@ -276,7 +286,10 @@
         let reports = self.provider.usage();
         let holder = &reports.last().expect("at least one report").holder;
         let number = holder.trim_start_matches("daemon-");
-        number.parse::<usize>().expect("a daemon name that ends in a number") - 1
+        number
+            .parse::<usize>()
+            .expect("a daemon name that ends in a number")
+            - 1
     }
 
     /// Writes a configuration with these routes to the store.
@@ -290,7 +303,10 @@
     simulation.add_host(host_spec("store", [10, 0, 0, 1]), move |runtime| {
         let serving_store = serving_store.clone();
         async move {
-            let _server = serving_store.serve(&runtime, STORE_ADDRESS).await.expect("the address is free");
+            let _server = serving_store
+                .serve(&runtime, STORE_ADDRESS)
+                .await
+                .expect("the address is free");
             std::future::pending().await
         }
     })
@@ -301,7 +317,10 @@
     simulation.add_host(host_spec("provider", [10, 0, 0, 2]), move |runtime| {
         let serving_provider = serving_provider.clone();
         async move {
-            let _server = serving_provider.serve(&runtime, PROVIDER_ADDRESS).await.expect("the address is free");
+            let _server = serving_provider
+                .serve(&runtime, PROVIDER_ADDRESS)
+                .await
+                .expect("the address is free");
             std::future::pending().await
         }
     })
--- a/crates/serve/tests/tenants.rs
+++ b/crates/serve/tests/tenants.rs
@@ -8,7 +8,7 @@
 use ponddrift_platform_stand_ins::{
     Answer, ClientRequest, RouteText, Run, StoreMode, TenantText, with_tenants,
 };
-use support::{Fleet, RECORDS, FleetOptions, configuration, routes};
+use support::{Fleet, FleetOptions, RECORDS, configuration, routes};
 
 const ALICE: TenantText = TenantText {
     name: "alice",
@@ -77,7 +77,10 @@
         assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
     }
     let runs = runs(&fleet);
-    assert!(runs.iter().any(|run| run.is_prefill), "one prompt is prefilled separately");
+    assert!(
+        runs.iter().any(|run| run.is_prefill),
+        "one prompt is prefilled separately"
+    );
     for run in runs {
         let expected_tenant = if matches!(&*run.request, "1" | "3") {
             "alice"
@@ -108,7 +111,11 @@
         .collect();
     for answer in &answers {
         assert_eq!(answer.status, StatusCode::UNAUTHORIZED);
-        assert_eq!(answer.text(), answers[0].text(), "does not reveal the reason");
+        assert_eq!(
+            answer.text(),
+            answers[0].text(),
+            "does not reveal the reason"
+        );
         assert_eq!(answer.retry_after_s(), None, "a retry would not help");
     }
     assert!(runs(&fleet).is_empty());
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -106,7 +106,10 @@
     for (tenant, count) in served {
         let reported_count = reported.get(tenant).copied().unwrap_or_default();
         let difference = reported_count.abs_diff(*count);
-        assert!(difference * 20 <= *count, "{tenant}: {reported_count} of {count}");
+        assert!(
+            difference * 20 <= *count,
+            "{tenant}: {reported_count} of {count}"
+        );
     }
 }
 
@@ -145,11 +148,16 @@
         send_requests(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(9));
         let first_leader = fleet.last_reporter();
         let into_window = fleet.simulation.handle().elapsed().as_millis() % WINDOW.as_millis();
-        let time_until_kill_ms = (WINDOW.as_millis() - into_window + moment_ms) % WINDOW.as_millis();
+        let time_until_kill_ms =
+            (WINDOW.as_millis() - into_window + moment_ms) % WINDOW.as_millis();
         let others: Vec<usize> = (0..4).filter(|daemon| *daemon != first_leader).collect();
-        let wait = Duration::from_millis(u64::try_from(time_until_kill_ms).expect("a short duration"));
+        let wait =
+            Duration::from_millis(u64::try_from(time_until_kill_ms).expect("a short duration"));
         send_requests(&mut fleet, &others, wait);
-        fleet.simulation.handle().kill(fleet.daemons[first_leader].host);
+        fleet
+            .simulation
+            .handle()
+            .kill(fleet.daemons[first_leader].host);
         send_requests(&mut fleet, &others, Duration::from_secs(12));
         fleet.wait(DUE);
         let windows = reported(&fleet);
@@ -304,7 +312,10 @@
     advance_into_next_window(&mut fleet, Duration::from_millis(200));
     let handle = fleet.simulation.handle();
     for other in (0..4).filter(|other| *other != counting_daemon) {
-        handle.cut(fleet.daemons[counting_daemon].host, fleet.daemons[other].host);
+        handle.cut(
+            fleet.daemons[counting_daemon].host,
+            fleet.daemons[other].host,
+        );
     }
     send_requests(&mut fleet, &[counting_daemon], Duration::from_secs(2));
     let before = reported(&fleet).len();
@@ -362,7 +373,8 @@
 fn advance_into_next_window(fleet: &mut Fleet, time: Duration) {
     let into_window = fleet.simulation.handle().elapsed().as_millis() % WINDOW.as_millis();
     let remaining_ms = WINDOW.as_millis() - into_window;
-    fleet.wait(Duration::from_millis(u64::try_from(remaining_ms).expect("a short duration")) + time);
+    fleet
+        .wait(Duration::from_millis(u64::try_from(remaining_ms).expect("a short duration")) + time);
 }
 
 /// Asserts that the reported counts minus `earlier` equal the served ones.
