--- a/crates/serve/src/daemon.rs
+++ b/crates/serve/src/daemon.rs
@@ -21,7 +21,7 @@
 use ponddrift_serving::provider::Provider;
 use ponddrift_serving::store::FleetStore;
 use ponddrift_serving::usage::UsageRecorder;
-use ponddrift_serving::usage::report::{self, ReportSettings, ReportDependencies};
+use ponddrift_serving::usage::report::{self, ReportDependencies, ReportSettings};
 use ponddrift_serving::{capacity, follow, leader, listeners, orders, peers, quarantine};
 use tokio::time::Instant;
 
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -20,6 +20,7 @@
 pub mod dialect;
 pub mod fleet_state;
 pub mod follow;
+mod full_read;
 pub mod leader;
 pub mod listeners;
 pub mod metrics;
--- a/crates/serving/src/orders/engine_calls.rs
+++ b/crates/serving/src/orders/engine_calls.rs
@@ -98,7 +98,11 @@
         Some(answer)
     }
 
-    fn build_request(&self, engine: &BackEnd, facts: &OrderParameters<'_>) -> Option<Request<Body>> {
+    fn build_request(
+        &self,
+        engine: &BackEnd,
+        facts: &OrderParameters<'_>,
+    ) -> Option<Request<Body>> {
         let call = self.dialect.order(facts);
         let mut request = Request::builder()
             .method(call.method)
--- a/crates/serving/src/peers/publish.rs
+++ b/crates/serving/src/peers/publish.rs
@@ -125,7 +125,8 @@
         let is_urgent = !own.prefixes.is_empty() || !own.unavailable.is_empty();
         let is_for_far_peers = is_urgent || reason != Reason::Forwarded;
         if is_for_far_peers && cross_zone_pacer.is_due(own.contains_work(), now()) {
-            self.send(own.clone().encode(), &topology.remote_zone_peers).await;
+            self.send(own.clone().encode(), &topology.remote_zone_peers)
+                .await;
         }
         let for_neighbours = with_forwarded(own, forwarded);
         let neighbours = self.neighbours();
@@ -157,7 +158,7 @@
         let prefill_timings = placement.speed.take_unpublished();
         let results = placement.health.take_unpublished();
         let unhealthy = placement.health.ejected();
-        let unavailable = placement.away(now());
+        let unavailable = placement.suspended_engines(now());
         let work = placement.work.rates(now());
         drop(placement);
         let store_silence = self.follow_status.store_silence();
--- a/crates/serving/src/peers/suspects.rs
+++ b/crates/serving/src/peers/suspects.rs
@@ -161,7 +161,10 @@
             }
             // Runs lost at several daemons were combined here. No other daemon may know all of
             // them.
-            if update.added_information && update.after != Standing::Clear && self.is_recorder(fingerprint) {
+            if update.added_information
+                && update.after != Standing::Clear
+                && self.is_recorder(fingerprint)
+            {
                 self.pipeline.changed_suspects().add(fingerprint);
             }
         }
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -52,7 +52,7 @@
 pub(super) fn prefix_to_wire(usage: &PrefixUse) -> PrefixRow {
     PrefixRow {
         engine: hash(&usage.engine),
-        prefix: usage.head,
+        prefix: usage.prefix,
         tokens: usage.tokens,
         suffix_tokens: usage.own_tokens,
         is_cached: usage.state == PrefixState::Cached,
@@ -62,7 +62,7 @@
 pub(super) fn prefix_from_wire(row: &PrefixRow, known: &BackEndIndex) -> Option<PrefixUse> {
     Some(PrefixUse {
         engine: Arc::clone(&known.find(row.engine)?.id),
-        head: row.prefix,
+        prefix: row.prefix,
         tokens: row.tokens,
         own_tokens: row.suffix_tokens,
         state: if row.is_cached {
--- a/crates/serving/src/pipeline/announcements.rs
+++ b/crates/serving/src/pipeline/announcements.rs
@@ -127,7 +127,9 @@
         }
         let now = now();
         let generating_back_ends = self.generating_back_ends(job);
-        let earliest_available = self.placement().earliest_available(&generating_back_ends, now);
+        let earliest_available = self
+            .placement()
+            .earliest_available(&generating_back_ends, now);
         let Some(earliest_available) = earliest_available else {
             return failure;
         };
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -114,7 +114,9 @@
         };
         let max_connections = self.connection_share(job.service.maximum_connections);
         let started_at = now();
-        self.placement().link.record_send(job.body.len(), started_at);
+        self.placement()
+            .link
+            .record_send(job.body.len(), started_at);
         let reuse = if job.had_timeout {
             ConnectionReuse::Never
         } else {
--- a/crates/serving/src/pipeline/probe.rs
+++ b/crates/serving/src/pipeline/probe.rs
@@ -77,7 +77,11 @@
                     }
                     HealthCheckResult::Unhealthy => {}
                 }
-                match pipeline.placement().health.record_failed_check(&back_end.id) {
+                match pipeline
+                    .placement()
+                    .health
+                    .record_failed_check(&back_end.id)
+                {
                     Some(next) => pause = pipeline.with_jitter(next),
                     None => return,
                 }
--- a/crates/serving/src/pipeline/rate_wait.rs
+++ b/crates/serving/src/pipeline/rate_wait.rs
@@ -125,7 +125,8 @@
     /// limits prevents the request from being sent.
     fn next_rate_token(&self, job: &Job) -> Option<NextRateToken> {
         let back_ends = self.generating_back_ends(job);
-        self.placement().next_rate_token(&back_ends, &job.tried, now())
+        self.placement()
+            .next_rate_token(&back_ends, &job.tried, now())
     }
 
     /// The candidate back ends that can generate the answer; prefill engines are left out.
