--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -124,8 +124,8 @@
 }
 
 impl RetryPool {
-    /// Adds the deposits of a daemon. `max_saved` is the zone's share of the slack, which limits what is
-    /// saved.
+    /// Adds the deposits of a daemon. `max_saved` is the zone's share of the slack, which limits
+    /// what is saved.
     pub fn deposit(&mut self, deposits: &Deposits, max_saved: f64) {
         let newest = self.newest.entry(deposits.origin).or_default();
         if deposits.sequence <= *newest {
--- a/crates/fleet/src/placement/confidence.rs
+++ b/crates/fleet/src/placement/confidence.rs
@@ -34,7 +34,7 @@
         expected_share: f64,
         in_time: bool,
     ) {
-        let (least, most) = SHARE_BOUNDS;
+        let (min, max) = SHARE_BOUNDS;
         let share = self
             .by_service
             .entry(Arc::clone(service))
@@ -47,7 +47,7 @@
         } else {
             -REDUCTION_PER_LATE
         };
-        *share = (*share + change).clamp(least, most);
+        *share = (*share + change).clamp(min, max);
     }
 
     /// Share of the latency target that an estimate may use.
--- a/crates/fleet/src/placement/speed.rs
+++ b/crates/fleet/src/placement/speed.rs
@@ -85,9 +85,9 @@
     }
 
     fn tokens_per_ms(&self) -> Option<f64> {
-        let (least, most) = RATE_BOUNDS;
+        let (min, max) = RATE_BOUNDS;
         let (_at_nothing, ms_per_token) = self.fit()?;
-        Some((1.0 / ms_per_token).clamp(least, most))
+        Some((1.0 / ms_per_token).clamp(min, max))
     }
 
     /// Lower bound of the speed, with the messaging overhead counted as prefill time; `None` before
@@ -144,8 +144,8 @@
         /// Part of each response time that does not depend on the engine's speed.
         const FLOOR_MS: f64 = 20.0;
         let ratio = (elapsed_ms + FLOOR_MS) / (expected_ms + FLOOR_MS);
-        let (least, most) = SLOWNESS_BOUNDS;
-        let sample = ratio.clamp(least, most);
+        let (min, max) = SLOWNESS_BOUNDS;
+        let sample = ratio.clamp(min, max);
         let before = self.slowness(id, now);
         let ratio = before + NEWEST_WEIGHT * (sample - before);
         let learned = Slowness { ratio, at: now };
--- a/crates/fleet/tests/candidates.rs
+++ b/crates/fleet/tests/candidates.rs
@@ -177,9 +177,12 @@
         }
     }
     let mean = f64::from(chosen_by.values().sum::<u32>()) / 800.0;
-    let most = f64::from(chosen_by.values().copied().max().unwrap_or_default());
+    let max_daemons = f64::from(chosen_by.values().copied().max().unwrap_or_default());
     assert_eq!(chosen_by.len(), 800, "every decode engine of the zone");
-    assert!(most < 1.7 * mean, "{most} daemons, {mean} on average");
+    assert!(
+        max_daemons < 1.7 * mean,
+        "{max_daemons} daemons, {mean} on average"
+    );
 }
 
 #[test]
--- a/crates/fleet/tests/capacity.rs
+++ b/crates/fleet/tests/capacity.rs
@@ -53,8 +53,8 @@
         .desired
         .iter()
         .filter(|((_zone, kind), _count)| *kind == Contract::Spot);
-    let most = spot.map(|(_key, count)| *count).max().unwrap_or_default();
-    total(plan, Contract::OnDemand) + total(plan, Contract::Spot) - most
+    let max_in_zone = spot.map(|(_key, count)| *count).max().unwrap_or_default();
+    total(plan, Contract::OnDemand) + total(plan, Contract::Spot) - max_in_zone
 }
 
 fn plan_for(
--- a/crates/fleet/tests/stage_bounds.rs
+++ b/crates/fleet/tests/stage_bounds.rs
@@ -92,8 +92,8 @@
                 let (.., is_accepted, is_done) = step;
                 now += STEP;
                 planner.observe(work(step), &engines, now);
-                let away = Duration::from_secs(4);
-                let changes = planner.plan(&engines, |_| Some(0.0), |_| away, now);
+                let change_time = Duration::from_secs(4);
+                let changes = planner.plan(&engines, |_| Some(0.0), |_| change_time, now);
                 assert!(changes.len() <= (all / 12).max(1), "{}", changes.len());
                 for change in changes {
                     let twice = under_way
@@ -132,15 +132,15 @@
 fn every_order_has_a_finite_positive_net_gain() {
     check!()
         .with_type::<(Vec<Phase>, u16)>()
-        .for_each(|(phases, away_ms)| {
+        .for_each(|(phases, change_time_ms)| {
             let engines = engines(4, 8);
             let mut planner = StagePlanner::default();
             let mut now = Instant::now();
-            let away = Duration::from_millis(u64::from(*away_ms));
+            let change_time = Duration::from_millis(u64::from(*change_time_ms));
             for step in steps(phases) {
                 now += STEP;
                 planner.observe(work(step), &engines, now);
-                for change in planner.plan(&engines, |_| Some(0.0), |_| away, now) {
+                for change in planner.plan(&engines, |_| Some(0.0), |_| change_time, now) {
                     assert!(change.net_gain.is_finite() && change.net_gain > 0.0);
                     assert!(change.gain > 0.0, "{}", change.gain);
                     planner.record_order(&change, now);
