--- a/crates/fleet/src/leadership.rs
+++ b/crates/fleet/src/leadership.rs
@@ -34,9 +34,9 @@
     /// Duration of the lease after the grant and after each renewal.
     pub life: Duration,
     /// Time when the lease was requested.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// Time when this daemon became the holder.
-    pub answered: Instant,
+    pub granted_at: Instant,
     /// Latest time at which this daemon may have sent a call before: its last call, or the start of
     /// its process, because an earlier process on the same machine may have been the leader.
     pub last_call: Instant,
@@ -68,16 +68,16 @@
         Self {
             fencing_token: grant.fencing_token,
             life: grant.life,
-            begins: (grant.answered + wait).max(after_own_last_call),
-            ends: end_of(grant.asked, grant.life),
+            begins: (grant.granted_at + wait).max(after_own_last_call),
+            ends: end_of(grant.requested_at, grant.life),
         }
     }
 
-    /// Extends the term after a renewal whose call was sent at `asked`.
+    /// Extends the term after a renewal whose call was sent at `requested_at`.
     #[must_use]
-    pub fn renewed(self, asked: Instant) -> Self {
+    pub fn renewed(self, requested_at: Instant) -> Self {
         Self {
-            ends: end_of(asked, self.life),
+            ends: end_of(requested_at, self.life),
             ..self
         }
     }
@@ -95,6 +95,6 @@
     }
 }
 
-fn end_of(asked: Instant, life: Duration) -> Instant {
-    asked + life.saturating_sub(SAFETY_MARGIN)
+fn end_of(requested_at: Instant, life: Duration) -> Instant {
+    requested_at + life.saturating_sub(SAFETY_MARGIN)
 }
--- a/crates/fleet/tests/leadership_model.rs
+++ b/crates/fleet/tests/leadership_model.rs
@@ -73,8 +73,8 @@
 struct HeldGrant {
     /// Number of later grants.
     token_age: u8,
-    asked: u8,
-    answered: u8,
+    requested_at: u8,
+    granted_at: u8,
     last_call: u8,
     renewed: Option<u8>,
 }
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct PendingRequest {
     kind: RequestKind,
-    asked: u8,
+    requested_at: u8,
     processed_in: Option<u8>,
     answer_in: Option<u8>,
     /// Whether the store performed the request, once processed.
@@ -194,9 +194,9 @@
         }
         let now = Instant::now() + TICK_DURATION * 1_000;
         let ago = |ticks: u8| now - TICK_DURATION * u32::from(ticks);
-        let asked = match rules {
-            Rules::LeaseFromAnswer => ago(held.answered),
-            _ => ago(held.asked),
+        let requested_at = match rules {
+            Rules::LeaseFromAnswer => ago(held.granted_at),
+            _ => ago(held.requested_at),
         };
         let last_call = match rules {
             Rules::NoWaitAfterOwnCalls => ago(100),
@@ -207,8 +207,8 @@
         let grant = Grant {
             fencing_token: 1,
             life: TICK_DURATION * u32::from(LEASE_TICKS),
-            asked,
-            answered: ago(held.answered),
+            requested_at,
+            granted_at: ago(held.granted_at),
             last_call,
         };
         let term = LeaderTerm::new(&grant, Fencing::Checked);
@@ -217,7 +217,7 @@
             None => term,
         };
         match rules {
-            Rules::CallUntilExpiry => held.renewed.unwrap_or(held.asked) < LEASE_TICKS,
+            Rules::CallUntilExpiry => held.renewed.unwrap_or(held.requested_at) < LEASE_TICKS,
             _ => term.allows_call(now),
         }
     }
@@ -239,7 +239,9 @@
             match candidate.held {
                 // Both candidates watch the store.
                 None if self.lease.is_none() => ask(RequestKind::Take),
-                Some(held) if held.renewed.unwrap_or(held.asked) >= Self::RENEWAL_AGE_TICKS => {
+                Some(held)
+                    if held.renewed.unwrap_or(held.requested_at) >= Self::RENEWAL_AGE_TICKS =>
+                {
                     ask(RequestKind::Renew);
                 }
                 _ => {}
@@ -267,7 +269,7 @@
             Step::SendRequest(kind, processing, answering) => {
                 candidate.pending = Some(PendingRequest {
                     kind,
-                    asked: 0,
+                    requested_at: 0,
                     processed_in: Some(processing),
                     answer_in: answering.map(|answering| processing + answering),
                     done: false,
@@ -324,7 +326,7 @@
                 candidate.held = None;
                 candidate.pending = Some(PendingRequest {
                     kind: RequestKind::Release,
-                    asked: 0,
+                    requested_at: 0,
                     processed_in: Some(0),
                     answer_in: Some(0),
                     done: false,
@@ -403,15 +405,15 @@
             (RequestKind::Take, true) => {
                 candidate.held = Some(HeldGrant {
                     token_age: pending.token_age,
-                    asked: pending.asked,
-                    answered: 0,
+                    requested_at: pending.requested_at,
+                    granted_at: 0,
                     last_call: candidate.last_call,
                     renewed: None,
                 });
             }
             (RequestKind::Renew, true) => {
                 if let Some(held) = &mut candidate.held {
-                    held.renewed = Some(pending.asked);
+                    held.renewed = Some(pending.requested_at);
                 }
             }
             (RequestKind::Renew, false) => candidate.held = None,
@@ -455,18 +457,18 @@
             candidate.paused = candidate.paused.saturating_sub(1);
             candidate.last_call = Self::increment_age(candidate.last_call);
             if let Some(held) = &mut candidate.held {
-                held.asked = Self::increment_age(held.asked);
-                held.answered = Self::increment_age(held.answered);
+                held.requested_at = Self::increment_age(held.requested_at);
+                held.granted_at = Self::increment_age(held.granted_at);
                 held.last_call = Self::increment_age(held.last_call);
                 held.renewed = held.renewed.map(Self::increment_age);
-                if held.renewed.unwrap_or(held.asked) >= Self::MAX_AGE_TICKS {
+                if held.renewed.unwrap_or(held.requested_at) >= Self::MAX_AGE_TICKS {
                     candidate.held = None;
                 }
             }
             if let Some(pending) = &mut candidate.pending {
                 // A renewal that counts from its answer does not age while in flight.
                 if !(rules == Rules::RenewalFromAnswer && pending.kind == RequestKind::Renew) {
-                    pending.asked = Self::increment_age(pending.asked);
+                    pending.requested_at = Self::increment_age(pending.requested_at);
                 }
                 pending.processed_in = pending.processed_in.map(|left| left.saturating_sub(1));
                 pending.answer_in = pending.answer_in.map(|left| left.saturating_sub(1));
--- a/crates/serving/src/leader.rs
+++ b/crates/serving/src/leader.rs
@@ -180,7 +180,7 @@
     }
 
     async fn take(&self) -> Result<(Lease, LeaderTerm), StoreError> {
-        let asked = now();
+        let requested_at = now();
         let lease = self.store.grant(self.settings.lease).await?;
         let taken = self.store.take_lead(&self.settings.holder, lease).await;
         let fencing_token = match taken {
@@ -193,8 +193,8 @@
         let grant = Grant {
             fencing_token,
             life: lease.life,
-            asked,
-            answered: now(),
+            requested_at,
+            granted_at: now(),
             last_call: self.last_call(),
         };
         Ok((lease, LeaderTerm::new(&grant, self.settings.fencing)))
@@ -232,10 +232,10 @@
             if let Some(reason) = self.await_renewal(lease).await {
                 return reason;
             }
-            let asked = now();
+            let requested_at = now();
             match self.store.renew(lease).await {
                 Ok(()) => {
-                    term = term.renewed(asked);
+                    term = term.renewed(requested_at);
                     self.published.send_replace(Some(term));
                 }
                 Err(StoreError::LeaseOver) => return "lapsed",
