--- a/crates/fleet/src/leadership.rs
+++ b/crates/fleet/src/leadership.rs
@@ -10,8 +10,8 @@
 
 /// Time after which a call of the leader has arrived or is abandoned.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long before the store can let it expire a lease is regarded as over. Compensates for clocks
-/// that run at different speeds.
+/// A lease is regarded as over this long before the store may let it expire, because the clocks of
+/// two machines do not run at exactly the same speed.
 pub const SAFETY_MARGIN: Duration = Duration::from_millis(400);
 /// Where receivers do not check fencing tokens, a new holder waits this many lease durations before
 /// its first call, because a call of the previous holder may be delayed in the network.
@@ -57,7 +57,7 @@
     ///
     /// A daemon that was the leader before waits until a lease duration has passed since its last
     /// call. Otherwise, if another daemon was the leader in between, receivers could see calls
-    /// alternate between the two.
+    /// that alternate between the two.
     #[must_use]
     pub fn new(grant: &Grant, fencing: Fencing) -> Self {
         let wait = match fencing {
