--- a/crates/fleet/src/leadership.rs
+++ b/crates/fleet/src/leadership.rs
@@ -10,8 +10,8 @@
 
 /// Time after which a call of the leader has arrived or is abandoned.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long before the store can let it expire a lease is regarded as over. Compensates for clocks
-/// that run at different speeds.
+/// A lease is regarded as over this long before the store may let it expire, because the clocks of
+/// two machines do not run at exactly the same speed.
 pub const SAFETY_MARGIN: Duration = Duration::from_millis(400);
 /// Where receivers do not check fencing tokens, a new holder waits this many lease durations before
 /// its first call, because a call of the previous holder may be delayed in the network.
@@ -34,9 +34,9 @@
     /// Duration of the lease after the grant and after each renewal.
     pub life: Duration,
     /// Time when the lease was requested.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// Time when this daemon became the holder.
-    pub answered: Instant,
+    pub granted_at: Instant,
     /// Latest time at which this daemon may have sent a call before: its last call, or the start of
     /// its process, because an earlier process on the same machine may have been the leader.
     pub last_call: Instant,
@@ -57,7 +57,7 @@
     ///
     /// A daemon that was the leader before waits until a lease duration has passed since its last
     /// call. Otherwise, if another daemon was the leader in between, receivers could see calls
-    /// alternate between the two.
+    /// that alternate between the two.
     #[must_use]
     pub fn new(grant: &Grant, fencing: Fencing) -> Self {
         let wait = match fencing {
@@ -68,16 +68,16 @@
         Self {
             fencing_token: grant.fencing_token,
             life: grant.life,
-            begins: (grant.answered + wait).max(after_own_last_call),
-            ends: end_of(grant.asked, grant.life),
+            begins: (grant.granted_at + wait).max(after_own_last_call),
+            ends: end_of(grant.requested_at, grant.life),
         }
     }
 
-    /// Extends the term after a renewal whose call was sent at `asked`.
+    /// Extends the term after a renewal whose call was sent at `requested_at`.
     #[must_use]
-    pub fn renewed(self, asked: Instant) -> Self {
+    pub fn renewed(self, requested_at: Instant) -> Self {
         Self {
-            ends: end_of(asked, self.life),
+            ends: end_of(requested_at, self.life),
             ..self
         }
     }
@@ -95,6 +95,6 @@
     }
 }
 
-fn end_of(asked: Instant, life: Duration) -> Instant {
-    asked + life.saturating_sub(SAFETY_MARGIN)
+fn end_of(requested_at: Instant, life: Duration) -> Instant {
+    requested_at + life.saturating_sub(SAFETY_MARGIN)
 }
--- a/crates/serving/src/leader.rs
+++ b/crates/serving/src/leader.rs
@@ -186,7 +186,7 @@
     }
 
     async fn acquire_lease(&self) -> Result<(Lease, LeaderTerm), StoreError> {
-        let asked = now();
+        let requested_at = now();
         let lease = self.store.grant(self.settings.lease).await?;
         let acquired = self
             .store
@@ -202,8 +202,8 @@
         let grant = Grant {
             fencing_token,
             life: lease.life,
-            asked,
-            answered: now(),
+            requested_at,
+            granted_at: now(),
             last_call: self.last_call(),
         };
         Ok((lease, LeaderTerm::new(&grant, self.settings.fencing)))
@@ -241,10 +241,10 @@
             if let Some(reason) = self.wait_for_renewal(lease).await {
                 return reason;
             }
-            let asked = now();
+            let requested_at = now();
             match self.store.renew(lease).await {
                 Ok(()) => {
-                    term = term.renewed(asked);
+                    term = term.renewed(requested_at);
                     self.tenure_sender.send_replace(Some(term));
                 }
                 Err(StoreError::LeaseExpired) => return "lapsed",
