--- a/crates/serving/src/pipeline/guards.rs
+++ b/crates/serving/src/pipeline/guards.rs
@@ -150,7 +150,7 @@
         let pipeline = Arc::clone(&self.pipeline);
         let call = pipeline.dialect.release_handle(&self.handle);
         let source = self.source;
-        let most = self.max_connections;
+        let max_connections = self.max_connections;
         let spawner = Arc::clone(&pipeline.runtime.spawner);
         spawner.spawn(Box::pin(async move {
             if let Some(request) = call.request(source) {
@@ -161,7 +161,7 @@
                         .call(
                             SendPermit::control_call(),
                             source,
-                            most,
+                            max_connections,
                             request,
                             RELEASE_TIMEOUT,
                         )
