--- a/crates/serving/src/fleet_state/retained.rs
+++ b/crates/serving/src/fleet_state/retained.rs
@@ -78,7 +78,11 @@
             _ => false,
         };
         if has_changed {
-            tracing::info!(key = item.key, known_revision = %item.revision, "retained_value_received");
+            tracing::info!(
+                key = item.key,
+                known_revision = %item.revision,
+                "retained_value_received"
+            );
             self.retain(item, now);
         }
         has_changed
--- a/crates/serving/src/store.rs
+++ b/crates/serving/src/store.rs
@@ -89,7 +89,8 @@
 /// A value in the store that cannot be decoded.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error(
-    "the value of {key} at revision {revision} cannot be decoded: {problem}; the last valid one stays in force"
+    "the value of {key} at revision {revision} cannot be decoded: {problem}; \
+     the last valid one stays in force"
 )]
 pub struct Unreadable {
     /// Key in the store.
@@ -114,7 +115,8 @@
     HistoryCompacted,
     /// The store was restored from a backup after the requested revision.
     #[error(
-        "the store was restored from a backup and its revisions start again; all keys are read again"
+        "the store was restored from a backup and its revisions start again; \
+         all keys are read again"
     )]
     EraMismatch,
     /// The store was restored from a backup after it sent this answer.
