--- a/crates/serve/tests/announcements.rs
+++ b/crates/serve/tests/announcements.rs
@@ -81,7 +81,7 @@
     let is_during_backoff = |arrival: &Arrival| {
         arrivals.iter().any(|announcement| {
             let elapsed = arrival.at.saturating_duration_since(announcement.at);
-            announcement.sent_to_rest && announcement.from == arrival.from && elapsed > IN_FLIGHT_TIME && elapsed < backoff
+            announcement.has_retry_after && announcement.from == arrival.from && elapsed > IN_FLIGHT_TIME && elapsed < backoff
         })
     };
     arrivals
@@ -91,8 +91,8 @@
 }
 
 fn reject_with_backoff(engine: &EngineStandIn) {
-    engine.behave_always(Behaviour::Refuse);
-    engine.ask_for_rest(&[BACKOFF_TEXT]);
+    engine.set_default_behaviour(Behaviour::Refuse);
+    engine.set_retry_after(&[BACKOFF_TEXT]);
 }
 
 fn all_served(answers: &[Answer]) -> bool {
@@ -105,7 +105,7 @@
         let mut fleet = Fleet::new(FleetOptions::default());
         fleet.store.set_mode(mode);
         let draining = fleet.records[0].clone();
-        draining.say_leaving();
+        draining.announce_draining();
         let pause = Duration::from_millis(20);
         send_requests(&mut fleet, 0, 20, pause, plain_requests("first", "post"));
         assert!(!draining.arrivals().is_empty(), "it received requests at first");
@@ -130,7 +130,7 @@
         } else {
             fleet.decode[0].clone()
         };
-        draining.say_leaving();
+        draining.announce_draining();
         let pause = Duration::from_millis(20);
         send_requests(&mut fleet, 0, 20, pause, prompt_requests("first", "tag"));
         assert!(!draining.arrivals().is_empty(), "it received requests at first");
@@ -218,8 +218,8 @@
     let pause = Duration::from_millis(15);
     failed_rounds(&mut fleet, 100, pause);
     for engine in fleet.prefill[..2].iter().chain(&fleet.decode[..3]) {
-        engine.behave_always(Behaviour::Refuse);
-        engine.ask_for_rest(&["1"]);
+        engine.set_default_behaviour(Behaviour::Refuse);
+        engine.set_retry_after(&["1"]);
     }
     let failed = failed_rounds(&mut fleet, 700, pause);
     // In the first second the daemons do not know yet which engines asked for a backoff.
@@ -266,7 +266,7 @@
         let arrivals_after: usize = engines.iter().map(|engine| engine.arrivals().len()).sum();
         assert_eq!(arrivals_after, arrivals_before, "{route}: no request during the backoff");
         for engine in &engines {
-            engine.behave_well();
+            engine.clear_behaviours();
         }
         fleet.wait(BACKOFF);
         let answers = send_requests(&mut fleet, 0, 5, pause, request("after"));
@@ -283,9 +283,9 @@
 fn a_back_end_that_restarts_under_the_same_identity_gets_requests_again() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let draining = fleet.records[0].clone();
-    draining.start_again(1_000);
+    draining.start_new_incarnation(1_000);
     draining.record(&fleet.store, "ready");
-    draining.say_leaving();
+    draining.announce_draining();
     let pause = Duration::from_millis(20);
     send_requests(&mut fleet, 0, 20, pause, plain_requests("first", "post"));
     let since = virtual_now(&mut fleet);
@@ -296,9 +296,9 @@
     fleet.wait(Duration::from_millis(50));
     send_requests(&mut fleet, 0, 20, pause, plain_requests("written", "post"));
     assert_eq!(arrivals_since(&draining, since), [], "it is still draining");
-    draining.start_again(2_000);
+    draining.start_new_incarnation(2_000);
     draining.record(&fleet.store, "ready");
-    fleet.records[1].vanish(&fleet.store);
+    fleet.records[1].remove_entry(&fleet.store);
     fleet.wait(Duration::from_millis(50));
     let answers = send_requests(&mut fleet, 0, 20, pause, plain_requests("again", "post"));
     assert!(all_served(&answers), "it has restarted and is the only back end");
@@ -312,8 +312,8 @@
     });
     build_up_retry_budget(&mut fleet, prompt_requests("earn", "tag"));
     let engine = fleet.decode[0].clone();
-    engine.behave_always(Behaviour::Refuse);
-    engine.ask_for_rest(&["Wed, 21 Oct 2026 07:28:00 GMT", "soon", "-4", "NaN"]);
+    engine.set_default_behaviour(Behaviour::Refuse);
+    engine.set_retry_after(&["Wed, 21 Oct 2026 07:28:00 GMT", "soon", "-4", "NaN"]);
     let since = virtual_now(&mut fleet);
     let pause = Duration::from_millis(50);
     send_requests(&mut fleet, 0, 40, pause, prompt_requests("ask", "tag"));
@@ -346,5 +346,5 @@
     assert_eq!(decode_engine.arrivals(), []);
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     fleet.wait(Duration::from_millis(100));
-    assert_eq!(prefill_engine.freed_handles().len(), 1, "its handle is freed");
+    assert_eq!(prefill_engine.released_handles().len(), 1, "its handle is freed");
 }
--- a/crates/serve/tests/capacity.rs
+++ b/crates/serve/tests/capacity.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ponddrift_platform_stand_ins::{EngineOrderNote, EngineStandIn, ProviderMode};
+use ponddrift_platform_stand_ins::{ScalingRecord, EngineStandIn, ProviderMode};
 use support::{Fleet, MODELS, FleetOptions, configuration, routes};
 
 const OPTIONS: FleetOptions = FleetOptions {
@@ -57,7 +57,7 @@
     (fleet, engines)
 }
 
-fn engine_orders_of_kind(fleet: &Fleet, spot: bool) -> Vec<EngineOrderNote> {
+fn engine_orders_of_kind(fleet: &Fleet, spot: bool) -> Vec<ScalingRecord> {
     let engine_orders = fleet.provider.engine_orders().into_iter();
     engine_orders.filter(|order| order.spot == spot).collect()
 }
@@ -128,7 +128,7 @@
 #[test]
 fn an_order_whose_response_is_lost_is_repeated_with_the_same_count() {
     let (mut fleet, _engines) = fleet(OPTIONS);
-    fleet.provider.set_mode(ProviderMode::LosesAnswers);
+    fleet.provider.set_mode(ProviderMode::DropAnswers);
     fleet.wait(Duration::from_secs(12));
     let repeated_orders = engine_orders_of_kind(&fleet, true);
     assert!(repeated_orders.len() > 2, "the order is repeated");
--- a/crates/serve/tests/crashing_requests.rs
+++ b/crates/serve/tests/crashing_requests.rs
@@ -271,7 +271,7 @@
 #[test]
 fn a_quarantine_stays_in_force_and_is_stored_again_after_the_store_is_restored_from_an_older_copy() {
     let mut fleet = crashing_fleet(fleet_options());
-    fleet.store.name_era(1);
+    fleet.store.set_era(1);
     fleet.wait(Duration::from_secs(1));
     let copy = fleet.store.copy();
     let repetitions = Repetitions {
@@ -281,7 +281,7 @@
     send_repeatedly(&mut fleet, repetitions, crashing_request);
     fleet.wait(Duration::from_secs(1));
     assert_eq!(fleet.store.keys("ponddrift/quarantine/").len(), 1);
-    fleet.store.come_back_from(&copy);
+    fleet.store.restore_from(&copy);
     fleet.wait(Duration::from_secs(4));
     let few_repetitions = Repetitions {
         count: 4,
@@ -296,7 +296,7 @@
 #[test]
 fn a_quarantine_ended_by_an_operator_stays_ended_after_the_store_is_restored_from_an_older_copy() {
     let mut fleet = crashing_fleet(fleet_options());
-    fleet.store.name_era(1);
+    fleet.store.set_era(1);
     let repetitions = Repetitions {
         count: 30,
         interval: Duration::from_millis(100),
@@ -310,7 +310,7 @@
     let keys = fleet.store.keys("ponddrift/quarantine/");
     fleet.store.remove(&keys[0]);
     fleet.wait(Duration::from_secs(1));
-    fleet.store.come_back_from(&copy);
+    fleet.store.restore_from(&copy);
     fleet.wait(Duration::from_secs(2));
     let few_repetitions = Repetitions {
         count: 4,
@@ -345,7 +345,7 @@
 fn a_popular_request_is_served_after_all_engines_failed_at_once() {
     let mut fleet = Fleet::new(fleet_options());
     for engine in &fleet.decode {
-        engine.behave_always(Behaviour::Hang);
+        engine.set_default_behaviour(Behaviour::Hang);
     }
     let simulation = fleet.simulation.handle();
     let engines = fleet.decode_engines_and_hosts();
@@ -371,8 +371,8 @@
         sleep(RESTART_DELAY).await;
         for (engine, host) in &engines {
             store.remove(&engine.key());
-            engine.has_crashed();
-            engine.behave_well();
+            engine.record_crash();
+            engine.clear_behaviours();
             engine.record(&store, "ready");
             simulation.restart(*host);
         }
@@ -402,7 +402,7 @@
     let daemons: Vec<HostId> = fleet.daemons.iter().map(|daemon| daemon.host).collect();
     let engines = fleet.decode_hosts.clone();
     for engine in &fleet.decode {
-        engine.behave_always(Behaviour::Hang);
+        engine.set_default_behaviour(Behaviour::Hang);
     }
     for round in 0..4 {
         let client = fleet.client.clone();
@@ -418,7 +418,7 @@
         fleet.wait(Duration::from_secs(1));
     }
     for engine in &fleet.decode {
-        engine.behave_well();
+        engine.clear_behaviours();
     }
     fleet.wait(Duration::from_secs(8));
     let repetitions = Repetitions {
--- a/crates/serve/tests/fleet_changes.rs
+++ b/crates/serve/tests/fleet_changes.rs
@@ -35,7 +35,7 @@
         if is_draining {
             fleet.records[0].record(&fleet.store, "draining");
         } else {
-            fleet.records[0].vanish(&fleet.store);
+            fleet.records[0].remove_entry(&fleet.store);
         }
         fleet.wait(Duration::from_millis(50));
         for number in 0..10 {
@@ -56,7 +56,7 @@
     let handle = fleet.simulation.handle();
     handle.freeze(store_host);
     fleet.records[0].record(&fleet.store, "draining");
-    fleet.store.drop_history();
+    fleet.store.compact_history();
     fleet.wait(Duration::from_millis(200));
     handle.thaw(store_host);
     fleet.wait(Duration::from_millis(1_500));
@@ -75,7 +75,7 @@
     fleet.store.set_mode(StoreMode::Busy);
     fleet.wait(Duration::from_secs(4));
     for engine in &fleet.records {
-        engine.vanish(&fleet.store);
+        engine.remove_entry(&fleet.store);
     }
     fleet.store.set_mode(StoreMode::Up);
     fleet.wait(Duration::from_millis(600));
@@ -160,7 +160,7 @@
 fn a_graceful_stop_completes_its_requests_and_is_not_ready_at_once() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
-        engine.behave_always(Behaviour::Stream {
+        engine.set_default_behaviour(Behaviour::Stream {
             events: 20,
             gap_ms: 100,
         });
@@ -187,7 +187,7 @@
 fn a_stopping_daemon_closes_connections_and_later_refuses_requests_at_once() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
-        engine.behave_always(Behaviour::Stream {
+        engine.set_default_behaviour(Behaviour::Stream {
             events: 40,
             gap_ms: 100,
         });
@@ -306,7 +306,7 @@
         ..FleetOptions::default()
     });
     let engine = fleet.decode[0].clone();
-    engine.behave_always(Behaviour::Stream {
+    engine.set_default_behaviour(Behaviour::Stream {
         events: 20,
         gap_ms: 100,
     });
@@ -316,7 +316,7 @@
         let request = with_long_deadline(ClientRequest::prompt("1", "verdict", 40, 200));
         let (answer, ()) = tokio::join!(client.ask(daemon.callers_address, &request), async {
             sleep(Duration::from_millis(500)).await;
-            engine.vanish(&store);
+            engine.remove_entry(&store);
         });
         answer.expect("a response")
     });
--- a/crates/serve/tests/hostile_peers.rs
+++ b/crates/serve/tests/hostile_peers.rs
@@ -142,7 +142,7 @@
 #[test]
 fn an_era_that_only_a_peer_names_has_no_lasting_effect() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    fleet.store.name_era(1);
+    fleet.store.set_era(1);
     fleet.wait(Duration::from_secs(2));
     let before = fleet.store.pages_read().len();
     let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
@@ -194,12 +194,12 @@
 fn changes_from_a_build_without_eras_apply_only_in_the_first_era() {
     for restores in [0, 1] {
         let mut fleet = Fleet::new(FleetOptions::default());
-        fleet.store.name_era(1);
+        fleet.store.set_era(1);
         fleet.wait(Duration::from_secs(2));
         let known_revision = fleet.store.revision();
         if restores > 0 {
             let copy = fleet.store.copy();
-            fleet.store.come_back_from(&copy);
+            fleet.store.restore_from(&copy);
             fleet.wait(Duration::from_secs(2));
         }
         let (_host, runtime) = fleet.simulation.add_client(host_spec("stranger", [10, 0, 3, 9]));
--- a/crates/serve/tests/neighbours.rs
+++ b/crates/serve/tests/neighbours.rs
@@ -147,7 +147,7 @@
     fleet.store.set_mode(StoreMode::Busy);
     fleet.wait(Duration::from_secs(4));
     for engine in &fleet.records {
-        engine.vanish(&fleet.store);
+        engine.remove_entry(&fleet.store);
     }
     fleet.store.set_mode(StoreMode::Up);
     fleet.wait(Duration::from_millis(600));
--- a/crates/serve/tests/orders.rs
+++ b/crates/serve/tests/orders.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ponddrift_platform_stand_ins::{ClientRequest, OrderNote, StoreMode};
+use ponddrift_platform_stand_ins::{ClientRequest, OrderRecord, StoreMode};
 use support::{Fleet, FleetOptions};
 use tokio::time::sleep;
 
@@ -43,14 +43,14 @@
     });
 }
 
-fn orders(fleet: &Fleet) -> Vec<OrderNote> {
+fn orders(fleet: &Fleet) -> Vec<OrderRecord> {
     let engines = fleet.prefill.iter().chain(&fleet.decode);
-    let mut orders: Vec<OrderNote> = engines.flat_map(|engine| engine.orders()).collect();
+    let mut orders: Vec<OrderRecord> = engines.flat_map(|engine| engine.orders()).collect();
     orders.sort_by_key(|order| order.at);
     orders
 }
 
-fn assert_one_leader_at_a_time(orders: &[OrderNote]) {
+fn assert_one_leader_at_a_time(orders: &[OrderRecord]) {
     for pair in orders.windows(2) {
         if pair[0].holder != pair[1].holder {
             assert!(pair[1].fence > pair[0].fence, "{pair:?}");
@@ -109,15 +109,15 @@
 #[test]
 fn orders_in_the_next_era_have_higher_tokens_and_never_overlap_with_earlier_ones() {
     let mut fleet = Fleet::new(OPTIONS);
-    fleet.store.name_era(1);
-    let copy = fleet.store.copy().from_before("ponddrift/");
+    fleet.store.set_era(1);
+    let copy = fleet.store.copy().without_prefix("ponddrift/");
     send_long_prompts(&mut fleet, Duration::from_secs(15));
     let orders_before = orders(&fleet).len();
     assert!(orders_before > 0, "orders were given before the restore");
-    fleet.store.come_back_from(&copy);
+    fleet.store.restore_from(&copy);
     send_long_prompts(&mut fleet, Duration::from_secs(1));
     for engine in fleet.prefill.iter().chain(&fleet.decode) {
-        engine.vanish(&fleet.store);
+        engine.remove_entry(&fleet.store);
         engine.record(&fleet.store, "ready");
     }
     send_long_prompts(&mut fleet, Duration::from_secs(40));
@@ -134,8 +134,8 @@
 fn the_next_leader_waits_for_one_that_does_not_see_the_restore_of_the_store() {
     for seconds in [9, 10, 11, 12, 13, 14] {
         let mut fleet = Fleet::new(OPTIONS);
-        fleet.store.name_era(1);
-        let copy = fleet.store.copy().from_before("ponddrift/");
+        fleet.store.set_era(1);
+        let copy = fleet.store.copy().without_prefix("ponddrift/");
         send_long_prompts(&mut fleet, Duration::from_secs(seconds));
         let orders_before = orders(&fleet);
         let Some(first_leader) = orders_before.last().map(|order| order.holder.clone()) else {
@@ -147,7 +147,7 @@
         for other in (0..3).filter(|other| *other != leader_index) {
             handle.cut(fleet.daemons[leader_index].host, fleet.daemons[other].host);
         }
-        fleet.store.come_back_from(&copy);
+        fleet.store.restore_from(&copy);
         send_long_prompts(&mut fleet, Duration::from_secs(10));
         handle.heal_all();
         send_long_prompts(&mut fleet, Duration::from_secs(10));
@@ -169,7 +169,7 @@
 fn an_order_without_a_response_is_not_soon_repeated() {
     let mut fleet = Fleet::new(OPTIONS);
     for engine in &fleet.decode {
-        engine.lose_order_answers();
+        engine.drop_order_answers();
     }
     send_long_prompts(&mut fleet, Duration::from_secs(14));
     for engine in &fleet.decode {
@@ -195,7 +195,7 @@
         .zip(&ordered_before)
         .filter(|(_, ordered)| **ordered)
     {
-        engine.say_leaving();
+        engine.announce_draining();
     }
     send_long_prompts(&mut fleet, Duration::from_secs(20));
     let ordered_after = engines_with_orders(&fleet);
--- a/crates/serve/tests/overload.rs
+++ b/crates/serve/tests/overload.rs
@@ -54,7 +54,7 @@
         ..FleetOptions::default()
     });
     for engine in fleet.prefill.iter().chain(&fleet.decode) {
-        engine.behave_always(Behaviour::Hang);
+        engine.set_default_behaviour(Behaviour::Hang);
     }
     fleet
 }
@@ -96,9 +96,9 @@
     let mut fleet = fleet_with_hanging_engines();
     let prefill_engine = fleet.prefill[0].clone();
     send_prompts(&mut fleet, 30, 4_000);
-    prefill_engine.behave_well();
+    prefill_engine.clear_behaviours();
     for engine in &fleet.decode {
-        engine.behave_well();
+        engine.clear_behaviours();
     }
     fleet.wait(Duration::from_secs(6));
     let client = fleet.client.clone();
--- a/crates/serve/tests/rate_limits.rs
+++ b/crates/serve/tests/rate_limits.rs
@@ -141,7 +141,7 @@
 /// Sets the limit at one engine, applies the load and checks that neither too many nor too few
 /// requests reach the engine.
 fn check_limit(fleet: &mut Fleet, engine: &EngineStandIn, load: Load) {
-    engine.limit_rate(&[RATE_LIMIT_TEXT]);
+    engine.set_rate_limit(&[RATE_LIMIT_TEXT]);
     let started_at = virtual_now(fleet);
     let statuses = apply_load(fleet, "limited", load);
     assert_eq!(failed_count(&statuses), 0, "other engines serve");
@@ -212,7 +212,7 @@
         // The daemons must discover each other first.
         fleet.wait(Duration::from_secs(3));
         let engine = fleet.records[0].clone();
-        engine.limit_rate(&["0.1"]);
+        engine.set_rate_limit(&["0.1"]);
         ask(&mut fleet, 0, &ClientRequest::plain("first", "fetch"));
         fleet.wait(Duration::from_millis(500));
         let served = fleet.ask_each_daemon("others");
@@ -229,7 +229,7 @@
         ..FleetOptions::default()
     });
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&["0.1"]);
+    engine.set_rate_limit(&["0.1"]);
     ask(&mut fleet, 0, &ClientRequest::plain("first", "fetch"));
     (fleet, engine)
 }
@@ -299,9 +299,9 @@
 fn a_limit_ends_when_responses_no_longer_announce_it() {
     let mut fleet = fleet_of(9, 3);
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&[RATE_LIMIT_TEXT]);
+    engine.set_rate_limit(&[RATE_LIMIT_TEXT]);
     apply_load(&mut fleet, "limited", Load::plain(Duration::from_secs(5)));
-    engine.limit_rate(&[]);
+    engine.set_rate_limit(&[]);
     let lifted_at = virtual_now(&mut fleet);
     let statuses = apply_load(&mut fleet, "lifted", Load::plain(Duration::from_secs(5)));
     assert_eq!(failed_count(&statuses), 0);
@@ -316,7 +316,7 @@
 fn a_rate_limit_of_zero_allows_one_request_in_ten_seconds() {
     let mut fleet = fleet_of(3, 1);
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&["0"]);
+    engine.set_rate_limit(&["0"]);
     apply_load(&mut fleet, "first", Load::plain(Duration::from_secs(1)));
     let since = virtual_now(&mut fleet);
     let statuses = apply_load(&mut fleet, "later", Load::plain(Duration::from_secs(12)));
@@ -329,12 +329,12 @@
 fn invalid_rates_are_ignored_and_the_lowest_of_several_applies() {
     let mut fleet = fleet_of(1, 1);
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&["", "soon", "-1", "NaN", "inf", "1,5"]);
+    engine.set_rate_limit(&["", "soon", "-1", "NaN", "inf", "1,5"]);
     let since = virtual_now(&mut fleet);
     apply_load(&mut fleet, "odd", Load::plain(Duration::from_secs(2)));
     let arrivals = arrivals_since(&engine, since);
     assert!(arrivals > 100, "none of the values is a limit: {arrivals}");
-    engine.limit_rate(&["40", "2", "many"]);
+    engine.set_rate_limit(&["40", "2", "many"]);
     apply_load(&mut fleet, "several", Load::plain(Duration::from_secs(1)));
     let since = virtual_now(&mut fleet);
     apply_load(&mut fleet, "lowest", Load::plain(Duration::from_secs(5)));
@@ -353,7 +353,7 @@
     });
     let engines = fleet.records.clone();
     for engine in &engines {
-        engine.limit_rate(&["20"]);
+        engine.set_rate_limit(&["20"]);
     }
     let load = Load {
         per_second: 200,
@@ -421,12 +421,12 @@
             let short = async {
                 sleep(Duration::from_millis(100)).await;
                 match announcement {
-                    Announcement::Draining => announcing_engine.say_leaving(),
+                    Announcement::Draining => announcing_engine.announce_draining(),
                     Announcement::Backoff => {
-                        announcing_engine.behave_next(&[Behaviour::Refuse]);
-                        announcing_engine.ask_for_rest(&["5"]);
+                        announcing_engine.queue_behaviours(&[Behaviour::Refuse]);
+                        announcing_engine.set_retry_after(&["5"]);
                     }
-                    Announcement::ZeroRate => announcing_engine.limit_rate(&["0"]),
+                    Announcement::ZeroRate => announcing_engine.set_rate_limit(&["0"]),
                 }
                 let request = ClientRequest::prompt("short", "tag", 0, 20);
                 client.ask(target, &request).await
@@ -454,7 +454,7 @@
 fn a_back_end_gets_no_more_than_its_limit_while_daemons_freeze_and_resume() {
     let mut fleet = fleet_of(9, 3);
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&[RATE_LIMIT_TEXT]);
+    engine.set_rate_limit(&[RATE_LIMIT_TEXT]);
     let started_at = virtual_now(&mut fleet);
     let handle = fleet.simulation.handle();
     let hosts: Vec<_> = fleet.daemons.iter().map(|daemon| daemon.host).collect();
@@ -479,7 +479,7 @@
 fn the_two_sides_of_a_partition_together_keep_the_limit() {
     let mut fleet = fleet_of(9, 2);
     let engine = fleet.records[0].clone();
-    engine.limit_rate(&[RATE_LIMIT_TEXT]);
+    engine.set_rate_limit(&[RATE_LIMIT_TEXT]);
     let started_at = virtual_now(&mut fleet);
     apply_load(&mut fleet, "whole", Load::plain(Duration::from_secs(4)));
     // The limit is shared by the daemons in the zone of the engine, which have even numbers.
--- a/crates/serve/tests/recovery.rs
+++ b/crates/serve/tests/recovery.rs
@@ -90,7 +90,7 @@
     restart_daemon(&mut fleet);
     fleet.wait(SLOW_ANSWER * 3 / 2);
     for engine in &fleet.records {
-        engine.vanish(&fleet.store);
+        engine.remove_entry(&fleet.store);
     }
     fleet.wait(SLOW_ANSWER * 8);
     assert_eq!(
@@ -274,7 +274,7 @@
         handle.freeze(daemon.host);
     }
     fleet.configure(2, &support::routes()[..1]);
-    fleet.store.drop_history();
+    fleet.store.compact_history();
     fleet.wait(Duration::from_secs(2));
     for daemon in &fleet.daemons {
         handle.thaw(daemon.host);
--- a/crates/serve/tests/requests.rs
+++ b/crates/serve/tests/requests.rs
@@ -56,13 +56,13 @@
 #[test]
 fn an_unsafe_request_runs_once_even_if_its_response_is_lost_or_invalid() {
     for behaviour in [
-        Behaviour::LoseAnswer,
-        Behaviour::BreakOff,
-        Behaviour::AnswerAnother,
+        Behaviour::DropAnswer,
+        Behaviour::TruncateAnswer,
+        Behaviour::AnswerWrongRequest,
     ] {
         let mut fleet = Fleet::new(FleetOptions::default());
         for engine in &fleet.records {
-            engine.behave_always(behaviour);
+            engine.set_default_behaviour(behaviour);
         }
         let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
         assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{behaviour:?}");
@@ -74,7 +74,7 @@
 fn an_unsafe_request_that_hangs_gets_504_at_its_deadline() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
-        engine.behave_always(Behaviour::Hang);
+        engine.set_default_behaviour(Behaviour::Hang);
     }
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
@@ -86,12 +86,12 @@
     let mut fleet = Fleet::new(FleetOptions::default());
     build_up_retry_budget(&mut fleet, "fetch", 12);
     let runs_before = total_runs(&fleet.records);
-    fleet.records[0].behave_next(&[Behaviour::Refuse]);
-    fleet.records[1].behave_next(&[Behaviour::Refuse]);
+    fleet.records[0].queue_behaviours(&[Behaviour::Refuse]);
+    fleet.records[1].queue_behaviours(&[Behaviour::Refuse]);
     let answer = ask(&mut fleet, &ClientRequest::plain("1", "post"));
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(total_runs(&fleet.records), runs_before);
-    fleet.records[0].behave_next(&[Behaviour::Refuse]);
+    fleet.records[0].queue_behaviours(&[Behaviour::Refuse]);
     let answers = [
         ask(&mut fleet, &ClientRequest::plain("2", "post")),
         ask(&mut fleet, &ClientRequest::plain("3", "post")),
@@ -115,7 +115,7 @@
 fn a_failed_run_is_retried_elsewhere_only_if_the_route_allows_it() {
     let mut fleet = Fleet::new(FleetOptions::default());
     build_up_retry_budget(&mut fleet, "fetch", 12);
-    fleet.records[0].behave_always(Behaviour::Fail);
+    fleet.records[0].set_default_behaviour(Behaviour::Fail);
     for number in 0..6 {
         let answer = ask(
             &mut fleet,
@@ -123,7 +123,7 @@
         );
         assert_eq!(answer.status, StatusCode::OK);
     }
-    fleet.records[1].behave_always(Behaviour::Fail);
+    fleet.records[1].set_default_behaviour(Behaviour::Fail);
     let runs_before = total_runs(&fleet.records);
     let answer = ask(&mut fleet, &ClientRequest::plain("once", "post"));
     assert_eq!(answer.status, StatusCode::INTERNAL_SERVER_ERROR);
@@ -135,7 +135,7 @@
 fn retries_stay_within_the_budget_while_every_back_end_fails() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
-        engine.behave_always(Behaviour::Fail);
+        engine.set_default_behaviour(Behaviour::Fail);
     }
     const REQUESTS: usize = 60;
     for number in 0..REQUESTS {
@@ -154,14 +154,14 @@
     let mut fleet = Fleet::new(FleetOptions::default());
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     for engine in fleet.records.iter().chain(&fleet.decode) {
-        engine.behave_always(Behaviour::Hang);
+        engine.set_default_behaviour(Behaviour::Hang);
     }
     fleet.run(async move {
         let plain_request = ClientRequest::plain("1", "post");
         let disconnect_after = Duration::from_millis(100);
-        client.ask_and_leave(target, &plain_request, disconnect_after).await;
+        client.ask_then_disconnect(target, &plain_request, disconnect_after).await;
         let stream_request = ClientRequest::prompt("2", "tag", 40, 200);
-        client.ask_and_leave(target, &stream_request, disconnect_after).await;
+        client.ask_then_disconnect(target, &stream_request, disconnect_after).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     for engines in [&fleet.records, &fleet.decode] {
@@ -176,7 +176,7 @@
     let mut fleet = Fleet::new(FleetOptions::default());
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     for engine in &fleet.decode {
-        engine.behave_always(Behaviour::Stream {
+        engine.set_default_behaviour(Behaviour::Stream {
             events: 50,
             gap_ms: 40,
         });
@@ -184,7 +184,7 @@
     fleet.run(async move {
         let stream_request = ClientRequest::prompt("2", "verdict", 40, 200);
         let disconnect_after = Duration::from_millis(300);
-        client.ask_and_leave(target, &stream_request, disconnect_after).await;
+        client.ask_then_disconnect(target, &stream_request, disconnect_after).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     let runs: Vec<_> = fleet.decode.iter().flat_map(EngineStandIn::runs).collect();
@@ -237,7 +237,7 @@
 fn a_daemon_at_its_request_limit_refuses_at_once_and_nothing_runs() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
-        engine.behave_always(Behaviour::Hang);
+        engine.set_default_behaviour(Behaviour::Hang);
     }
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     let response = fleet.run(async move {
--- a/crates/serve/tests/restored_store.rs
+++ b/crates/serve/tests/restored_store.rs
@@ -11,7 +11,7 @@
 
 use futures::future::join_all;
 use http::StatusCode;
-use ponddrift_platform_stand_ins::{ClientRequest, StoreCopy, StoreMode, UsageNote};
+use ponddrift_platform_stand_ins::{ClientRequest, StoreCopy, StoreMode, UsageRecord};
 use support::{Fleet, FleetOptions, routes};
 
 /// Fleet sizes: all daemons watch the store; two watch it for the others; three zones, each of
@@ -32,7 +32,7 @@
         zones: if daemons > 24 { 3 } else { 1 },
         ..FleetOptions::default()
     });
-    fleet.store.name_era(FIRST_ERA);
+    fleet.store.set_era(FIRST_ERA);
     fleet.wait(Duration::from_secs(6));
     fleet
 }
@@ -48,7 +48,7 @@
 fn restore_after_outage(fleet: &mut Fleet, copy: &StoreCopy) {
     fleet.store.set_mode(StoreMode::Silent);
     fleet.wait(OUTAGE);
-    fleet.store.come_back_from(copy);
+    fleet.store.restore_from(copy);
     fleet.store.set_mode(StoreMode::Up);
 }
 
@@ -142,7 +142,7 @@
         write_versions(&mut fleet, 2..=20);
         fleet.store.set_mode(StoreMode::Silent);
         fleet.wait(OUTAGE);
-        fleet.store.come_back_from(&copy);
+        fleet.store.restore_from(&copy);
         write_changes(&fleet, 21);
         for number in 0..20 {
             fleet.store.put("op/note", number.to_string());
@@ -161,7 +161,7 @@
             let mut fleet = fleet_of(daemons);
             let copy = fleet.store.copy();
             write_versions(&mut fleet, 2..=20);
-            fleet.store.come_back_from(&copy);
+            fleet.store.restore_from(&copy);
             write_changes(&fleet, 21);
             if passes_old_position {
                 for number in 0..20 {
@@ -216,7 +216,7 @@
     for daemons in FLEET_SIZES {
         let mut fleet = fleet_of(daemons);
         let copy = fleet.store.copy();
-        fleet.records[0].vanish(&fleet.store);
+        fleet.records[0].remove_entry(&fleet.store);
         fleet.wait(Duration::from_secs(1));
         restore_after_outage(&mut fleet, &copy);
         fleet.wait(Duration::from_secs(1));
@@ -224,7 +224,7 @@
         assert_eq!(count(&statuses, StatusCode::OK), statuses.len());
         assert_eq!(fleet.records[0].arrivals().len(), 0, "{daemons} daemons");
         // Its next incarnation gets requests.
-        fleet.records[0].start_again(2_000);
+        fleet.records[0].start_new_incarnation(2_000);
         fleet.records[0].record(&fleet.store, "ready");
         fleet.wait(APPLY_TIME);
         send_safe_requests(&mut fleet, "again");
@@ -249,7 +249,7 @@
             .set_mode(StoreMode::Slow(Duration::from_millis(150)));
         fleet.simulation.handle().restart(fleet.daemons[0].host);
         fleet.wait(Duration::from_millis(moment_ms));
-        fleet.store.come_back_from(&copy);
+        fleet.store.restore_from(&copy);
         write_changes(&fleet, 21);
         fleet.store.set_mode(StoreMode::Up);
         fleet.wait(APPLY_TIME);
@@ -281,7 +281,7 @@
 fn servers_missing_from_an_older_copy_are_not_removed_at_once() {
     for daemons in FLEET_SIZES {
         let mut fleet = fleet_of(daemons);
-        let copy = fleet.store.copy().from_before("servers/");
+        let copy = fleet.store.copy().without_prefix("servers/");
         fleet.wait(Duration::from_secs(1));
         restore_after_outage(&mut fleet, &copy);
         fleet.wait(Duration::from_millis(1_000));
@@ -310,7 +310,7 @@
 fn daemons_write_their_keys_again_if_an_older_copy_lacks_them() {
     for daemons in FLEET_SIZES {
         let mut fleet = fleet_of(daemons);
-        let copy = fleet.store.copy().from_before("ponddrift/");
+        let copy = fleet.store.copy().without_prefix("ponddrift/");
         restore_after_outage(&mut fleet, &copy);
         fleet.wait(Duration::from_secs(5));
         for _ in 0..4 {
@@ -325,7 +325,7 @@
 #[test]
 fn daemons_write_their_keys_again_in_time_if_the_store_accepts_few_writes_per_second() {
     let mut fleet = fleet_of(95);
-    let copy = fleet.store.copy().from_before("ponddrift/daemons/");
+    let copy = fleet.store.copy().without_prefix("ponddrift/daemons/");
     restore_after_outage(&mut fleet, &copy);
     fleet.store.limit_writes(20);
     // Daemons whose keys are missing count as members for 20 s.
@@ -339,7 +339,7 @@
     fleet.wait(Duration::from_secs(8));
     let listed = fleet.store.keys("ponddrift/distributors/");
     assert_eq!(listed.len(), 3);
-    let copy = fleet.store.copy().from_before("ponddrift/distributors/");
+    let copy = fleet.store.copy().without_prefix("ponddrift/distributors/");
     restore_after_outage(&mut fleet, &copy);
     fleet.wait(Duration::from_secs(14));
     assert_eq!(fleet.store.keys("ponddrift/distributors/"), listed);
@@ -350,8 +350,8 @@
 #[test]
 fn no_lease_of_an_earlier_era_is_renewed_or_ended() {
     let mut fleet = fleet_of(9);
-    let copy = fleet.store.copy().from_before("ponddrift/");
-    fleet.store.come_back_from(&copy);
+    let copy = fleet.store.copy().without_prefix("ponddrift/");
+    fleet.store.restore_from(&copy);
     fleet.wait(Duration::from_secs(5));
     let handle = fleet.simulation.handle();
     handle.kill(fleet.daemons[4].host);
@@ -367,7 +367,7 @@
         let copy = fleet.store.copy();
         write_versions(&mut fleet, 2..=20);
         let before = fleet.store.calls();
-        fleet.store.come_back_from(&copy);
+        fleet.store.restore_from(&copy);
         fleet.wait(Duration::from_secs(4));
         let calls = fleet.store.calls() - before;
         // Each daemon: up to two pages and two watches, a lease and its key, two renewals. The two
@@ -382,7 +382,7 @@
 }
 
 /// Asserts that fencing tokens never decrease and that each belongs to one leader.
-fn assert_tokens_never_decrease(notes: &[UsageNote]) {
+fn assert_tokens_never_decrease(notes: &[UsageRecord]) {
     for pair in notes.windows(2) {
         assert!(pair[1].fence >= pair[0].fence, "{pair:?}");
         if pair[0].fence == pair[1].fence {
@@ -392,7 +392,7 @@
 }
 
 /// Asserts that no window is missing and that none was reported with different figures.
-fn assert_complete_and_consistent_windows(notes: &[UsageNote]) {
+fn assert_complete_and_consistent_windows(notes: &[UsageRecord]) {
     let mut windows: BTreeMap<u64, &BTreeMap<String, u64>> = BTreeMap::new();
     for note in notes.iter().filter(|note| note.taken) {
         if let Some(before) = windows.insert(note.window, &note.counts) {
@@ -415,8 +415,8 @@
         reports_usage: true,
         ..FleetOptions::default()
     });
-    fleet.store.name_era(FIRST_ERA);
-    let copy = fleet.store.copy().from_before("ponddrift/");
+    fleet.store.set_era(FIRST_ERA);
+    let copy = fleet.store.copy().without_prefix("ponddrift/");
     fleet.wait(Duration::from_secs(16));
     let first_leader = fleet.last_reporter();
     // A second leader, whose token is higher than the revisions after the restore.
--- a/crates/serve/tests/retry_pool.rs
+++ b/crates/serve/tests/retry_pool.rs
@@ -26,7 +26,7 @@
     // Each daemon earns a sixth of a retry.
     assert_eq!(fleet.ask_each_daemon("good"), usize::from(DAEMONS));
     fleet.wait(Duration::from_millis(1_500));
-    fleet.records[0].behave_next(&[Behaviour::Fail, Behaviour::Fail]);
+    fleet.records[0].queue_behaviours(&[Behaviour::Fail, Behaviour::Fail]);
     assert_eq!(fleet.ask_each_daemon("bad"), usize::from(DAEMONS));
 }
 
@@ -36,7 +36,7 @@
     assert_eq!(fleet.ask_each_daemon("good"), usize::from(DAEMONS));
     fleet.wait(Duration::from_millis(1_500));
     for engine in &fleet.records {
-        engine.behave_always(Behaviour::Fail);
+        engine.set_default_behaviour(Behaviour::Fail);
     }
     let runs_before: usize = fleet.records.iter().map(|engine| engine.runs().len()).sum();
     for round in 0..5 {
@@ -59,7 +59,7 @@
         handle.freeze(daemon.host);
     }
     for engine in &fleet.records {
-        engine.behave_always(Behaviour::Fail);
+        engine.set_default_behaviour(Behaviour::Fail);
     }
     let client = fleet.client.clone();
     let target = fleet.daemons[0].callers_address;
--- a/crates/serve/tests/silent_connections.rs
+++ b/crates/serve/tests/silent_connections.rs
@@ -39,7 +39,7 @@
 fn at_most_one_request_waits_for_silent_engine_connections_and_it_is_served_elsewhere() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
-        engine.tell_keep_alive(60);
+        engine.set_keep_alive(60);
     }
     send_concurrent_requests(&mut fleet, 12);
     let handle = fleet.simulation.handle();
--- a/crates/serve/tests/streams.rs
+++ b/crates/serve/tests/streams.rs
@@ -60,13 +60,13 @@
     assert_eq!(runs.len(), 1);
     let source = runs[0].source.clone().expect("decoded from a handle");
     assert!(source.ends_with("/h-1"), "{source}");
-    assert!(fleet.prefill[0].freed_handles().is_empty(), "the decode engine took it");
+    assert!(fleet.prefill[0].released_handles().is_empty(), "the decode engine took it");
 }
 
 #[test]
 fn without_a_prefill_engine_the_decode_engine_prefills() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    fleet.prefill[0].vanish(&fleet.store);
+    fleet.prefill[0].remove_entry(&fleet.store);
     fleet.wait(Duration::from_millis(100));
     let answer = ask(
         &mut fleet,
@@ -78,11 +78,11 @@
 
 #[test]
 fn a_failed_prefill_does_not_fail_the_request_or_count_as_a_run() {
-    for behaviour in [Behaviour::Refuse, Behaviour::Fail, Behaviour::LoseAnswer] {
+    for behaviour in [Behaviour::Refuse, Behaviour::Fail, Behaviour::DropAnswer] {
         let mut fleet = Fleet::new(FleetOptions::default());
         build_up_retry_budget(&mut fleet);
         let before: usize = fleet.decode.iter().map(|engine| engine.runs().len()).sum();
-        fleet.prefill[0].behave_always(behaviour);
+        fleet.prefill[0].set_default_behaviour(behaviour);
         let answer = ask(
             &mut fleet,
             &ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900),
@@ -97,16 +97,16 @@
 fn a_caller_that_disconnects_between_prefill_and_decode_frees_the_handle() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
-        engine.behave_always(Behaviour::Hang);
+        engine.set_default_behaviour(Behaviour::Hang);
     }
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
         let request = ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900);
         let disconnect_after = Duration::from_millis(300);
-        client.ask_and_leave(target, &request, disconnect_after).await;
+        client.ask_then_disconnect(target, &request, disconnect_after).await;
         tokio::time::sleep(Duration::from_millis(200)).await;
     });
-    assert_eq!(fleet.prefill[0].freed_handles(), ["h-1"]);
+    assert_eq!(fleet.prefill[0].released_handles(), ["h-1"]);
 }
 
 #[test]
@@ -114,11 +114,11 @@
     let mut fleet = Fleet::new(FleetOptions::default());
     build_up_retry_budget(&mut fleet);
     for engine in &fleet.decode {
-        engine.behave_next(&[Behaviour::BreakOff]);
+        engine.queue_behaviours(&[Behaviour::TruncateAnswer]);
     }
     // Each engine breaks off inside event 3 of its next stream and completes the one after.
-    fleet.decode[0].behave_next(&[Behaviour::Serve]);
-    fleet.decode[1].behave_next(&[Behaviour::Serve]);
+    fleet.decode[0].queue_behaviours(&[Behaviour::Serve]);
+    fleet.decode[1].queue_behaviours(&[Behaviour::Serve]);
     let answer = ask(&mut fleet, &ClientRequest::prompt("1", "tag", 40, 200));
     assert_eq!(answer.status, StatusCode::OK);
     let first_engine = answer
@@ -149,7 +149,7 @@
     });
     build_up_retry_budget(&mut fleet);
     let (second, _host) = fleet.add_engine(support::MODELS, Some("decode"));
-    fleet.decode[0].behave_always(Behaviour::BreakOff);
+    fleet.decode[0].set_default_behaviour(Behaviour::TruncateAnswer);
     fleet.wait(Duration::from_millis(100));
     let mut resumed = 0;
     for number in 0..20 {
@@ -169,7 +169,7 @@
 fn a_broken_stream_that_must_not_be_resumed_never_looks_complete() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
-        engine.behave_always(Behaviour::BreakOff);
+        engine.set_default_behaviour(Behaviour::TruncateAnswer);
     }
     let answer = ask(&mut fleet, &ClientRequest::prompt("1", "verdict", 40, 200));
     assert_eq!(answer.status, StatusCode::OK);
@@ -212,7 +212,7 @@
 fn a_slow_stream_is_not_cancelled_if_the_budget_allows_no_retry() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.decode {
-        engine.behave_always(Behaviour::Stream {
+        engine.set_default_behaviour(Behaviour::Stream {
             events: 4,
             gap_ms: 700,
         });
@@ -236,12 +236,12 @@
         ..FleetOptions::default()
     });
     build_up_retry_budget(&mut fleet);
-    fleet.decode[0].behave_always(Behaviour::Stream {
+    fleet.decode[0].set_default_behaviour(Behaviour::Stream {
         events: 4,
         gap_ms: 200,
     });
     let (second, _host) = fleet.add_engine(support::MODELS, Some("decode"));
-    second.behave_always(Behaviour::Refuse);
+    second.set_default_behaviour(Behaviour::Refuse);
     fleet.wait(Duration::from_millis(100));
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     let handle = fleet.simulation.handle();
@@ -250,7 +250,7 @@
         let request = ClientRequest::prompt("1", "tag", 40, 200);
         let power_loss = async {
             tokio::time::sleep(Duration::from_millis(500)).await;
-            second.behave_well();
+            second.clear_behaviours();
             handle.power_off(first_host);
         };
         tokio::join!(client.ask(target, &request), power_loss).0
@@ -263,12 +263,12 @@
 #[test]
 fn a_caller_that_disconnects_during_prefill_cancels_it() {
     let mut fleet = Fleet::new(FleetOptions::default());
-    fleet.prefill[0].behave_always(Behaviour::Hang);
+    fleet.prefill[0].set_default_behaviour(Behaviour::Hang);
     let (client, target) = (fleet.client.clone(), fleet.daemons[0].callers_address);
     fleet.run(async move {
         let request = ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900);
         let disconnect_after = Duration::from_millis(100);
-        client.ask_and_leave(target, &request, disconnect_after).await;
+        client.ask_then_disconnect(target, &request, disconnect_after).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
     });
     let runs = fleet.prefill[0].runs();
@@ -288,7 +288,7 @@
         ..FleetOptions::default()
     });
     for engine in &fleet.prefill {
-        engine.behave_always(Behaviour::Refuse);
+        engine.set_default_behaviour(Behaviour::Refuse);
     }
     for number in 0..REQUESTS {
         let request = ClientRequest::prompt(&number.to_string(), "tag", 3_000, 900);
--- a/crates/serve/tests/support/mod.rs
+++ b/crates/serve/tests/support/mod.rs
@@ -12,8 +12,8 @@
 use http::StatusCode;
 use ponddrift_core::{RegionName, ZoneName};
 use ponddrift_platform_stand_ins::{
-    ClientRequest, ClientStandIn, EngineSettings, EngineStandIn, EngineTraitsText, ProviderStandIn,
-    RouteText, ServiceText, StoreStandIn, config,
+    ClientRequest, ClientStandIn, EngineSettings, EngineStandIn, EngineTraitsConfig, ProviderStandIn,
+    RouteConfig, ServiceConfig, StoreStandIn, config,
 };
 use ponddrift_serve::{Daemon, Settings, settings};
 use ponddrift_simulation::{HostId, HostSpec, Simulation, SimulationHandle, SimulationSettings};
@@ -280,7 +280,7 @@
     }
 
     /// Writes a configuration with these routes to the store.
-    pub fn configure(&self, version: u64, routes: &[RouteText]) {
+    pub fn configure(&self, version: u64, routes: &[RouteConfig]) {
         self.store.put("op/config", configuration(version, routes));
     }
 }
@@ -344,35 +344,35 @@
 }
 
 /// The routes of most tests: two of plain back ends, two of model engines.
-pub fn routes() -> Vec<RouteText> {
+pub fn routes() -> Vec<RouteConfig> {
     vec![
-        RouteText {
+        RouteConfig {
             attempts: 1,
-            ..RouteText::new("post", "unsafe", RECORDS)
+            ..RouteConfig::new("post", "unsafe", RECORDS)
         },
-        RouteText::new("fetch", "safe", RECORDS),
-        RouteText {
+        RouteConfig::new("fetch", "safe", RECORDS),
+        RouteConfig {
             attempts: 1,
             timeout_ms: 5_000,
-            ..RouteText::new("verdict", "streaming", MODELS)
+            ..RouteConfig::new("verdict", "streaming", MODELS)
         },
-        RouteText {
+        RouteConfig {
             resumable: true,
-            ..RouteText::new("tag", "streaming", MODELS)
+            ..RouteConfig::new("tag", "streaming", MODELS)
         },
     ]
 }
 
 /// Text of a configuration with these routes and the services of most tests.
-pub fn configuration(version: u64, routes: &[RouteText]) -> String {
+pub fn configuration(version: u64, routes: &[RouteConfig]) -> String {
     let services = [
-        ServiceText {
+        ServiceConfig {
             name: RECORDS,
             engine: None,
         },
-        ServiceText {
+        ServiceConfig {
             name: MODELS,
-            engine: Some(EngineTraitsText { slots: 8 }),
+            engine: Some(EngineTraitsConfig { slots: 8 }),
         },
     ];
     config(version, routes, &services)
@@ -407,7 +407,7 @@
             if engine.is_crashing() {
                 simulation.kill(*host);
                 let entry = engine.key();
-                engine.has_crashed();
+                engine.record_crash();
                 pending_restarts.push((Instant::now() + restart_delay, index, entry));
             }
         }
--- a/crates/serve/tests/suspension.rs
+++ b/crates/serve/tests/suspension.rs
@@ -9,12 +9,12 @@
 
 use futures::future::join;
 use http::StatusCode;
-use ponddrift_platform_stand_ins::{Behaviour, ClientRequest, TenantText, with_tenants};
+use ponddrift_platform_stand_ins::{Behaviour, ClientRequest, TenantConfig, with_tenants};
 use ponddrift_serving::time::{self, detect_suspension, simulate_suspension};
 use support::{Fleet, FleetOptions, configuration, routes, wait_until};
 use tokio::time::{Instant, sleep};
 
-const ALICE: TenantText = TenantText {
+const ALICE: TenantConfig = TenantConfig {
     name: "alice",
     api_keys: &["key-of-alice"],
     priority: None,
@@ -56,7 +56,7 @@
 fn a_request_whose_deadline_passed_during_a_suspension_is_answered_at_once() {
     let mut fleet = Fleet::new(FleetOptions::default());
     for engine in &fleet.records {
-        engine.behave_always(Behaviour::Hang);
+        engine.set_default_behaviour(Behaviour::Hang);
     }
     let client = fleet.client.clone();
     let target = fleet.daemons[0].callers_address;
@@ -103,7 +103,7 @@
     let just_before_next_report = last.at + WINDOW - Duration::from_millis(50);
     fleet.run(async move { tokio::time::sleep_until(just_before_next_report).await });
     simulate_suspension(SUSPENSION);
-    fleet.store.let_leases_run_out();
+    fleet.store.expire_leases();
     fleet.wait(Duration::from_secs(30));
     let reports = fleet.provider.usage();
     let later_reports = &reports[earlier_reports.len()..];
--- a/crates/serve/tests/tenants.rs
+++ b/crates/serve/tests/tenants.rs
@@ -6,36 +6,36 @@
 
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{
-    Answer, ClientRequest, RouteText, Run, StoreMode, TenantText, with_tenants,
+    Answer, ClientRequest, RouteConfig, Run, StoreMode, TenantConfig, with_tenants,
 };
 use support::{Fleet, RECORDS, FleetOptions, configuration, routes};
 
-const ALICE: TenantText = TenantText {
+const ALICE: TenantConfig = TenantConfig {
     name: "alice",
     api_keys: &["key-of-alice", "second-of-alice"],
     priority: None,
 };
-const BOB: TenantText = TenantText {
+const BOB: TenantConfig = TenantConfig {
     name: "bob",
     api_keys: &["key-of-bob"],
     priority: Some(0),
 };
 
-fn with_public_route() -> Vec<RouteText> {
-    let public_route = RouteText {
+fn with_public_route() -> Vec<RouteConfig> {
+    let public_route = RouteConfig {
         public: true,
-        ..RouteText::new("open", "safe", RECORDS)
+        ..RouteConfig::new("open", "safe", RECORDS)
     };
     routes().into_iter().chain([public_route]).collect()
 }
 
-fn configure(fleet: &mut Fleet, version: u64, tenants: &[TenantText]) {
+fn configure(fleet: &mut Fleet, version: u64, tenants: &[TenantConfig]) {
     let text = configuration(version, &with_public_route());
     fleet.store.put("op/config", with_tenants(&text, tenants));
     fleet.wait(Duration::from_millis(600));
 }
 
-fn fleet_of(size: FleetOptions, tenants: &[TenantText]) -> Fleet {
+fn fleet_of(size: FleetOptions, tenants: &[TenantConfig]) -> Fleet {
     let mut fleet = Fleet::new(size);
     configure(&mut fleet, 2, tenants);
     fleet
@@ -85,7 +85,7 @@
             "bob"
         };
         assert_eq!(run.tenant.as_deref(), Some(expected_tenant), "{run:?}");
-        assert!(!run.saw_key, "{run:?}");
+        assert!(!run.received_api_key, "{run:?}");
     }
 }
 
@@ -132,18 +132,18 @@
             .find(|run| run.request == request.id);
         let run = run.expect("the request ran");
         assert_eq!(run.tenant.as_deref(), tenant);
-        assert!(!run.saw_key);
+        assert!(!run.received_api_key);
     }
 }
 
 #[test]
 fn a_key_moved_to_another_tenant_in_one_revision_belongs_to_that_tenant() {
     let mut fleet = fleet_of(FleetOptions::default(), &[ALICE, BOB]);
-    let moved = TenantText {
+    let moved = TenantConfig {
         api_keys: &["key-of-bob", "key-of-alice"],
         ..BOB
     };
-    let remaining = TenantText {
+    let remaining = TenantConfig {
         api_keys: &["second-of-alice"],
         ..ALICE
     };
@@ -158,7 +158,7 @@
     let mut fleet = fleet_of(FleetOptions::default(), &[ALICE]);
     let request = ClientRequest::plain("1", "fetch").with_key("key-of-alice");
     assert_eq!(ask(&mut fleet, &request).status, StatusCode::OK);
-    let remaining = TenantText {
+    let remaining = TenantConfig {
         api_keys: &["second-of-alice"],
         ..ALICE
     };
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -11,18 +11,18 @@
 use ponddrift_fleet::topology::{Member, Topology, USAGE_REPLICAS_PER_NEIGHBOURHOOD};
 
 use ponddrift_platform_stand_ins::{
-    ClientRequest, ProviderMode, StoreMode, TenantText, UsageNote, with_tenants,
+    ClientRequest, ProviderMode, StoreMode, TenantConfig, UsageRecord, with_tenants,
 };
 use support::{Fleet, FleetOptions, configuration, routes};
 use tokio::time::sleep;
 
-const TENANTS: [TenantText; 2] = [
-    TenantText {
+const TENANTS: [TenantConfig; 2] = [
+    TenantConfig {
         name: "alice",
         api_keys: &["key-of-alice"],
         priority: None,
     },
-    TenantText {
+    TenantConfig {
         name: "bob",
         api_keys: &["key-of-bob"],
         priority: None,
@@ -111,7 +111,7 @@
 }
 
 /// Asserts that each leader has a fencing token of its own and that tokens never decrease.
-fn assert_one_leader_at_a_time(notes: &[UsageNote]) {
+fn assert_one_leader_at_a_time(notes: &[UsageRecord]) {
     for pair in notes.windows(2) {
         let same_holder = pair[0].holder == pair[1].holder;
         assert_eq!(same_holder, pair[0].fence == pair[1].fence, "{pair:?}");
@@ -218,7 +218,7 @@
 #[test]
 fn a_report_without_a_response_is_repeated_with_the_same_figures() {
     let mut fleet = fleet(3);
-    fleet.provider.set_mode(ProviderMode::LosesAnswers);
+    fleet.provider.set_mode(ProviderMode::DropAnswers);
     let served = send_requests(&mut fleet, &[0, 1, 2], Duration::from_secs(8));
     fleet.wait(Duration::from_secs(4));
     fleet.provider.set_mode(ProviderMode::Up);
@@ -296,8 +296,8 @@
 #[test]
 fn a_reported_window_keeps_its_figures_after_the_store_is_restored_from_an_older_copy() {
     let mut fleet = fleet(4);
-    fleet.store.name_era(1);
-    let copy = fleet.store.copy().from_before("ponddrift/");
+    fleet.store.set_era(1);
+    let copy = fleet.store.copy().without_prefix("ponddrift/");
     send_requests(&mut fleet, &[0, 1, 2, 3], Duration::from_secs(9));
     let leader = fleet.last_reporter();
     let counting_daemon = (leader + 1) % 4;
@@ -314,7 +314,7 @@
     }
     handle.heal_all();
     fleet.wait(Duration::from_millis(400));
-    fleet.store.come_back_from(&copy);
+    fleet.store.restore_from(&copy);
     fleet.wait(DUE + WINDOW);
     let notes = fleet.provider.usage();
     let fences: std::collections::BTreeSet<u64> = notes.iter().map(|note| note.fence).collect();
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use ponddrift_platform_stand_ins::{OrderNote, Run};
+use ponddrift_platform_stand_ins::{OrderRecord, Run};
 use tokio::time::Instant;
 
 use crate::load::Asked;
@@ -260,7 +260,7 @@
 }
 
 fn check_orders(members: &[Member], violations: &mut Vec<Violation>) {
-    let mut orders: Vec<OrderNote> = members
+    let mut orders: Vec<OrderRecord> = members
         .iter()
         .flat_map(|member| member.engine.orders())
         .collect();
--- a/crates/soak/src/daemons.rs
+++ b/crates/soak/src/daemons.rs
@@ -5,7 +5,7 @@
 use std::process::Stdio;
 
 use eyre::{Context, ContextCompat, Result};
-use ponddrift_platform_stand_ins::StoreDoor;
+use ponddrift_platform_stand_ins::StoreEndpoint;
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::{Child, Command};
 use tokio::time::Instant;
@@ -24,7 +24,7 @@
     /// Where its readiness is asked for.
     pub readiness: SocketAddr,
     /// Its way to the store.
-    pub door: StoreDoor,
+    pub door: StoreEndpoint,
     /// Until when something was done to it: what callers see of it then proves nothing.
     pub disturbed_until: Option<Instant>,
     /// Ends of its process that nobody brought about.
@@ -46,7 +46,7 @@
         let readiness = own_address();
         let peers = own_address();
         let store = own_address();
-        let (server, door) = platform.store.serve_door(&platform.runtime, store).await?;
+        let (server, door) = platform.store.serve_endpoint(&platform.runtime, store).await?;
         // The server lives as long as the process.
         std::mem::forget(server);
         let settings = folder.join(format!("{name}.toml"));
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -52,10 +52,10 @@
 
 const BEHAVIOURS: [Behaviour; 6] = [
     Behaviour::Refuse,
-    Behaviour::LoseAnswer,
-    Behaviour::BreakOff,
+    Behaviour::DropAnswer,
+    Behaviour::TruncateAnswer,
     Behaviour::Fail,
-    Behaviour::AnswerAnother,
+    Behaviour::AnswerWrongRequest,
     Behaviour::Hang,
 ];
 
--- a/crates/soak/src/limits.rs
+++ b/crates/soak/src/limits.rs
@@ -61,7 +61,7 @@
         let engine = engines.choose(&mut self.random);
         let rate = RATES.choose(&mut self.random);
         if let (Some(engine), Some(rate)) = (engine, rate) {
-            engine.limit_rate(&[rate]);
+            engine.set_rate_limit(&[rate]);
             self.periods.push(LimitPeriod {
                 engine: engine.clone(),
                 rate,
@@ -78,7 +78,7 @@
         let Some(last) = in_force else {
             return false;
         };
-        last.engine.limit_rate(&[]);
+        last.engine.set_rate_limit(&[]);
         last.to = Some(Instant::now());
         true
     }
@@ -110,7 +110,7 @@
         let since = last_crash.unwrap_or(self.from);
         let first_named = self
             .engine
-            .rate_named()
+            .rate_announced_at()
             .into_iter()
             .find(|at| *at >= since)?;
         let counted_from = first_named + CONTACT;
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use ponddrift_platform_stand_ins::{Answer, ClientRequest, ClientStandIn, KeptConnection};
+use ponddrift_platform_stand_ins::{Answer, ClientRequest, ClientStandIn, PersistentConnection};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -68,7 +68,7 @@
     let mut random = Pcg64Mcg::seed_from_u64(seed ^ (number + 1));
     let mut count = 0_u64;
     let keeps_connections = number % 2 == 1;
-    let mut kept: Option<KeptConnection> = None;
+    let mut kept: Option<PersistentConnection> = None;
     while Instant::now() < end {
         sleep(PAUSE).await;
         let is_open = match &mut kept {
@@ -78,7 +78,7 @@
         if !is_open {
             kept = None;
         }
-        let next = kept.as_ref().map(KeptConnection::target);
+        let next = kept.as_ref().map(PersistentConnection::target);
         let Some(daemon) = next.or_else(|| state.target(&mut random)) else {
             continue;
         };
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -8,7 +8,7 @@
 
 use eyre::Result;
 use ponddrift_platform_stand_ins::{
-    EngineSettings, EngineStandIn, EngineTraitsText, RouteText, ServiceText, StoreStandIn, config,
+    EngineSettings, EngineStandIn, EngineTraitsConfig, RouteConfig, ServiceConfig, StoreStandIn, config,
 };
 use ponddrift_runtime::Runtime;
 use tokio::time::Instant;
@@ -76,7 +76,7 @@
             version: 0,
             has_changing: false,
         };
-        platform.store.name_era(FIRST_ERA);
+        platform.store.set_era(FIRST_ERA);
         for _ in 0..3 {
             platform.add_engine(RECORDS, None).await?;
         }
@@ -134,7 +134,7 @@
             if member.engine.is_crashing() {
                 member.tasks.crash();
                 let entry = member.engine.key();
-                member.engine.has_crashed();
+                member.engine.record_crash();
                 member.down = Some((Instant::now() + DOWN, entry));
             }
             let is_due = matches!(&member.down, Some((back, _entry)) if *back <= Instant::now());
@@ -196,31 +196,31 @@
 
 fn configuration(version: u64, has_changing: bool) -> String {
     let mut routes = vec![
-        RouteText {
+        RouteConfig {
             attempts: 1,
-            ..RouteText::new("post", "unsafe", RECORDS)
+            ..RouteConfig::new("post", "unsafe", RECORDS)
         },
-        RouteText::new("fetch", "safe", RECORDS),
-        RouteText {
+        RouteConfig::new("fetch", "safe", RECORDS),
+        RouteConfig {
             attempts: 1,
-            ..RouteText::new("verdict", "streaming", MODELS)
+            ..RouteConfig::new("verdict", "streaming", MODELS)
         },
-        RouteText {
+        RouteConfig {
             resumable: true,
-            ..RouteText::new("tag", "streaming", MODELS)
+            ..RouteConfig::new("tag", "streaming", MODELS)
         },
     ];
     if has_changing {
-        routes.push(RouteText::new(CHANGING, "safe", RECORDS));
+        routes.push(RouteConfig::new(CHANGING, "safe", RECORDS));
     }
     let services = [
-        ServiceText {
+        ServiceConfig {
             name: RECORDS,
             engine: None,
         },
-        ServiceText {
+        ServiceConfig {
             name: MODELS,
-            engine: Some(EngineTraitsText { slots: 16 }),
+            engine: Some(EngineTraitsConfig { slots: 16 }),
         },
     ];
     config(version, &routes, &services)
--- a/crates/soak/src/restorer.rs
+++ b/crates/soak/src/restorer.rs
@@ -89,7 +89,7 @@
 
     fn come_back(&mut self, platform: &Platform) {
         let index = self.random.random_range(0..self.copies.len());
-        platform.store.come_back_from(&self.copies[index]);
+        platform.store.restore_from(&self.copies[index]);
         platform.store.set_mode(StoreMode::Up);
         // What is newer than that is gone for later copies too.
         self.copies.drain(..index);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -204,16 +204,16 @@
                 self.daemons[*daemon].door.set_mode(StoreMode::Up);
                 self.store_trouble(begun);
             }
-            Fault::DropHistory => self.platform.store.drop_history(),
+            Fault::DropHistory => self.platform.store.compact_history(),
             Fault::Engine(index, behaviour) => {
                 let engine = self.platform.members[staying[*index]].engine.clone();
-                engine.behave_always(*behaviour);
+                engine.set_default_behaviour(*behaviour);
                 self.pass(drawn.time).await?;
-                engine.behave_well();
+                engine.clear_behaviours();
             }
             Fault::EngineBriefly(index, behaviour) => {
                 let engine = &self.platform.members[staying[*index]].engine;
-                engine.behave_next(&[*behaviour; 6]);
+                engine.queue_behaviours(&[*behaviour; 6]);
             }
             Fault::Drain(index) => self.leave(staying[*index], true).await?,
             Fault::Vanish(index) => self.leave(staying[*index], false).await?,
@@ -346,7 +346,7 @@
         if says_so {
             engine.record(&self.platform.store, "draining");
         } else {
-            engine.vanish(&self.platform.store);
+            engine.remove_entry(&self.platform.store);
         }
         self.platform.members[index].left = Some(Instant::now());
         self.platform.members[index].drains = says_so;
@@ -409,7 +409,7 @@
             daemon.door.set_mode(StoreMode::Up);
         }
         for member in &self.platform.members {
-            member.engine.behave_well();
+            member.engine.clear_behaviours();
         }
         self.pass(AFTERMATH + Duration::from_secs(4)).await?;
         self.limiter = limiter;
--- a/crates/soak/tests/logs.rs
+++ b/crates/soak/tests/logs.rs
@@ -59,7 +59,7 @@
     fn models_behave(&self, behaviour: Behaviour) {
         for member in &self.platform.members {
             if member.engine.is_model_engine() {
-                member.engine.behave_always(behaviour);
+                member.engine.set_default_behaviour(behaviour);
             }
         }
     }
@@ -132,7 +132,7 @@
 #[tokio::test]
 async fn a_request_lost_with_its_engine_is_traced_to_that_engine() -> Result<()> {
     let scene = Scene::new("lost").await?;
-    scene.models_behave(Behaviour::BreakOff);
+    scene.models_behave(Behaviour::TruncateAnswer);
     let request = ClientRequest::prompt("lost-1", "verdict", 40, 200);
     scene.ask(&request).await?;
     let lines = scene.told("lost-1").await?;
