--- a/crates/serve/tests/capacity.rs
+++ b/crates/serve/tests/capacity.rs
@@ -98,7 +98,7 @@
     assert!(
         engine_orders
             .iter()
-            .all(|order| order.service == MODELS && order.taken)
+            .all(|order| order.service == MODELS && order.accepted)
     );
     assert!(
         engine_orders
@@ -113,7 +113,7 @@
     fleet.provider.set_spot_unavailable(true);
     fleet.wait(Duration::from_secs(14));
     let refused = engine_orders_of_kind(&fleet, true);
-    assert!(refused.iter().all(|order| !order.taken));
+    assert!(refused.iter().all(|order| !order.accepted));
     assert!(
         (4..=14).contains(&refused.len()),
         "{} in 14 s",
@@ -122,7 +122,7 @@
     assert!(engine_orders_of_kind(&fleet, false).is_empty(), "all on-demand engines are kept");
     fleet.provider.set_spot_unavailable(false);
     fleet.wait(Duration::from_secs(3));
-    assert!(engine_orders_of_kind(&fleet, true).iter().any(|order| order.taken));
+    assert!(engine_orders_of_kind(&fleet, true).iter().any(|order| order.accepted));
 }
 
 #[test]
--- a/crates/serve/tests/crashing_requests.rs
+++ b/crates/serve/tests/crashing_requests.rs
@@ -128,7 +128,7 @@
     let engines = fleet.prefill.iter().chain(&fleet.decode);
     engines
         .flat_map(|engine| engine.runs())
-        .filter(|run| run.request.starts_with(prefix) && run.begun > after)
+        .filter(|run| run.request.starts_with(prefix) && run.started_at > after)
         .count()
 }
 
@@ -181,7 +181,7 @@
     assert_eq!(harmless.count(), 0, "{refused:?}");
     let served = answers
         .iter()
-        .filter(|answer| answer.status == StatusCode::OK && answer.is_whole);
+        .filter(|answer| answer.status == StatusCode::OK && answer.is_complete);
     assert!(served.count() > 500, "{} engines crashed", crashes.len());
 }
 
--- a/crates/serve/tests/fleet_changes.rs
+++ b/crates/serve/tests/fleet_changes.rs
@@ -180,7 +180,7 @@
         response
     });
     let answer = answer.expect("a response");
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
 }
 
 #[test]
@@ -212,7 +212,7 @@
             assert!(late_response.retry_after_s().is_some());
         };
         let (response, ()) = tokio::join!(response, later_requests);
-        assert!(response.expect("a response").is_whole);
+        assert!(response.expect("a response").is_complete);
     });
 }
 
@@ -321,7 +321,7 @@
         answer.expect("a response")
     });
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(answer.is_whole, "the stream was cut");
+    assert!(answer.is_complete, "the stream was cut");
     assert_eq!(fleet.decode[0].runs().len(), 1);
 }
 
--- a/crates/serve/tests/orders.rs
+++ b/crates/serve/tests/orders.rs
@@ -64,7 +64,7 @@
     let mut fleet = Fleet::new(OPTIONS);
     send_long_prompts(&mut fleet, Duration::from_secs(20));
     let orders = orders(&fleet);
-    assert!(orders.iter().any(|order| order.taken), "{orders:?}");
+    assert!(orders.iter().any(|order| order.accepted), "{orders:?}");
     let holders: std::collections::BTreeSet<_> = orders.iter().map(|order| &order.holder).collect();
     assert_eq!(holders.len(), 1);
     assert_one_leader_at_a_time(&orders);
--- a/crates/serve/tests/restored_store.rs
+++ b/crates/serve/tests/restored_store.rs
@@ -394,7 +394,7 @@
 /// Asserts that no window is missing and that none was reported with different figures.
 fn assert_complete_and_consistent_windows(notes: &[UsageRecord]) {
     let mut windows: BTreeMap<u64, &BTreeMap<String, u64>> = BTreeMap::new();
-    for note in notes.iter().filter(|note| note.taken) {
+    for note in notes.iter().filter(|note| note.accepted) {
         if let Some(before) = windows.insert(note.window, &note.counts) {
             assert_eq!(
                 before, &note.counts,
@@ -432,7 +432,7 @@
     send_safe_requests(&mut fleet, "counted");
     fleet.wait(Duration::from_secs(24));
     let notes = fleet.provider.usage();
-    let taken_since = notes[before..].iter().filter(|note| note.taken).count();
+    let taken_since = notes[before..].iter().filter(|note| note.accepted).count();
     assert!(
         taken_since >= 3,
         "a leader reports again: {:?}",
--- a/crates/serve/tests/streams.rs
+++ b/crates/serve/tests/streams.rs
@@ -41,7 +41,7 @@
     let mut fleet = Fleet::new(FleetOptions::default());
     let answer = ask(&mut fleet, &ClientRequest::prompt("1", "tag", 40, 200));
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     assert_eq!(event_ids(&answer), ["1", "2", "3", "4"]);
     assert!(fleet.prefill[0].runs().is_empty());
 }
@@ -54,7 +54,7 @@
         &ClientRequest::prompt("1", "verdict", LONG_PROMPT_TOKENS, 900),
     );
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     assert_eq!(fleet.prefill[0].runs().len(), 1);
     let runs: Vec<_> = fleet.decode.iter().flat_map(EngineStandIn::runs).collect();
     assert_eq!(runs.len(), 1);
@@ -136,7 +136,7 @@
     assert_eq!(runs.len(), 2);
     assert!(runs.iter().any(|run| run.resumed_after == Some(2)));
     assert!(
-        !answer.is_whole,
+        !answer.is_complete,
         "the second run broke off too, and no third run is allowed"
     );
 }
@@ -155,7 +155,7 @@
     for number in 0..20 {
         let request = ClientRequest::prompt(&number.to_string(), "tag", 40, 200);
         let answer = ask(&mut fleet, &request);
-        assert!(answer.is_whole);
+        assert!(answer.is_complete);
         assert_eq!(event_ids(&answer), ["1", "2", "3", "4"]);
         if answer.signed_by() == Some("i-4") {
             resumed += 1;
@@ -173,7 +173,7 @@
     }
     let answer = ask(&mut fleet, &ClientRequest::prompt("1", "verdict", 40, 200));
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(!answer.is_whole);
+    assert!(!answer.is_complete);
     assert_eq!(event_ids(&answer), ["1", "2"]);
     let runs: usize = fleet.decode.iter().map(|engine| engine.runs().len()).sum();
     assert_eq!(runs, 1);
@@ -222,7 +222,7 @@
     let answer = ask(&mut fleet, &request);
     assert_eq!(answer.status, StatusCode::OK);
     assert!(
-        answer.is_whole,
+        answer.is_complete,
         "the budget holds no retry: {:?}",
         event_ids(&answer)
     );
@@ -256,7 +256,7 @@
         tokio::join!(client.ask(target, &request), power_loss).0
     });
     let answer = answer.expect("a response, not a closed connection");
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     assert_eq!(event_ids(&answer), ["1", "2", "3", "4"]);
 }
 
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -72,7 +72,7 @@
                 ClientRequest::prompt(&id, "tag", 0, 30).with_key(key)
             };
             let answer = client.ask(target, &request).await;
-            if answer.is_some_and(|answer| answer.is_whole && answer.status.is_success()) {
+            if answer.is_some_and(|answer| answer.is_complete && answer.status.is_success()) {
                 *served.entry(tenant.to_owned()).or_default() += 1;
             }
             sleep(Duration::from_millis(40)).await;
@@ -85,7 +85,7 @@
 /// figures.
 fn reported(fleet: &Fleet) -> BTreeMap<u64, BTreeMap<String, u64>> {
     let mut windows: BTreeMap<u64, BTreeMap<String, u64>> = BTreeMap::new();
-    for note in fleet.provider.usage().into_iter().filter(|note| note.taken) {
+    for note in fleet.provider.usage().into_iter().filter(|note| note.accepted) {
         if let Some(before) = windows.insert(note.window, note.counts.clone()) {
             assert_eq!(before, note.counts, "different figures for one window");
         }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -136,15 +136,15 @@
         }
     }
     for (name, mut runs) in tries {
-        runs.sort_by_key(|run| run.begun);
+        runs.sort_by_key(|run| run.started_at);
         let crashes = runs.iter().filter(|run| !run.is_prefill);
-        let Some(third) = crashes.map(|run| run.begun).nth(2) else {
+        let Some(third) = crashes.map(|run| run.started_at).nth(2) else {
             continue;
         };
         let late: BTreeSet<&str> = runs
             .iter()
-            .filter(|run| run.begun > third + CONTACT)
-            .filter(|run| !store_troubles.touch(third, run.begun))
+            .filter(|run| run.started_at > third + CONTACT)
+            .filter(|run| !store_troubles.touch(third, run.started_at))
             .map(|run| run.request.as_str())
             .collect();
         if late.len() > FORGIVEN_TRIES {
@@ -222,14 +222,14 @@
             .lines()
             .filter_map(|line| line.strip_prefix("id: "))
             .collect();
-        EVENTS.starts_with(&ids) && (!answer.is_whole || ids == EVENTS)
+        EVENTS.starts_with(&ids) && (!answer.is_complete || ids == EVENTS)
     } else {
-        !answer.is_whole || text.ends_with(&format!(" to {id}"))
+        !answer.is_complete || text.ends_with(&format!(" to {id}"))
     };
     if !is_right {
         violations.push(Violation {
             rule: "an answer is whole and its own",
-            seen: format!("{id} got {text:?}, whole: {}", answer.is_whole),
+            seen: format!("{id} got {text:?}, whole: {}", answer.is_complete),
         });
     }
 }
@@ -243,8 +243,8 @@
             .engine
             .runs()
             .into_iter()
-            .filter(|run| run.begun > left + DRAIN_BOUND)
-            .filter(|run| !troubles.touch(left, run.begun));
+            .filter(|run| run.started_at > left + DRAIN_BOUND)
+            .filter(|run| !troubles.touch(left, run.started_at));
         for run in late {
             violations.push(Violation {
                 rule: "an engine that leaves gets nothing new",
@@ -252,7 +252,7 @@
                     "{} at {} {:?} after it left",
                     run.request,
                     member.engine.id(),
-                    run.begun - left
+                    run.started_at - left
                 ),
             });
         }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -458,7 +458,7 @@
         violations.extend(check_answers(&asked, members, &self.outages));
         let served = asked.iter().filter(|one| {
             let answer = one.answer.as_ref();
-            answer.is_some_and(|answer| answer.status.is_success() && answer.is_whole)
+            answer.is_some_and(|answer| answer.status.is_success() && answer.is_complete)
         });
         Report {
             served: served.count(),
