--- a/crates/serve/tests/capacity.rs
+++ b/crates/serve/tests/capacity.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use ponddrift_platform_stand_ins::{ScalingRecord, EngineStandIn, ProviderMode};
+use ponddrift_platform_stand_ins::{EngineStandIn, ProviderMode, ScalingRecord};
 use support::{Fleet, FleetOptions, MODELS, configuration, routes};
 
 const OPTIONS: FleetOptions = FleetOptions {
--- a/crates/serve/tests/support/mod.rs
+++ b/crates/serve/tests/support/mod.rs
@@ -12,8 +12,8 @@
 use http::StatusCode;
 use ponddrift_core::{RegionName, ZoneName};
 use ponddrift_platform_stand_ins::{
-    ClientRequest, ClientStandIn, EngineSettings, EngineStandIn, EngineTraitsConfig, ProviderStandIn,
-    RouteConfig, ServiceConfig, StoreStandIn, config,
+    ClientRequest, ClientStandIn, EngineSettings, EngineStandIn, EngineTraitsConfig,
+    ProviderStandIn, RouteConfig, ServiceConfig, StoreStandIn, config,
 };
 use ponddrift_serve::{Daemon, Settings, settings};
 use ponddrift_simulation::{HostId, HostSpec, Simulation, SimulationHandle, SimulationSettings};
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -85,7 +85,12 @@
 /// figures.
 fn reported(fleet: &Fleet) -> BTreeMap<u64, BTreeMap<String, u64>> {
     let mut windows: BTreeMap<u64, BTreeMap<String, u64>> = BTreeMap::new();
-    for note in fleet.provider.usage().into_iter().filter(|note| note.accepted) {
+    for note in fleet
+        .provider
+        .usage()
+        .into_iter()
+        .filter(|note| note.accepted)
+    {
         if let Some(before) = windows.insert(note.window, note.counts.clone()) {
             assert_eq!(before, note.counts, "different figures for one window");
         }
--- a/crates/soak/src/daemons.rs
+++ b/crates/soak/src/daemons.rs
@@ -46,7 +46,10 @@
         let readiness = own_address();
         let peers = own_address();
         let store = own_address();
-        let (server, door) = platform.store.serve_endpoint(&platform.runtime, store).await?;
+        let (server, door) = platform
+            .store
+            .serve_endpoint(&platform.runtime, store)
+            .await?;
         // The server lives as long as the process.
         std::mem::forget(server);
         let settings = folder.join(format!("{name}.toml"));
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -8,7 +8,8 @@
 
 use eyre::Result;
 use ponddrift_platform_stand_ins::{
-    EngineSettings, EngineStandIn, EngineTraitsConfig, RouteConfig, ServiceConfig, StoreStandIn, config,
+    EngineSettings, EngineStandIn, EngineTraitsConfig, RouteConfig, ServiceConfig, StoreStandIn,
+    config,
 };
 use ponddrift_runtime::Runtime;
 use tokio::time::Instant;
