--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -19,6 +19,6 @@
 };
 pub use limits::Limits;
 pub use queue::{FairQueue, Queued};
-pub use settings::{AdmissionSettings, WAIT_TARGET_OF_DAEMONS};
+pub use settings::{AdmissionSettings, DAEMON_WAIT_TARGET};
 pub use share::{DemandReport, DemandShares, TenantDemand};
 pub use token_bucket::TokenBucket;
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -4,7 +4,7 @@
 
 /// Wait target that daemons use: the time in which 95 in 100 first tokens are due. With 200 ms the experiment
 /// tool saw about half of the requests refused at three quarters of the load.
-pub const WAIT_TARGET_OF_DAEMONS: Duration = Duration::from_millis(910);
+pub const DAEMON_WAIT_TARGET: Duration = Duration::from_millis(910);
 
 /// Settings of an [`super::Admission`].
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/core/src/answer/assembler.rs
+++ b/crates/core/src/answer/assembler.rs
@@ -239,7 +239,7 @@
     fn closed<P>(&mut self, now: Timestamp) -> Vec<AnswerAction<P>> {
         match self.phase {
             Phase::Body {
-                framing: BodyFraming::Marked,
+                framing: BodyFraming::Delimited,
                 ..
             } => self.complete(),
             Phase::Body {
--- a/crates/core/src/answer/event.rs
+++ b/crates/core/src/answer/event.rs
@@ -22,7 +22,7 @@
     /// `Content-Length` gives the bytes.
     Length(u64),
     /// The protocol marks the end: chunked coding, or the end flag of an HTTP/2 stream.
-    Marked,
+    Delimited,
     /// Only the end of the connection shows it, which a cut looks like too.
     UntilClose,
 }
--- a/crates/core/src/model_assignment.rs
+++ b/crates/core/src/model_assignment.rs
@@ -11,7 +11,7 @@
 
 /// An engine with the model it holds, if any.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HoldingEngine {
+pub struct EngineModel {
     /// The engine.
     pub engine: MachineId,
     /// The model it holds or is being ordered to hold.
@@ -82,12 +82,12 @@
 #[must_use]
 pub fn assign_models(
     configuration: &Configuration,
-    engines: &[HoldingEngine],
+    engines: &[EngineModel],
 ) -> BTreeMap<MachineId, LoadedModel> {
     let wanted = wanted_models(configuration);
     let mut left = engine_quotas(configuration, engines.len());
     let mut assigned: BTreeMap<MachineId, ModelName> = BTreeMap::new();
-    let mut sorted: Vec<&HoldingEngine> = engines.iter().collect();
+    let mut sorted: Vec<&EngineModel> = engines.iter().collect();
     sorted.sort_by_key(|engine| engine.engine);
     for engine in &sorted {
         let Some(model) = &engine.model else { continue };
--- a/crates/core/src/routing/outlier.rs
+++ b/crates/core/src/routing/outlier.rs
@@ -41,7 +41,7 @@
     /// It may get one request at a time, to see whether it works again.
     Probe,
     /// It may not before this time.
-    SetAside {
+    Ejected {
         /// When a probe is due, or the running probe is given up.
         until: Timestamp,
     },
@@ -126,11 +126,11 @@
             return Eligibility::InService;
         };
         if now < until {
-            return Eligibility::SetAside { until };
+            return Eligibility::Ejected { until };
         }
         match health.probe_since {
             Some(since) if now.since(since) < self.settings.probe_forgotten_after => {
-                Eligibility::SetAside {
+                Eligibility::Ejected {
                     until: since + self.settings.probe_forgotten_after,
                 }
             }
--- a/crates/core/src/routing/router/eligible.rs
+++ b/crates/core/src/routing/router/eligible.rs
@@ -58,7 +58,7 @@
                 eligible.note_probe(now);
                 continue;
             }
-            Eligibility::SetAside { until } => {
+            Eligibility::Ejected { until } => {
                 eligible.note_probe(until);
                 continue;
             }
--- a/crates/core/tests/model_assignment.rs
+++ b/crates/core/tests/model_assignment.rs
@@ -2,7 +2,7 @@
 
 use ponddrift_core::MachineId;
 use ponddrift_core::configuration::{Configuration, ModelSettings, ServiceKind, ServiceSettings};
-use ponddrift_core::model_assignment::{HoldingEngine, assign_models, engine_quotas};
+use ponddrift_core::model_assignment::{EngineModel, assign_models, engine_quotas};
 
 fn configuration(shares: &[(&str, u8)]) -> Configuration {
     let mut configuration = Configuration::default();
@@ -32,8 +32,8 @@
     configuration
 }
 
-fn engines(held: &[Option<&str>]) -> Vec<HoldingEngine> {
-    let engine = |(number, model): (u32, &Option<&str>)| HoldingEngine {
+fn engines(held: &[Option<&str>]) -> Vec<EngineModel> {
+    let engine = |(number, model): (u32, &Option<&str>)| EngineModel {
         engine: MachineId(number),
         model: model.map(|model| model.parse().expect("a name")),
     };
@@ -97,9 +97,9 @@
                 .map(|number| names[usize::from(number % 4)])
                 .collect();
             let first = assign_models(&configuration, &engines(&held));
-            let again: Vec<HoldingEngine> = engines(&held)
+            let again: Vec<EngineModel> = engines(&held)
                 .into_iter()
-                .map(|engine| HoldingEngine {
+                .map(|engine| EngineModel {
                     model: first.get(&engine.engine).map(|loaded| loaded.model.clone()),
                     ..engine
                 })
--- a/crates/core/tests/request_answers.rs
+++ b/crates/core/tests/request_answers.rs
@@ -39,7 +39,7 @@
 
 fn streaming() -> AnswerAssembler {
     let mut assembler = assembler(AnswerKind::Stream);
-    let actions = assembler.handle(START, FIRST, head(OWN, BodyFraming::Marked));
+    let actions = assembler.handle(START, FIRST, head(OWN, BodyFraming::Delimited));
     assert!(actions.is_empty());
     assembler
 }
@@ -88,7 +88,7 @@
     assert_eq!(resume(&actions), Some((second, Some(1))));
     assert_eq!(stream.handle(START, FIRST, part(2)), []);
     assert_eq!(
-        stream.handle(START, second, head(OWN, BodyFraming::Marked)),
+        stream.handle(START, second, head(OWN, BodyFraming::Delimited)),
         []
     );
     assert_eq!(
@@ -114,7 +114,7 @@
     assert_eq!(resume(&actions), Some((ConnectionNumber(1), None)));
     let early_end: Event = AnswerEvent::EndMark { id: Some(5) };
     let second = ConnectionNumber(1);
-    stream.handle(START, second, head(OWN, BodyFraming::Marked));
+    stream.handle(START, second, head(OWN, BodyFraming::Delimited));
     let actions = stream.handle(START, second, early_end);
     assert!(resume(&actions).is_some());
 }
@@ -122,7 +122,7 @@
 #[test]
 fn crossed_answers_are_never_passed_on() {
     let mut stream = assembler(AnswerKind::Stream);
-    let actions = stream.handle(START, FIRST, head(OTHER, BodyFraming::Marked));
+    let actions = stream.handle(START, FIRST, head(OTHER, BodyFraming::Delimited));
     assert_eq!(resume(&actions), Some((ConnectionNumber(1), None)));
 
     let mut stream = streaming();
@@ -179,7 +179,7 @@
         [AnswerAction::Complete]
     );
 
-    let mut body = begun(BodyFraming::Marked);
+    let mut body = begun(BodyFraming::Delimited);
     body.handle(START, FIRST, bytes(4));
     let actions = body.handle(START, FIRST, Event::Broken);
     assert_eq!(fault(&actions), Some(AnswerFault::Cut));
@@ -251,7 +251,7 @@
             *sent += 1;
             part(fresh + 1)
         }
-        5 => head(OTHER, BodyFraming::Marked),
+        5 => head(OTHER, BodyFraming::Delimited),
         _ if fresh > total => AnswerEvent::EndMark {
             id: Some(total + 1),
         },
@@ -276,7 +276,7 @@
             if let Some((next, after)) = resume(&taken) {
                 connection = next;
                 sent = after.unwrap_or(0);
-                stream.handle(START, connection, head(OWN, BodyFraming::Marked));
+                stream.handle(START, connection, head(OWN, BodyFraming::Delimited));
             }
             actions.extend(taken);
         }
--- a/crates/core/tests/request_outliers_and_prefixes.rs
+++ b/crates/core/tests/request_outliers_and_prefixes.rs
@@ -69,7 +69,7 @@
                 detector.sent(now, id);
                 assert!(matches!(
                     detector.eligibility(now, id),
-                    Eligibility::SetAside { .. }
+                    Eligibility::Ejected { .. }
                 ));
             }
         }
--- a/crates/core/tests/request_retries.rs
+++ b/crates/core/tests/request_retries.rs
@@ -201,7 +201,7 @@
             let usable = !detects_outliers
                 || !matches!(
                     outliers.eligibility(now, back_end),
-                    Eligibility::SetAside { .. }
+                    Eligibility::Ejected { .. }
                 );
             if !usable || excluded.contains(&back_end) {
                 continue;
--- a/crates/daemon/src/actors/controller/wanted.rs
+++ b/crates/daemon/src/actors/controller/wanted.rs
@@ -5,7 +5,7 @@
 
 use ponddrift_core::configuration::{Configuration, ServiceKind};
 use ponddrift_core::machine::MachineState;
-use ponddrift_core::model_assignment::{HoldingEngine, assign_models};
+use ponddrift_core::model_assignment::{EngineModel, assign_models};
 use ponddrift_core::orders::{
     EngineReport, EngineWish, OrdersEvent, RolloutLimit, TargetState, WantedState,
 };
@@ -28,7 +28,7 @@
     }
 
     /// The engines of the cell with the models they hold, or are about to.
-    pub(super) fn holding_engines(&self) -> Vec<HoldingEngine> {
+    pub(super) fn holding_engines(&self) -> Vec<EngineModel> {
         let Some(office) = &self.office else {
             return Vec::new();
         };
@@ -46,7 +46,7 @@
             let report = office.reconciler.report(machine.id);
             let held = report.and_then(|report| report.model.as_ref());
             let model = target(machine.id).or_else(|| held.map(|held| held.model.clone()));
-            HoldingEngine {
+            EngineModel {
                 engine: machine.id,
                 model,
             }
--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ponddrift_core::admission::{
-    Admission, AdmissionEvent, AdmissionSettings, WAIT_TARGET_OF_DAEMONS,
+    Admission, AdmissionEvent, AdmissionSettings, DAEMON_WAIT_TARGET,
 };
 use ponddrift_core::claims::{ClaimMember, ShardMap};
 use ponddrift_core::configuration::Configuration;
@@ -482,7 +482,7 @@
     let admission_settings = AdmissionSettings {
         queue_length: settings.admission.queue_length,
         largest_multiple_of_capacity: 1.0,
-        wait_target: WAIT_TARGET_OF_DAEMONS,
+        wait_target: DAEMON_WAIT_TARGET,
         ..AdmissionSettings::default()
     };
     let seed = runtime.seed ^ xxhash_rust::xxh3::xxh3_64(kind.as_bytes());
--- a/crates/daemon/src/gateway/events.rs
+++ b/crates/daemon/src/gateway/events.rs
@@ -104,7 +104,7 @@
     let echoed = echoed.and_then(|value| value.to_str().ok()?.parse().ok());
     AnswerEvent::Head {
         echoed,
-        framing: BodyFraming::Marked,
+        framing: BodyFraming::Delimited,
     }
 }
 
--- a/crates/daemon/src/gateway/plain_attempt.rs
+++ b/crates/daemon/src/gateway/plain_attempt.rs
@@ -153,8 +153,8 @@
     let echoed = echoed.and_then(|value| value.to_str().ok()?.parse().ok());
     let framing = match incoming.size_hint().exact() {
         Some(length) => BodyFraming::Length(length),
-        None if head.version == http::Version::HTTP_2 => BodyFraming::Marked,
-        None if head.headers.contains_key(header::TRANSFER_ENCODING) => BodyFraming::Marked,
+        None if head.version == http::Version::HTTP_2 => BodyFraming::Delimited,
+        None if head.headers.contains_key(header::TRANSFER_ENCODING) => BodyFraming::Delimited,
         None => BodyFraming::UntilClose,
     };
     let settings = AnswerSettings {
--- a/crates/daemon/src/operator/tables/machines.rs
+++ b/crates/daemon/src/operator/tables/machines.rs
@@ -34,7 +34,7 @@
         Eligibility::Probe => Some(String::from(
             "set aside by this daemon after failures; one request probes it now",
         )),
-        Eligibility::SetAside { until } => Some(format!(
+        Eligibility::Ejected { until } => Some(format!(
             "set aside by this daemon after failures, for {} ms more",
             until.since(tables.now).as_millis()
         )),
--- a/crates/emulator/src/experiment/simulation/gateway.rs
+++ b/crates/emulator/src/experiment/simulation/gateway.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use ponddrift_core::admission::{
     Admission, AdmissionAction, AdmissionEvent, AdmissionRequest, AdmissionSettings,
-    WAIT_TARGET_OF_DAEMONS,
+    DAEMON_WAIT_TARGET,
 };
 use ponddrift_core::retry::{
     AttemptFailure, AttemptOutcome, RequestFacts, RetryDecision, RetryPolicy, RetrySettings,
@@ -48,7 +48,7 @@
     fn wait_target(self) -> Duration {
         match self {
             Self::Adjusted => NO_WAIT_TARGET,
-            Self::Shipped => WAIT_TARGET_OF_DAEMONS,
+            Self::Shipped => DAEMON_WAIT_TARGET,
         }
     }
 
