--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,7 +1,7 @@
-//! Admission of requests: limits, bounded queues, shedding.
+//! Admission control: rate and concurrency limits, a bounded fair queue and load shedding.
 //!
-//! A request starts, waits in a bounded queue, or is refused. A refusal is given at once, says when to
-//! come back, and is never held back.
+//! Each arriving request starts, waits in the queue or is refused. A refusal is returned
+//! immediately and tells the caller when to retry.
 
 mod capacity;
 mod controller;
--- a/crates/core/src/admission/capacity.rs
+++ b/crates/core/src/admission/capacity.rs
@@ -1,15 +1,15 @@
-//! How many requests may be in flight towards back ends.
+//! Adaptive limit on the number of requests in flight to back ends.
 
 use std::time::Duration;
 
 use super::settings::AdmissionSettings;
 use crate::Timestamp;
 
-/// Part of the limit, in whole requests, that must be in use for it to grow.
-const GROWS_WHEN_USED: f64 = 0.8;
+/// Fraction of the limit that must be in use before the limit grows.
+const MIN_UTILIZATION_TO_GROW: f64 = 0.8;
 
-/// Additive increase, multiplicative decrease on the wait observed at back ends, bounded by a multiple
-/// of the capacity that the digests show.
+/// Concurrency limiter with additive increase and multiplicative decrease (AIMD), driven by the
+/// queue wait observed at back ends. The limit never exceeds a multiple of the reported capacity.
 #[derive(Debug, Clone)]
 pub struct CapacityLimiter {
     settings: AdmissionSettings,
@@ -18,8 +18,8 @@
     interval: Option<WaitInterval>,
 }
 
-/// The shortest wait of an interval: a queue that lasts shows in it, a burst does not (the measure of CoDel,
-/// RFC 8289).
+/// Shortest queue wait in an interval. It distinguishes a standing queue from a short burst, as in
+/// CoDel (RFC 8289).
 #[derive(Debug, Clone, Copy)]
 struct WaitInterval {
     since: Timestamp,
@@ -27,7 +27,7 @@
 }
 
 impl CapacityLimiter {
-    /// Starts at the limit of the settings.
+    /// Creates a limiter at [`AdmissionSettings::initial_in_flight`].
     #[must_use]
     pub const fn new(settings: AdmissionSettings) -> Self {
         Self {
@@ -38,34 +38,34 @@
         }
     }
 
-    /// Requests that may be in flight.
+    /// Maximum number of requests in flight.
     #[must_use]
     pub const fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// The digests show this capacity. The first time the limit starts there.
+    /// Sets the capacity reported by load digests. The first call also resets the limit to `slots`.
     pub fn set_capacity(&mut self, slots: u32) {
         let slots = f64::from(slots);
         if self.capacity.is_none() {
             self.limit = slots;
         }
         self.capacity = Some(slots);
-        self.bound();
+        self.clamp_limit();
     }
 
-    /// A request waited so long at its back end.
-    pub fn waited(&mut self, now: Timestamp, wait: Duration, in_flight: usize) {
-        let is_used = in_flight as f64 >= self.limit.floor() * GROWS_WHEN_USED;
-        if wait <= self.settings.wait_target && is_used {
+    /// Adjusts the limit after a request waited `wait` in its back end's queue.
+    pub fn observe_wait(&mut self, now: Timestamp, wait: Duration, in_flight: usize) {
+        let is_near_limit = in_flight as f64 >= self.limit.floor() * MIN_UTILIZATION_TO_GROW;
+        if wait <= self.settings.wait_target && is_near_limit {
             self.limit += 1.0 / self.limit;
         }
-        self.note_wait(now, wait);
-        self.bound();
+        self.update_interval(now, wait);
+        self.clamp_limit();
     }
 
-    /// At the end of an interval in which every request waited too long, fewer are sent.
-    fn note_wait(&mut self, now: Timestamp, wait: Duration) {
+    /// Lowers the limit at the end of an interval in which every wait exceeded the target.
+    fn update_interval(&mut self, now: Timestamp, wait: Duration) {
         let interval = self.interval.get_or_insert(WaitInterval {
             since: now,
             shortest: wait,
@@ -83,7 +83,7 @@
         };
     }
 
-    fn bound(&mut self) {
+    fn clamp_limit(&mut self) {
         let multiple = self.settings.largest_multiple_of_capacity;
         let largest = self.capacity.map_or(f64::MAX, |slots| slots * multiple);
         let smallest = self.settings.minimum_in_flight;
--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -1,4 +1,4 @@
-//! The admission of one daemon.
+//! Admission controller of one daemon.
 
 use std::time::Duration;
 
@@ -17,17 +17,18 @@
 use crate::sliding_count::SlidingCount;
 use crate::{RequestId, ServiceName, TenantName, Timestamp};
 
-/// Part by which a time to come back is stretched at random, so that refused callers do not come together.
+/// Maximum random extension of a retry time, as a fraction, so that refused callers do not retry at
+/// the same moment.
 const RETRY_AFTER_JITTER: f64 = 0.2;
 
-/// Service time assumed before the first request ended.
-const ASSUMED_SERVICE: Duration = Duration::from_secs(1);
-/// Shortest mean service time that is reckoned with.
-const SHORTEST_SERVICE_SECONDS: f64 = 0.001;
-/// Weight of one more request in the mean service time.
-const SERVICE_WEIGHT: f64 = 0.05;
+/// Service time assumed until the first request has finished.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_secs(1);
+/// Lower bound on the mean service time in the drain-rate estimate.
+const MIN_SERVICE_SECONDS: f64 = 0.001;
+/// Weight of a new sample in the moving average of the service time.
+const SERVICE_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// A request that takes part in limits: it waits or is in flight.
+/// A queued or in-flight request that counts against its limits.
 #[derive(Debug, Clone)]
 struct Admitted {
     tenant: TenantName,
@@ -36,7 +37,7 @@
     started_at: Option<Timestamp>,
 }
 
-/// Decides which requests start, wait or are refused.
+/// Decides whether each request starts, waits or is refused.
 #[derive(Debug, Clone)]
 pub struct Admission {
     settings: AdmissionSettings,
@@ -48,12 +49,12 @@
     capacity: CapacityLimiter,
     shares: DemandShares,
     ended: SlidingCount,
-    mean_service: Option<f64>,
+    mean_service_seconds: Option<f64>,
     random: SeededRandom,
 }
 
 impl Admission {
-    /// Admission without limits.
+    /// Creates a controller without tenant or service limits.
     #[must_use]
     pub fn new(settings: AdmissionSettings, seed: u64) -> Self {
         Self {
@@ -66,48 +67,48 @@
             capacity: CapacityLimiter::new(settings),
             shares: DemandShares::new(settings),
             ended: SlidingCount::new(settings.drain_window),
-            mean_service: None,
+            mean_service_seconds: None,
             random: seeded(seed, "admission"),
         }
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Requests that were started and not finished.
+    /// Number of requests that started and have not finished.
     #[must_use]
     pub const fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Requests that may be in flight at the moment.
+    /// Current limit on requests in flight.
     #[must_use]
     pub const fn in_flight_limit(&self) -> f64 {
         self.capacity.limit()
     }
 
-    /// When [`AdmissionEvent::Tick`] is due.
+    /// When [`AdmissionEvent::Tick`] is due; `None` while the queue is empty.
     #[must_use]
     pub fn next_tick(&self) -> Option<Timestamp> {
-        self.queue.next_late()
+        self.queue.next_expiry()
     }
 
-    /// This daemon's demand, to be told to the others.
+    /// Demand at this daemon, for the other daemons.
     #[must_use]
     pub fn demand_report(&self, now: Timestamp) -> DemandReport {
         self.shares.report(now)
     }
 
-    /// Takes an event. Every refusal in the result is to be answered at once.
+    /// Handles an event. The caller must deliver every refusal in the result immediately.
     pub fn handle(&mut self, now: Timestamp, event: AdmissionEvent) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         match event {
             AdmissionEvent::Arrived(request) => self.arrived(now, request, &mut actions),
             AdmissionEvent::Waited { queue_wait } => {
-                self.capacity.waited(now, queue_wait, self.in_flight);
+                self.capacity.observe_wait(now, queue_wait, self.in_flight);
             }
             AdmissionEvent::Finished { id, used_tokens } => self.finished(now, id, used_tokens),
             AdmissionEvent::Abandoned { id } => self.abandoned(id),
@@ -117,13 +118,13 @@
                 self.set_service_limits(now, services);
             }
             AdmissionEvent::DaemonsChanged { live } => self.shares.set_live_daemons(live),
-            AdmissionEvent::DemandHeard { daemon, report } => {
-                self.shares.heard(now, daemon, report);
+            AdmissionEvent::DemandReported { daemon, report } => {
+                self.shares.add_report(now, daemon, report);
                 self.shares.forget_old(now);
             }
             AdmissionEvent::CapacityChanged { slots } => self.capacity.set_capacity(slots),
         }
-        self.refuse_late(now, &mut actions);
+        self.refuse_expired(now, &mut actions);
         self.start_waiting(now, &mut actions);
         actions
     }
@@ -168,10 +169,10 @@
     fn admit(&mut self, now: Timestamp, request: AdmissionRequest, latest_start: Timestamp) {
         let tokens = f64::from(request.expected_tokens);
         if let Some(state) = self.tenants.get_mut(&request.tenant) {
-            state.take(now, tokens);
+            state.debit(now, tokens);
         }
         if let Some(state) = self.services.get_mut(&request.service) {
-            state.take(now, tokens);
+            state.debit(now, tokens);
         }
         let admitted = Admitted {
             tenant: request.tenant.clone(),
@@ -183,7 +184,8 @@
         self.queue.push(request, latest_start);
     }
 
-    /// Whether there is a place in the queue; a full one gives up a request that goes after this one.
+    /// Returns whether the queue can take `request`. A full queue may displace a waiting request
+    /// that ranks after it.
     fn make_room(
         &mut self,
         now: Timestamp,
@@ -193,20 +195,20 @@
         if self.queue.len() < self.settings.queue_length || self.may_start() {
             return true;
         }
-        let Some(displaced) = self.queue.to_displace(request) else {
+        let Some(displaced) = self.queue.displacement_candidate(request) else {
             return false;
         };
         let retry_after = self.retry_after(now);
-        self.give_up_waiting(displaced);
+        self.remove_waiting(displaced);
         let refusal = AdmissionRefusal::Displaced { retry_after };
         actions.push(AdmissionAction::Refuse(displaced, refusal));
         true
     }
 
-    fn refuse_late(&mut self, now: Timestamp, actions: &mut Vec<AdmissionAction>) {
-        while let Some(late) = self.queue.pop_late(now) {
+    fn refuse_expired(&mut self, now: Timestamp, actions: &mut Vec<AdmissionAction>) {
+        while let Some(late) = self.queue.pop_expired(now) {
             let id = late.request.id;
-            self.undo(id);
+            self.refund(id);
             let refusal = AdmissionRefusal::DeadlineUnreachable {
                 expected_wait: self.expected_wait(now, &late.request),
                 retry_after: self.retry_after(now),
@@ -247,8 +249,8 @@
         self.in_flight -= 1;
         self.ended.add(now);
         let service = now.since(started_at).as_secs_f64();
-        let mean = self.mean_service.unwrap_or(service);
-        self.mean_service = Some(mean + SERVICE_WEIGHT * (service - mean));
+        let mean = self.mean_service_seconds.unwrap_or(service);
+        self.mean_service_seconds = Some(mean + SERVICE_SAMPLE_WEIGHT * (service - mean));
         let expected = f64::from(admitted.expected_tokens);
         let used = f64::from(used_tokens);
         if let Some(state) = self.tenants.get_mut(&admitted.tenant) {
@@ -261,7 +263,7 @@
 
     fn abandoned(&mut self, id: RequestId) {
         if self.is_waiting(id) {
-            self.give_up_waiting(id);
+            self.remove_waiting(id);
         }
     }
 
@@ -270,21 +272,21 @@
         admitted.is_some_and(|admitted| admitted.started_at.is_none())
     }
 
-    fn give_up_waiting(&mut self, id: RequestId) {
+    fn remove_waiting(&mut self, id: RequestId) {
         self.queue.remove(id);
-        self.undo(id);
+        self.refund(id);
     }
 
-    fn undo(&mut self, id: RequestId) {
+    fn refund(&mut self, id: RequestId) {
         let Some(admitted) = self.admitted.swap_remove(&id) else {
             return;
         };
         let tokens = f64::from(admitted.expected_tokens);
         if let Some(state) = self.tenants.get_mut(&admitted.tenant) {
-            state.undo(tokens);
+            state.refund(tokens);
         }
         if let Some(state) = self.services.get_mut(&admitted.service) {
-            state.undo(tokens);
+            state.refund(tokens);
         }
     }
 
@@ -322,10 +324,10 @@
 
     fn refresh_shares(&mut self, now: Timestamp, request: &AdmissionRequest) {
         if let Some(state) = self.tenants.get_mut(&request.tenant) {
-            state.set_share(now, self.shares.of_tenant(now, &request.tenant));
+            state.set_share(now, self.shares.tenant_share(now, &request.tenant));
         }
         if let Some(state) = self.services.get_mut(&request.service) {
-            state.set_share(now, self.shares.of_all(now));
+            state.set_share(now, self.shares.service_share(now));
         }
     }
 
@@ -356,22 +358,22 @@
         }
     }
 
-    fn count_admitted(&self, fits: impl Fn(&Admitted) -> bool) -> u32 {
+    fn count_admitted(&self, matches: impl Fn(&Admitted) -> bool) -> u32 {
         let count = self
             .admitted
             .values()
-            .filter(|admitted| fits(admitted))
+            .filter(|admitted| matches(admitted))
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Requests that can end in a second: as measured, or, while fewer come than could be served, as
-    /// many as may be in flight over the mean time of one.
+    /// Requests that can finish per second: the larger of the measured rate and the in-flight limit
+    /// divided by the mean service time. The measured rate alone is too low under light load.
     fn drain_rate(&mut self, now: Timestamp, fallback_service: Duration) -> f64 {
         let window = self.settings.drain_window.as_secs_f64();
         let measured = f64::from(self.ended.count(now)) / window;
-        let service = self.mean_service.unwrap_or(fallback_service.as_secs_f64());
-        let possible = self.capacity.limit() / service.max(SHORTEST_SERVICE_SECONDS);
+        let service = self.mean_service_seconds.unwrap_or(fallback_service.as_secs_f64());
+        let possible = self.capacity.limit() / service.max(MIN_SERVICE_SECONDS);
         measured.max(possible)
     }
 
@@ -379,13 +381,13 @@
         if self.may_start() && self.queue.is_empty() {
             return Duration::ZERO;
         }
-        let ahead = self.queue.ahead_of(request) as f64 + 1.0;
+        let ahead = self.queue.count_ahead_of(request) as f64 + 1.0;
         let seconds = ahead / self.drain_rate(now, request.expected_service);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// The last moment at which a request may start. The margin takes at most half of the time that is left,
-    /// and nothing from a request that need not wait.
+    /// Latest time at which a request may start. The service margin uses at most half of the time
+    /// until the deadline and does not apply to a request that need not wait.
     fn latest_start(
         &self,
         now: Timestamp,
@@ -394,25 +396,25 @@
     ) -> Timestamp {
         let service = request.expected_service;
         let with_margin = service.mul_f64(self.settings.service_margin);
-        let half = request.deadline.since(now) / 2;
+        let half_remaining = request.deadline.since(now) / 2;
         let needed = if expected_wait.is_zero() {
             service
         } else {
-            with_margin.min(half).max(service)
+            with_margin.min(half_remaining).max(service)
         };
         let needed = u64::try_from(needed.as_micros()).unwrap_or(u64::MAX);
         Timestamp(request.deadline.0.saturating_sub(needed))
     }
 
-    /// When the queue as it stands will have drained.
+    /// Time until the current queue has drained.
     fn retry_after(&mut self, now: Timestamp) -> Duration {
-        let seconds = (self.queue.len() as f64 + 1.0) / self.drain_rate(now, ASSUMED_SERVICE);
+        let seconds = (self.queue.len() as f64 + 1.0) / self.drain_rate(now, INITIAL_SERVICE_TIME);
         self.bounded_retry_after(seconds)
     }
 
     fn bounded_retry_after(&mut self, seconds: f64) -> Duration {
-        let stretched = seconds * (1.0 + RETRY_AFTER_JITTER * self.random.random::<f64>());
-        let wait = Duration::try_from_secs_f64(stretched).unwrap_or(Duration::MAX);
+        let with_jitter = seconds * (1.0 + RETRY_AFTER_JITTER * self.random.random::<f64>());
+        let wait = Duration::try_from_secs_f64(with_jitter).unwrap_or(Duration::MAX);
         wait.clamp(
             self.settings.shortest_retry_after,
             self.settings.longest_retry_after,
--- a/crates/core/src/admission/event.rs
+++ b/crates/core/src/admission/event.rs
@@ -1,4 +1,4 @@
-//! Events and actions of admission.
+//! Input events and resulting actions of admission control.
 
 use std::time::Duration;
 
@@ -9,52 +9,52 @@
 use super::share::DemandReport;
 use crate::{Execution, MachineId, RequestId, ServiceName, TenantName, Timestamp};
 
-/// A request that wants to start.
+/// A request that asks for admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionRequest {
     /// The request.
     pub id: RequestId,
-    /// Whose it is.
+    /// Tenant that sent it.
     pub tenant: TenantName,
-    /// The tenant's weight against others of the same priority; at least 1.
+    /// Weight of the tenant in fair queuing within a priority level; at least 1.
     pub weight: u32,
-    /// The service.
+    /// Service that it addresses.
     pub service: ServiceName,
-    /// Level of its priority; 0 is served first and shed last.
+    /// Priority level; 0 is served first and shed last.
     pub level: u8,
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the answer.
     pub deadline: Timestamp,
-    /// Prompt tokens and expected output tokens.
+    /// Prompt tokens plus expected output tokens.
     pub expected_tokens: u32,
-    /// Time that it is expected to take once started.
+    /// Expected service time after the start.
     pub expected_service: Duration,
 }
 
-/// What admission is told.
+/// Input of [`super::Admission::handle`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum AdmissionEvent {
     /// A request arrived.
     Arrived(AdmissionRequest),
-    /// A started request waited so long at its back end before it was worked on.
+    /// A started request left its back end's queue.
     Waited {
-        /// The wait: time to the first token less the time of reading the prompt.
+        /// Time in the queue: the time to the first token minus the prefill time.
         queue_wait: Duration,
     },
-    /// A started request ended, well or not.
+    /// A started request ended, successfully or not.
     Finished {
         /// The request.
         id: RequestId,
-        /// Tokens it used, prompt and output.
+        /// Prompt and output tokens that it used.
         used_tokens: u32,
     },
-    /// The caller of a request is gone. A started one still has to be reported as finished.
+    /// The caller of a request disconnected. A started request must still be reported as finished.
     Abandoned {
         /// The request.
         id: RequestId,
     },
-    /// The time of [`super::Admission::next_tick`] has come.
+    /// The time given by [`super::Admission::next_tick`] was reached.
     Tick,
-    /// The configured limits changed. Tenants and services that are left out have none.
+    /// The configured limits changed. Tenants and services not listed have no limits.
     LimitsChanged {
         /// Limits of the tenants.
         tenants: IndexMap<TenantName, Limits>,
@@ -63,29 +63,29 @@
     },
     /// The number of live daemons changed.
     DaemonsChanged {
-        /// Daemons alive, this one included.
+        /// Number of live daemons, including this one.
         live: u32,
     },
-    /// Another daemon told its demand.
-    DemandHeard {
+    /// Another daemon reported its demand.
+    DemandReported {
         /// The daemon.
         daemon: MachineId,
-        /// Its demand.
+        /// Demand at that daemon.
         report: DemandReport,
     },
-    /// The digests show another capacity.
+    /// The capacity reported by load digests changed.
     CapacityChanged {
-        /// Requests that this daemon's share of the fleet can work on at once.
+        /// Number of requests that this daemon's share of the fleet can process concurrently.
         slots: u32,
     },
 }
 
-/// What has to be done.
+/// Action that the caller of [`super::Admission::handle`] must perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdmissionAction {
     /// Send the request to a back end.
     Start(RequestId),
-    /// Answer the caller at once. Nothing was started.
+    /// Refuse the request immediately. It was not started.
     Refuse(RequestId, AdmissionRefusal),
 }
 
@@ -93,21 +93,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Tokens a second.
+    /// Tokens per second.
     Tokens,
-    /// Requests at the same time.
+    /// Concurrent requests.
     Concurrency,
 }
 
-/// Whose limit was reached.
+/// What the reached limit belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitScope {
-    /// The tenant's.
+    /// The tenant of the request.
     Tenant,
-    /// The service's.
+    /// The service of the request.
     Service,
 }
 
@@ -115,50 +115,50 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 #[serde(tag = "refusal", rename_all = "snake_case")]
 pub enum AdmissionRefusal {
-    /// A limit is reached.
-    #[error("the {scope:?} limit of {limit:?} is reached; come back in {retry_after:?}")]
+    /// A tenant or service limit was reached.
+    #[error("the {scope:?} limit of {limit:?} is reached; retry in {retry_after:?}")]
     LimitReached {
-        /// Whose.
+        /// Whether the tenant or the service reached its limit.
         scope: LimitScope,
-        /// Which.
+        /// Kind of the limit.
         limit: LimitKind,
-        /// When to come back.
+        /// Time to wait before retrying.
         retry_after: Duration,
     },
-    /// The queue is full of requests that go before this one.
-    #[error("too many requests are waiting; come back in {retry_after:?}")]
+    /// The queue is full of requests that rank before this one.
+    #[error("too many requests are waiting; retry in {retry_after:?}")]
     Overloaded {
-        /// When to come back, from the measured drain rate.
+        /// Time to wait before retrying, from the estimated drain rate.
         retry_after: Duration,
     },
-    /// It waited, and had to make room for one that goes before it.
+    /// It was queued and displaced by a request that ranks before it.
     #[error(
-        "a request of higher priority took the place in the queue; come back in {retry_after:?}"
+        "the request was displaced from the queue by one that ranks before it; retry in {retry_after:?}"
     )]
     Displaced {
-        /// When to come back, from the measured drain rate.
+        /// Time to wait before retrying, from the estimated drain rate.
         retry_after: Duration,
     },
-    /// It would end after its deadline.
+    /// It is expected to end after its deadline.
     #[error(
-        "the request is expected to wait {expected_wait:?} and would end after its deadline; come back in {retry_after:?} or send a later deadline"
+        "the request is expected to wait {expected_wait:?} and would end after its deadline; retry in {retry_after:?} or send a later deadline"
     )]
     DeadlineUnreachable {
-        /// Wait that was expected.
+        /// Expected wait in the queue.
         expected_wait: Duration,
-        /// When to come back, from the measured drain rate.
+        /// Time to wait before retrying, from the estimated drain rate.
         retry_after: Duration,
     },
 }
 
 impl AdmissionRefusal {
-    /// Always [`Execution::NotStarted`]: a refused request was never sent.
+    /// Always [`Execution::NotStarted`]: a refused request was never sent to a back end.
     #[must_use]
     pub const fn execution(&self) -> Execution {
         Execution::NotStarted
     }
 
-    /// When the caller should come back.
+    /// Time that the caller should wait before retrying.
     #[must_use]
     pub const fn retry_after(&self) -> Duration {
         match self {
--- a/crates/core/src/admission/limits.rs
+++ b/crates/core/src/admission/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of one tenant or service, as far as this daemon has to keep them.
+//! Enforcement of this daemon's share of the limits of one tenant or service.
 
 use std::time::Duration;
 
@@ -6,26 +6,26 @@
 use super::token_bucket::TokenBucket;
 use crate::Timestamp;
 
-/// Limits over the whole system; 0 means no limit.
+/// System-wide limits; 0 means unlimited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Limits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_second: u32,
-    /// Prompt and output tokens a second.
+    /// Prompt and output tokens per second.
     pub tokens_per_second: u32,
-    /// Requests at the same time, waiting ones included.
+    /// Concurrent requests, including queued ones.
     pub concurrency: u32,
 }
 
-/// A limit that a request would exceed, and when it may come again.
+/// A limit that a request would exceed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Exceeded {
     pub kind: LimitKind,
-    /// `None`: when another request ends.
+    /// Time until the limit allows the request; `None` if that depends on another request ending.
     pub wait: Option<Duration>,
 }
 
-/// What is in use of the limits of one tenant or service.
+/// Usage of the limits of one tenant or service.
 #[derive(Debug, Clone)]
 pub(super) struct LimitState {
     limits: Limits,
@@ -37,7 +37,7 @@
 }
 
 impl LimitState {
-    /// `concurrent` requests are admitted already.
+    /// `concurrent` is the number of requests already admitted.
     pub fn new(now: Timestamp, limits: Limits, concurrent: u32, burst: Duration) -> Self {
         let mut state = Self {
             limits,
@@ -83,26 +83,27 @@
         None
     }
 
-    pub fn take(&mut self, now: Timestamp, tokens: f64) {
+    pub fn debit(&mut self, now: Timestamp, tokens: f64) {
         self.concurrent += 1;
-        self.requests.take(now, 1.0);
-        self.tokens.take(now, tokens);
+        self.requests.debit(now, 1.0);
+        self.tokens.debit(now, tokens);
     }
 
-    /// A request that was not run: everything is given back.
-    pub fn undo(&mut self, tokens: f64) {
+    /// Returns everything charged for a request that did not run.
+    pub fn refund(&mut self, tokens: f64) {
         self.concurrent = self.concurrent.saturating_sub(1);
-        self.requests.give_back(1.0);
-        self.tokens.give_back(tokens);
+        self.requests.credit(1.0);
+        self.tokens.credit(tokens);
     }
 
-    /// A request ended: the difference between the expected and the used tokens is settled.
+    /// Ends a request and settles the difference between expected and used tokens.
     pub fn finished(&mut self, expected_tokens: f64, used_tokens: f64) {
         self.concurrent = self.concurrent.saturating_sub(1);
-        self.tokens.give_back(expected_tokens - used_tokens);
+        self.tokens.credit(expected_tokens - used_tokens);
     }
 
-    /// At least one, so that no tenant is shut out at a daemon with a small share.
+    /// This daemon's concurrency limit. It is at least one, so that a small share does not block a
+    /// tenant.
     fn concurrency(&self) -> f64 {
         (f64::from(self.limits.concurrency) * self.share)
             .ceil()
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue: priority first, then weighted fairness between tenants, then the deadline.
+//! Fair queue: ordered by priority, then weighted fairness between tenants, then deadline.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,26 +8,26 @@
 use super::event::AdmissionRequest;
 use crate::{RequestId, TenantName, Timestamp};
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Queued {
     /// The request.
     pub request: AdmissionRequest,
-    /// The last moment at which it may start; after it, it is given up.
+    /// Latest time at which it may start; it is refused afterwards.
     pub latest_start: Timestamp,
 }
 
 #[derive(Debug, Clone, Default)]
 struct TenantQueue {
-    /// By deadline, then arrival.
+    /// Ordered by deadline, then arrival.
     waiting: BTreeMap<(Timestamp, u64), Queued>,
-    /// Virtual time at which its next request may start.
+    /// Virtual time at which the tenant's next request may start.
     virtual_start: f64,
     weight: u32,
 }
 
 impl TenantQueue {
-    /// Waiting requests for each unit of weight.
+    /// Queued requests per unit of weight.
     fn backlog(&self) -> f64 {
         self.waiting.len() as f64 / f64::from(self.weight.max(1))
     }
@@ -41,50 +41,50 @@
 }
 
 #[derive(Debug, Clone)]
-struct Place {
+struct QueuePosition {
     level: u8,
     tenant: TenantName,
     key: (Timestamp, u64),
 }
 
-/// Waiting requests of one daemon.
+/// Queued requests of one daemon. The caller enforces the bound on its length.
 #[derive(Debug, Clone, Default)]
 pub struct FairQueue {
     levels: BTreeMap<u8, Level>,
-    places: IndexMap<RequestId, Place>,
+    positions: IndexMap<RequestId, QueuePosition>,
     latest_starts: BTreeSet<(Timestamp, RequestId)>,
     arrivals: u64,
 }
 
 impl FairQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Number of requests that wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// Adds a request.
     pub fn push(&mut self, request: AdmissionRequest, latest_start: Timestamp) {
         self.arrivals += 1;
         let key = (request.deadline, self.arrivals);
-        let place = Place {
+        let position = QueuePosition {
             level: request.level,
             tenant: request.tenant.clone(),
             key,
         };
-        self.places.insert(request.id, place);
+        self.positions.insert(request.id, position);
         self.latest_starts.insert((latest_start, request.id));
         let level = self.levels.entry(request.level).or_default();
         level.waiting += 1;
@@ -120,21 +120,21 @@
 
     /// Removes a request wherever it stands.
     pub fn remove(&mut self, id: RequestId) -> Option<Queued> {
-        let place = self.places.swap_remove(&id)?;
-        let level = self.levels.get_mut(&place.level)?;
-        let tenant = level.tenants.get_mut(&place.tenant)?;
-        let queued = tenant.waiting.remove(&place.key)?;
+        let position = self.positions.swap_remove(&id)?;
+        let level = self.levels.get_mut(&position.level)?;
+        let tenant = level.tenants.get_mut(&position.tenant)?;
+        let queued = tenant.waiting.remove(&position.key)?;
         level.waiting -= 1;
         self.latest_starts.remove(&(queued.latest_start, id));
-        level.forget_idle_tenants();
+        level.remove_idle_tenants();
         if level.waiting == 0 {
-            self.levels.remove(&place.level);
+            self.levels.remove(&position.level);
         }
         Some(queued)
     }
 
-    /// Takes a request that can no longer meet its deadline.
-    pub fn pop_late(&mut self, now: Timestamp) -> Option<Queued> {
+    /// Removes and returns a request that can no longer meet its deadline.
+    pub fn pop_expired(&mut self, now: Timestamp) -> Option<Queued> {
         let &(latest_start, id) = self.latest_starts.first()?;
         if latest_start >= now {
             return None;
@@ -142,18 +142,20 @@
         self.remove(id)
     }
 
-    /// When the next request becomes unable to meet its deadline.
+    /// Earliest time at which a queued request can no longer meet its deadline.
     #[must_use]
-    pub fn next_late(&self) -> Option<Timestamp> {
+    pub fn next_expiry(&self) -> Option<Timestamp> {
         let &(latest_start, _) = self.latest_starts.first()?;
         Some(latest_start + Duration::from_micros(1))
     }
 
-    /// The waiting request that a full queue gives up for `request`: of the lowest priority below its
-    /// own; or of the same, from a tenant whose backlog for its weight would still be larger. It is the one
-    /// with the latest deadline of the tenant with the largest backlog.
+    /// The queued request that a full queue displaces for `request`, if any.
+    ///
+    /// It is taken from the lowest priority level: from the tenant with the largest backlog per
+    /// weight, the request with the latest deadline. Within the level of `request`, that backlog
+    /// must exceed the backlog that the tenant of `request` would have.
     #[must_use]
-    pub fn to_displace(&self, request: &AdmissionRequest) -> Option<RequestId> {
+    pub fn displacement_candidate(&self, request: &AdmissionRequest) -> Option<RequestId> {
         let (&lowest, level) = self
             .levels
             .iter()
@@ -178,9 +180,9 @@
         Some(last.request.id)
     }
 
-    /// How many waiting requests would go before this one.
+    /// Estimated number of queued requests that would start before `request`.
     #[must_use]
-    pub fn ahead_of(&self, request: &AdmissionRequest) -> usize {
+    pub fn count_ahead_of(&self, request: &AdmissionRequest) -> usize {
         let higher = self.levels.range(..request.level);
         let higher: usize = higher.map(|(_, level)| level.waiting).sum();
         let Some(level) = self.levels.get(&request.level) else {
@@ -196,19 +198,19 @@
             .tenants
             .iter()
             .filter(|(name, _)| **name != request.tenant);
-        let of_others: f64 = others
+        let from_others: f64 = others
             .map(|(_, tenant)| {
                 let turns = (rounds * f64::from(tenant.weight)).ceil();
                 turns.min(tenant.waiting.len() as f64)
             })
             .sum();
-        higher + own + to_count(of_others)
+        higher + own + to_count(from_others)
     }
 }
 
 impl Level {
-    /// An idle tenant is kept only as long as it has used more than its share.
-    fn forget_idle_tenants(&mut self) {
+    /// Removes idle tenants, except those that are still ahead of their fair share in virtual time.
+    fn remove_idle_tenants(&mut self) {
         let virtual_time = self.virtual_time;
         self.tenants
             .retain(|_, tenant| !tenant.waiting.is_empty() || tenant.virtual_start > virtual_time);
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -1,42 +1,42 @@
-//! Settings of admission.
+//! Settings of admission control.
 
 use std::time::Duration;
 
-/// Wait target that daemons use: the time in which 95 in 100 first tokens are due. With 200 ms the experiment
-/// tool saw about half of the requests refused at three quarters of the load.
+/// Queue wait target used by daemons: the time within which 95 % of first tokens are due.
 pub const DAEMON_WAIT_TARGET: Duration = Duration::from_millis(910);
 
 /// Settings of an [`super::Admission`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that may wait.
+    /// Maximum number of queued requests.
     pub queue_length: usize,
-    /// A request that waits is given up when less than this multiple of its expected service time is left
-    /// until its deadline: service times vary, and one that ends late has used a place for nothing.
+    /// A queued request is refused when less than this multiple of its expected service time
+    /// remains until its deadline. Service times vary, and a request that ends late wastes
+    /// capacity.
     pub service_margin: f64,
-    /// Time whose allowance a rate limit may give at once.
+    /// Length of time whose rate allowance may be used at once.
     pub burst: Duration,
-    /// Requests in flight towards back ends at the start.
+    /// Initial limit on requests in flight to back ends.
     pub initial_in_flight: f64,
-    /// Fewest requests in flight that the limiter goes down to.
+    /// Lower bound of the limit on requests in flight.
     pub minimum_in_flight: f64,
-    /// Most requests in flight, as a multiple of the capacity that the digests show.
+    /// Upper bound of the limit on requests in flight, as a multiple of the reported capacity.
     pub largest_multiple_of_capacity: f64,
-    /// Wait at back ends above which fewer requests are sent.
+    /// Queue wait at back ends above which the limit decreases.
     pub wait_target: Duration,
-    /// Factor on the requests in flight when the wait is above the target.
+    /// Factor applied to the limit when the wait exceeds the target.
     pub decrease: f64,
-    /// Time between two decreases.
+    /// Minimum time between two decreases.
     pub decrease_interval: Duration,
-    /// Window of the measured drain rate.
+    /// Window over which the drain rate is measured.
     pub drain_window: Duration,
-    /// Shortest time after which a refused caller is told to come back.
+    /// Lower bound of the retry time given to refused callers.
     pub shortest_retry_after: Duration,
-    /// Longest one.
+    /// Upper bound of the retry time given to refused callers.
     pub longest_retry_after: Duration,
-    /// Age at which another daemon's report of demand counts no more.
+    /// Age at which another daemon's demand report is ignored.
     pub demand_report_age: Duration,
-    /// Time constant of the measured demand of a tenant.
+    /// Time constant of the exponentially decaying demand rates.
     pub demand_time: Duration,
 }
 
--- a/crates/core/src/admission/share.rs
+++ b/crates/core/src/admission/share.rs
@@ -1,7 +1,8 @@
-//! One daemon's share of the limits that hold for the whole system.
+//! This daemon's share of system-wide limits.
 //!
-//! `share = heard * own demand / whole demand + (1 - heard) / live daemons`, where `heard` is the part
-//! of the live daemons with a fresh report. The bound on the error is in `docs/design/admission.md`.
+//! `share = coverage * demand share + (1 - coverage) / live daemons`, where `coverage` is the
+//! fraction of the other live daemons with a fresh report. The demand share is the own part of the
+//! total demand, plus a small even part for every live daemon.
 
 use indexmap::IndexMap;
 
@@ -13,23 +14,24 @@
 pub struct TenantDemand {
     /// The tenant.
     pub tenant: TenantName,
-    /// Requests a second that arrived, admitted or not.
+    /// Arriving requests per second, whether admitted or not.
     pub requests_per_second: f64,
 }
 
-/// What one daemon tells the others of its demand.
+/// Demand that a daemon reports to the others.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct DemandReport {
-    /// Requests a second of all tenants together.
+    /// Requests per second over all tenants.
     pub total_requests_per_second: f64,
-    /// Demand of the tenants that have limits. One that is left out has no demand there.
+    /// Demand of the tenants with limits. Tenants not listed have no demand at that daemon.
     pub tenants: Vec<TenantDemand>,
 }
 
-/// Demand below which a tenant is forgotten, in requests a second.
-const NEGLIGIBLE_DEMAND: f64 = 0.000_1;
-/// Demand that every live daemon is granted beyond what it shows, as a share of the whole demand: a
-/// daemon that a tenant newly comes to does not start from nothing.
+/// Demand below which a tenant is dropped.
+const NEGLIGIBLE_REQUESTS_PER_SECOND: f64 = 0.000_1;
+/// Fraction of the total demand that is split evenly over live daemons on top of their own demand,
+/// so that a daemon without demand for a tenant still has a share when the tenant's requests
+/// arrive.
 const GRANTED_SHARE: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -59,7 +61,7 @@
     demands: IndexMap<TenantName, f64>,
 }
 
-/// Demand of each tenant here and, as far as it was heard, at the other daemons.
+/// Demand of each tenant at this daemon and, as reported, at the other daemons.
 #[derive(Debug, Clone)]
 pub struct DemandShares {
     settings: AdmissionSettings,
@@ -70,7 +72,7 @@
 }
 
 impl DemandShares {
-    /// Starts alone, without demand.
+    /// Creates shares for a single live daemon without demand.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
@@ -82,12 +84,12 @@
         }
     }
 
-    /// Sets how many daemons are alive, this one included.
+    /// Sets the number of live daemons, including this one.
     pub fn set_live_daemons(&mut self, live: u32) {
         self.live_daemons = live.max(1);
     }
 
-    /// A request arrived here, of a tenant that has limits or of another.
+    /// Records an arriving request. `limited_tenant` is its tenant if that tenant has limits.
     pub fn arrived(&mut self, now: Timestamp, limited_tenant: Option<&TenantName>) {
         let time_constant = self.settings.demand_time.as_secs_f64();
         self.total = self.total.with_one_more(now, time_constant);
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Takes another daemon's report.
-    pub fn heard(&mut self, now: Timestamp, daemon: MachineId, report: DemandReport) {
+    /// Stores another daemon's report, replacing its previous one.
+    pub fn add_report(&mut self, now: Timestamp, daemon: MachineId, report: DemandReport) {
         let usable = report
             .tenants
             .into_iter()
@@ -127,19 +129,19 @@
         }
     }
 
-    /// Forgets old reports and tenants that no longer come.
+    /// Drops expired reports and tenants with negligible demand.
     pub fn forget_old(&mut self, now: Timestamp) {
         let age = self.settings.demand_report_age;
         let time_constant = self.settings.demand_time.as_secs_f64();
         self.reports
             .retain(|_, report| now.since(report.received_at) < age);
         self.own
-            .retain(|_, rate| rate.value(now, time_constant) > NEGLIGIBLE_DEMAND);
+            .retain(|_, rate| rate.value(now, time_constant) > NEGLIGIBLE_REQUESTS_PER_SECOND);
     }
 
     /// This daemon's share of a tenant's limits, above 0 and at most 1.
     #[must_use]
-    pub fn of_tenant(&self, now: Timestamp, tenant: &TenantName) -> f64 {
+    pub fn tenant_share(&self, now: Timestamp, tenant: &TenantName) -> f64 {
         let time_constant = self.settings.demand_time.as_secs_f64();
         let own = self
             .own
@@ -153,9 +155,9 @@
         self.share(own, others, fresh.len())
     }
 
-    /// This daemon's share of the limits that hold over all tenants of a service.
+    /// This daemon's share of a service's limits, which apply to all tenants together.
     #[must_use]
-    pub fn of_all(&self, now: Timestamp) -> f64 {
+    pub fn service_share(&self, now: Timestamp) -> f64 {
         let time_constant = self.settings.demand_time.as_secs_f64();
         let own = self.total.value(now, time_constant);
         let fresh = self.fresh_reports(now);
@@ -173,18 +175,18 @@
 
     fn share(&self, own: f64, others: f64, reports: usize) -> f64 {
         let live = f64::from(self.live_daemons);
-        let whole = own + others;
+        let total_demand = own + others;
         if self.live_daemons == 1 {
             return 1.0;
         }
         let reports = f64::from(u32::try_from(reports).unwrap_or(u32::MAX));
-        let heard = (reports / (live - 1.0)).min(1.0);
-        let granted = whole * GRANTED_SHARE / live;
-        let by_demand = if whole > 0.0 {
-            (own + granted) / (whole * (1.0 + GRANTED_SHARE))
+        let report_coverage = (reports / (live - 1.0)).min(1.0);
+        let granted = total_demand * GRANTED_SHARE / live;
+        let by_demand = if total_demand > 0.0 {
+            (own + granted) / (total_demand * (1.0 + GRANTED_SHARE))
         } else {
             1.0 / live
         };
-        heard * by_demand + (1.0 - heard) / live
+        report_coverage * by_demand + (1.0 - report_coverage) / live
     }
 }
--- a/crates/core/src/admission/token_bucket.rs
+++ b/crates/core/src/admission/token_bucket.rs
@@ -1,15 +1,16 @@
-//! Token bucket that may go into debt.
+//! Token bucket whose balance may become negative.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Longest wait that is computed, for rates near zero.
-const LONGEST_WAIT_SECONDS: f64 = 3_600.0;
+/// Upper bound on computed waits, for rates near zero.
+const MAX_WAIT_SECONDS: f64 = 3_600.0;
 
-/// A rate limit. A taking is allowed while the balance is positive, and may leave a debt: so one large
-/// request passes, and the ones after it wait until it is paid for. Over any time `t` at most
-/// `burst + rate * t + one taking` is taken.
+/// A rate limiter. A debit is allowed if the balance covers it or the bucket is full, so that an
+/// amount larger than the burst can pass; the balance may then become negative and later debits
+/// wait until it has recovered. Over any time `t`, at most `burst + rate * t` plus one debit is
+/// allowed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TokenBucket {
     rate: f64,
@@ -19,7 +20,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket. `rate` is in units a second, `burst` in units.
+    /// Creates a full bucket. `rate` is in units per second, `burst` in units.
     #[must_use]
     pub const fn new(now: Timestamp, rate: f64, burst: f64) -> Self {
         Self {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Changes the rate and burst from now on. The balance is kept, up to the new burst.
+    /// Changes the rate and burst from `now`. The balance is kept, up to the new burst.
     pub fn set_rate(&mut self, now: Timestamp, rate: f64, burst: f64) {
         self.refill(now);
         self.rate = rate;
@@ -38,30 +39,30 @@
         self.balance = self.balance.min(burst);
     }
 
-    /// Whether a taking is allowed now.
+    /// Whether a debit of `amount` is allowed now.
     #[must_use]
     pub fn allows(&mut self, now: Timestamp, amount: f64) -> bool {
         self.refill(now);
         self.balance >= amount.min(self.burst)
     }
 
-    /// Takes without asking; the balance may become a debt.
-    pub fn take(&mut self, now: Timestamp, amount: f64) {
+    /// Debits without checking; the balance may become negative.
+    pub fn debit(&mut self, now: Timestamp, amount: f64) {
         self.refill(now);
         self.balance -= amount;
     }
 
-    /// Gives back what was taken too much (or takes more, when negative).
-    pub fn give_back(&mut self, amount: f64) {
+    /// Credits `amount`; a negative amount is debited.
+    pub fn credit(&mut self, amount: f64) {
         self.balance = (self.balance + amount).min(self.burst);
     }
 
-    /// When a taking will be allowed.
+    /// Time until a debit of `amount` is allowed.
     #[must_use]
     pub fn wait(&mut self, now: Timestamp, amount: f64) -> Duration {
         self.refill(now);
         let missing = (amount.min(self.burst) - self.balance).max(0.0);
-        let seconds = (missing / self.rate).min(LONGEST_WAIT_SECONDS);
+        let seconds = (missing / self.rate).min(MAX_WAIT_SECONDS);
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO)
     }
 
--- a/crates/core/src/answer/assembler.rs
+++ b/crates/core/src/answer/assembler.rs
@@ -8,7 +8,7 @@
 use crate::{RequestId, Timestamp};
 
 /// Doublings of the wait before a resume.
-const LARGEST_BACKOFF_SHIFT: u32 = 6;
+const MAX_BACKOFF_SHIFT: u32 = 6;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
@@ -35,11 +35,11 @@
     next_id: u64,
     forwarded: u64,
     resumes: u32,
-    fruitless: u32,
+    resumes_without_progress: u32,
     /// Since when nothing new came although it was waited for.
     stalled_since: Option<Timestamp>,
     /// From when on silence of the current connection is counted.
-    quiet_since: Timestamp,
+    last_activity: Timestamp,
 }
 
 impl AnswerAssembler {
@@ -63,9 +63,9 @@
             next_id: settings.first_event_id,
             forwarded: 0,
             resumes: 0,
-            fruitless: 0,
+            resumes_without_progress: 0,
             stalled_since: None,
-            quiet_since: now,
+            last_activity: now,
         }
     }
 
@@ -95,7 +95,7 @@
         if self.is_ended() {
             return None;
         }
-        Some(self.deadline.min(self.idle_at()))
+        Some(self.deadline.min(self.idle_deadline()))
     }
 
     /// Takes an event of a connection. Events of earlier connections, and all after the end, do nothing.
@@ -130,19 +130,19 @@
         }
     }
 
-    fn idle_at(&self) -> Timestamp {
+    fn idle_deadline(&self) -> Timestamp {
         if self.forwarded == 0 && self.resumes == 0 {
             return self.first_part_by.unwrap_or(self.deadline);
         }
-        self.quiet_since + self.settings.idle_limit
+        self.last_activity + self.settings.idle_limit
     }
 
     fn tick<P>(&mut self, now: Timestamp) -> Vec<AnswerAction<P>> {
         if now >= self.deadline {
             return self.fail(AnswerFault::DeadlinePassed);
         }
-        if now >= self.idle_at() {
-            return self.interrupted(now, AnswerFault::Idle);
+        if now >= self.idle_deadline() {
+            return self.resume_or_fail(now, AnswerFault::Idle);
         }
         Vec::new()
     }
@@ -154,16 +154,16 @@
         framing: BodyFraming,
     ) -> Vec<AnswerAction<P>> {
         if self.phase != Phase::Connecting {
-            return self.interrupted(now, AnswerFault::Unexpected);
+            return self.resume_or_fail(now, AnswerFault::Unexpected);
         }
         match echoed {
             Some(other) if other != self.request => {
-                return self.interrupted(now, AnswerFault::Crossed);
+                return self.resume_or_fail(now, AnswerFault::Crossed);
             }
             None if self.settings.echo_required => return self.fail(AnswerFault::EchoMissing),
             _ => {}
         }
-        self.quiet_since = now;
+        self.last_activity = now;
         if self.kind == AnswerKind::Stream {
             self.phase = Phase::Streaming;
             return Vec::new();
@@ -186,21 +186,21 @@
         payload: P,
     ) -> Vec<AnswerAction<P>> {
         if self.phase != Phase::Streaming {
-            return self.interrupted(now, AnswerFault::Unexpected);
+            return self.resume_or_fail(now, AnswerFault::Unexpected);
         }
         if echoed.is_some_and(|other| other != self.request) {
-            return self.interrupted(now, AnswerFault::Crossed);
+            return self.resume_or_fail(now, AnswerFault::Crossed);
         }
         let Some(received) = id else {
-            return self.interrupted(now, AnswerFault::NumberMissing);
+            return self.resume_or_fail(now, AnswerFault::NumberMissing);
         };
-        self.quiet_since = now;
+        self.last_activity = now;
         let expected = self.next_id;
         if received < expected {
             return Vec::new();
         }
         if received > expected {
-            return self.interrupted(now, AnswerFault::Gap { expected, received });
+            return self.resume_or_fail(now, AnswerFault::Gap { expected, received });
         }
         self.next_id += 1;
         self.progress();
@@ -209,22 +209,22 @@
 
     fn end_mark<P>(&mut self, now: Timestamp, id: Option<u64>) -> Vec<AnswerAction<P>> {
         if self.phase != Phase::Streaming {
-            return self.interrupted(now, AnswerFault::Unexpected);
+            return self.resume_or_fail(now, AnswerFault::Unexpected);
         }
         let expected = self.next_id;
         if let Some(received) = id
             && received != expected
         {
-            return self.interrupted(now, AnswerFault::Gap { expected, received });
+            return self.resume_or_fail(now, AnswerFault::Gap { expected, received });
         }
         self.complete()
     }
 
     fn bytes<P>(&mut self, now: Timestamp, length: u64, payload: P) -> Vec<AnswerAction<P>> {
         let Phase::Body { framing, received } = self.phase else {
-            return self.interrupted(now, AnswerFault::Unexpected);
+            return self.resume_or_fail(now, AnswerFault::Unexpected);
         };
-        self.quiet_since = now;
+        self.last_activity = now;
         let received = received.saturating_add(length);
         if let BodyFraming::Length(announced) = framing
             && received > announced
@@ -264,12 +264,12 @@
                 received,
             });
         }
-        self.interrupted(now, AnswerFault::Cut)
+        self.resume_or_fail(now, AnswerFault::Cut)
     }
 
     fn progress(&mut self) {
         self.forwarded += 1;
-        self.fruitless = 0;
+        self.resumes_without_progress = 0;
         self.stalled_since = None;
     }
 
@@ -289,20 +289,20 @@
     }
 
     /// The connection is of no more use: resume the stream, or fail where that is not possible.
-    fn interrupted<P>(&mut self, now: Timestamp, fault: AnswerFault) -> Vec<AnswerAction<P>> {
+    fn resume_or_fail<P>(&mut self, now: Timestamp, fault: AnswerFault) -> Vec<AnswerAction<P>> {
         let stalled_since = *self.stalled_since.get_or_insert(now);
         let at = now + self.resume_delay();
         let in_time = at < self.deadline && at.since(stalled_since) <= self.settings.resume_window;
-        let tries_left = self.fruitless < self.settings.fruitless_resumes
-            && self.resumes < self.settings.total_resumes;
-        if self.kind == AnswerKind::Whole || !in_time || !tries_left {
+        let resumes_left = self.resumes_without_progress < self.settings.max_resumes_without_progress
+            && self.resumes < self.settings.max_resumes;
+        if self.kind == AnswerKind::Whole || !in_time || !resumes_left {
             return self.fail(fault);
         }
-        self.fruitless += 1;
+        self.resumes_without_progress += 1;
         self.resumes += 1;
         self.connection = ConnectionNumber(self.connection.0 + 1);
         self.phase = Phase::Connecting;
-        self.quiet_since = at;
+        self.last_activity = at;
         let resume = AnswerAction::Resume {
             connection: self.connection,
             after: self.last_id(),
@@ -316,7 +316,7 @@
     }
 
     fn resume_delay(&self) -> Duration {
-        let doublings = self.fruitless.min(LARGEST_BACKOFF_SHIFT);
+        let doublings = self.resumes_without_progress.min(MAX_BACKOFF_SHIFT);
         self.settings.resume_delay * (1 << doublings)
     }
 }
--- a/crates/core/src/answer/settings.rs
+++ b/crates/core/src/answer/settings.rs
@@ -10,9 +10,9 @@
     /// Whether an answer without an echoed request id is refused.
     pub echo_required: bool,
     /// Resumes in a row that bring nothing new.
-    pub fruitless_resumes: u32,
+    pub max_resumes_without_progress: u32,
     /// Resumes of one answer in all.
-    pub total_resumes: u32,
+    pub max_resumes: u32,
     /// Time in which a resume must have brought something new.
     pub resume_window: Duration,
     /// Wait before the first resume; doubled at each fruitless one.
@@ -27,8 +27,8 @@
         Self {
             first_event_id: 1,
             echo_required: true,
-            fruitless_resumes: 4,
-            total_resumes: 16,
+            max_resumes_without_progress: 4,
+            max_resumes: 16,
             resume_window: Duration::from_secs(10),
             resume_delay: Duration::from_millis(20),
             idle_limit: Duration::from_secs(15),
--- a/crates/core/src/engine_facts.rs
+++ b/crates/core/src/engine_facts.rs
@@ -43,7 +43,7 @@
 
     /// Whether both say the same of the engine.
     #[must_use]
-    pub fn says_the_same_as(&self, other: &Self) -> bool {
+    pub fn has_same_state_as(&self, other: &Self) -> bool {
         self.incarnation == other.incarnation
             && self.role == other.role
             && self.model == other.model
@@ -51,7 +51,7 @@
 }
 
 /// How often facts are passed on by gossip. Whoever missed them all pulls the table.
-const RETRANSMITS: u32 = 8;
+const MAX_GOSSIP_SENDS: u32 = 8;
 
 #[derive(Debug, Clone)]
 struct KnownFacts {
@@ -74,7 +74,7 @@
         }
         let known = KnownFacts {
             facts,
-            sends_left: RETRANSMITS,
+            sends_left: MAX_GOSSIP_SENDS,
         };
         self.facts.insert(known.facts.engine, known);
         true
@@ -85,7 +85,7 @@
     pub fn observe(&mut self, mut facts: EngineFacts) -> bool {
         facts.sequence = match self.get(facts.engine) {
             Some(known) if known.incarnation > facts.incarnation => return false,
-            Some(known) if facts.says_the_same_as(known) => return false,
+            Some(known) if facts.has_same_state_as(known) => return false,
             Some(known) if known.incarnation == facts.incarnation => known.sequence + 1,
             Some(_) | None => 0,
         };
--- a/crates/core/src/load/table.rs
+++ b/crates/core/src/load/table.rs
@@ -16,7 +16,7 @@
     /// How often one digest is passed on.
     pub retransmits: u32,
     /// Older digests are not passed on.
-    pub pass_on_until: Duration,
+    pub max_gossip_age: Duration,
     /// Older digests are forgotten.
     pub forget_after: Duration,
 }
@@ -26,7 +26,7 @@
         Self {
             digests_per_message: 40,
             retransmits: 3,
-            pass_on_until: Duration::from_secs(4),
+            max_gossip_age: Duration::from_secs(4),
             forget_after: Duration::from_secs(60),
         }
     }
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone)]
 pub struct LoadTable {
     settings: LoadTableSettings,
-    wanted: BTreeSet<MachineId>,
+    subscribed: BTreeSet<MachineId>,
     entries: BTreeMap<MachineId, Entry>,
 }
 
@@ -74,26 +74,26 @@
     pub const fn new(settings: LoadTableSettings) -> Self {
         Self {
             settings,
-            wanted: BTreeSet::new(),
+            subscribed: BTreeSet::new(),
             entries: BTreeMap::new(),
         }
     }
 
     /// Sets the engines of the cells that this daemon subscribes to; all others are ignored.
     pub fn subscribe(&mut self, engines: impl IntoIterator<Item = MachineId>) {
-        self.wanted = engines.into_iter().collect();
-        let wanted = &self.wanted;
-        self.entries.retain(|engine, _| wanted.contains(engine));
+        self.subscribed = engines.into_iter().collect();
+        let subscribed = &self.subscribed;
+        self.entries.retain(|engine, _| subscribed.contains(engine));
     }
 
     /// Takes a digest, from an own poll (age 0) or from a peer. Returns whether it is news.
     pub fn take(&mut self, now: Timestamp, aged: AgedDigest) -> bool {
         let digest = aged.digest;
-        if !self.wanted.contains(&digest.engine) {
+        if !self.subscribed.contains(&digest.engine) {
             return false;
         }
         let known = self.entries.get(&digest.engine).map(|entry| &entry.digest);
-        if known.is_some_and(|known| known.order() >= digest.order()) {
+        if known.is_some_and(|known| known.version() >= digest.version()) {
             return false;
         }
         let age = u64::from(aged.age_ms) * 1_000;
@@ -120,7 +120,7 @@
 
     /// Digests for one message: the freshest first, each a bounded number of times.
     pub fn take_for_gossip(&mut self, now: Timestamp) -> Vec<AgedDigest> {
-        let limit = self.settings.pass_on_until;
+        let limit = self.settings.max_gossip_age;
         let mut waiting: Vec<_> = self
             .entries
             .values_mut()
@@ -159,7 +159,7 @@
 
 impl LoadDigest {
     /// By what the newer of two digests of an engine is told: the incarnation, then the sequence.
-    const fn order(&self) -> (u64, u32) {
+    const fn version(&self) -> (u64, u32) {
         (self.incarnation.0, self.sequence)
     }
 }
--- a/crates/core/src/model_assignment.rs
+++ b/crates/core/src/model_assignment.rs
@@ -65,14 +65,14 @@
     shares.sort_by_key(|(model, share)| (100 - (*share).min(100), model.clone()));
     let total: usize = shares.iter().map(|(_, share)| share).sum();
     let mut quotas = BTreeMap::new();
-    let mut left = count;
+    let mut remaining = count;
     for (model, share) in &shares {
-        let quota = (count * share / total.max(1)).max(1).min(left);
-        left -= quota;
+        let quota = (count * share / total.max(1)).max(1).min(remaining);
+        remaining -= quota;
         quotas.insert(model.clone(), quota);
     }
     shares.sort_by_key(|(model, share)| (total - count * share % total.max(1), model.clone()));
-    for (model, _) in shares.iter().cycle().take(left) {
+    for (model, _) in shares.iter().cycle().take(remaining) {
         *quotas.entry(model.clone()).or_default() += 1;
     }
     quotas
@@ -85,13 +85,13 @@
     engines: &[EngineModel],
 ) -> BTreeMap<MachineId, LoadedModel> {
     let wanted = wanted_models(configuration);
-    let mut left = engine_quotas(configuration, engines.len());
+    let mut remaining = engine_quotas(configuration, engines.len());
     let mut assigned: BTreeMap<MachineId, ModelName> = BTreeMap::new();
     let mut sorted: Vec<&EngineModel> = engines.iter().collect();
     sorted.sort_by_key(|engine| engine.engine);
     for engine in &sorted {
         let Some(model) = &engine.model else { continue };
-        if let Some(quota) = left.get_mut(model).filter(|quota| **quota > 0) {
+        if let Some(quota) = remaining.get_mut(model).filter(|quota| **quota > 0) {
             *quota -= 1;
             assigned.insert(engine.engine, model.clone());
         }
@@ -100,8 +100,8 @@
         if assigned.contains_key(&engine.engine) {
             continue;
         }
-        let next = left.iter_mut().max_by_key(|(_, quota)| **quota);
-        if let Some((model, quota)) = next.filter(|(_, quota)| **quota > 0) {
+        let neediest = remaining.iter_mut().max_by_key(|(_, quota)| **quota);
+        if let Some((model, quota)) = neediest.filter(|(_, quota)| **quota > 0) {
             *quota -= 1;
             assigned.insert(engine.engine, model.clone());
         }
--- a/crates/core/src/retry/attempt.rs
+++ b/crates/core/src/retry/attempt.rs
@@ -39,7 +39,7 @@
 
     /// Whether the failure may come from the back end's zone rather than from its load.
     #[must_use]
-    pub const fn speaks_against_zone(self) -> bool {
+    pub const fn suggests_zone_failure(self) -> bool {
         matches!(self, Self::NotSent | Self::TimedOut | Self::ConnectionLost)
     }
 }
--- a/crates/core/src/retry/policy.rs
+++ b/crates/core/src/retry/policy.rs
@@ -114,19 +114,19 @@
         let record = facts.earlier.with(outcome.failure.execution());
         let execution = record.combined();
         let after = self.delay(record.attempts());
-        if let Some(reason) = self.obstacle(now, after, record.attempts(), execution, facts) {
+        if let Some(reason) = self.reason_to_give_up(now, after, record.attempts(), execution, facts) {
             return RetryDecision::GiveUp { reason, execution };
         }
-        let against_zone = outcome.failure.speaks_against_zone();
+        let zone_suspected = outcome.failure.suggests_zone_failure();
         RetryDecision::Retry {
             after,
             exclude: outcome.back_end,
-            avoid_zone: against_zone.then(|| outcome.zone.clone()),
+            avoid_zone: zone_suspected.then(|| outcome.zone.clone()),
         }
     }
 
     /// What forbids a retry. The budget comes last, so that only real retries use it up.
-    fn obstacle(
+    fn reason_to_give_up(
         &mut self,
         now: Timestamp,
         after: Duration,
--- a/crates/core/src/routing/outlier.rs
+++ b/crates/core/src/routing/outlier.rs
@@ -12,23 +12,23 @@
     /// Failures in a row after which a back end is set aside.
     pub consecutive_failures: u32,
     /// Time of the first setting aside; doubled at each further one.
-    pub first_time_aside: Duration,
+    pub first_ejection: Duration,
     /// Longest time aside.
-    pub longest_time_aside: Duration,
+    pub max_ejection: Duration,
     /// Most back ends of a group aside at once, in per cent; one is always allowed of two or more.
-    pub maximum_aside_percent: usize,
+    pub max_ejected_percent: usize,
     /// When a probe that never ended makes room for the next.
-    pub probe_forgotten_after: Duration,
+    pub probe_timeout: Duration,
 }
 
 impl Default for OutlierSettings {
     fn default() -> Self {
         Self {
             consecutive_failures: 3,
-            first_time_aside: Duration::from_secs(1),
-            longest_time_aside: Duration::from_secs(30),
-            maximum_aside_percent: 30,
-            probe_forgotten_after: Duration::from_secs(30),
+            first_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(30),
+            max_ejected_percent: 30,
+            probe_timeout: Duration::from_secs(30),
         }
     }
 }
@@ -60,8 +60,8 @@
 struct Health {
     group: OutlierGroup,
     failures: u32,
-    times_aside: u32,
-    aside_until: Option<Timestamp>,
+    ejections: u32,
+    ejected_until: Option<Timestamp>,
     probe_since: Option<Timestamp>,
 }
 
@@ -70,8 +70,8 @@
         Self {
             group,
             failures: 0,
-            times_aside: 0,
-            aside_until: None,
+            ejections: 0,
+            ejected_until: None,
             probe_since: None,
         }
     }
@@ -122,16 +122,16 @@
         let Some(health) = self.back_ends.get(&back_end) else {
             return Eligibility::InService;
         };
-        let Some(until) = health.aside_until else {
+        let Some(until) = health.ejected_until else {
             return Eligibility::InService;
         };
         if now < until {
             return Eligibility::Ejected { until };
         }
         match health.probe_since {
-            Some(since) if now.since(since) < self.settings.probe_forgotten_after => {
+            Some(since) if now.since(since) < self.settings.probe_timeout => {
                 Eligibility::Ejected {
-                    until: since + self.settings.probe_forgotten_after,
+                    until: since + self.settings.probe_timeout,
                 }
             }
             _ => Eligibility::Probe,
@@ -141,7 +141,7 @@
     /// A request was sent. On a back end set aside it is the probe.
     pub fn sent(&mut self, now: Timestamp, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end)
-            && health.aside_until.is_some()
+            && health.ejected_until.is_some()
         {
             health.probe_since = Some(now);
         }
@@ -152,16 +152,16 @@
         if let Some(health) = self.back_ends.get_mut(&back_end) {
             health.failures = 0;
             if health.probe_since.take().is_some() {
-                health.aside_until = None;
+                health.ejected_until = None;
             }
-            if health.aside_until.is_none() {
-                health.times_aside = 0;
+            if health.ejected_until.is_none() {
+                health.ejections = 0;
             }
         }
     }
 
     /// A request ended without telling anything of the back end's health (cancelled, refused).
-    pub fn ended_neutral(&mut self, back_end: MachineId) {
+    pub fn record_neutral(&mut self, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end) {
             health.probe_since = None;
         }
@@ -169,34 +169,34 @@
 
     /// A request failed or timed out. Returns when the back end was set aside, until when.
     pub fn failed(&mut self, now: Timestamp, back_end: MachineId) -> Option<Timestamp> {
-        let room = self.has_room(back_end);
+        let room = self.may_eject_another(back_end);
         let settings = self.settings;
         let health = self.back_ends.get_mut(&back_end)?;
         health.failures = health.failures.saturating_add(1);
-        let probe_failed = health.probe_since.take().is_some() && health.aside_until.is_some();
+        let probe_failed = health.probe_since.take().is_some() && health.ejected_until.is_some();
         let reached = health.failures >= settings.consecutive_failures;
-        let newly_aside = health.aside_until.is_none() && reached && room;
-        if !probe_failed && !newly_aside {
+        let newly_ejected = health.ejected_until.is_none() && reached && room;
+        if !probe_failed && !newly_ejected {
             return None;
         }
         let doubled = settings
-            .first_time_aside
-            .saturating_mul(1_u32 << health.times_aside.min(16));
-        let until = now + doubled.min(settings.longest_time_aside);
-        health.times_aside = health.times_aside.saturating_add(1);
-        health.aside_until = Some(until);
+            .first_ejection
+            .saturating_mul(1_u32 << health.ejections.min(16));
+        let until = now + doubled.min(settings.max_ejection);
+        health.ejections = health.ejections.saturating_add(1);
+        health.ejected_until = Some(until);
         Some(until)
     }
 
     /// Number of back ends set aside (with those that wait for a probe).
     #[must_use]
-    pub fn aside_count(&self) -> usize {
-        let aside = self.back_ends.values();
-        aside.filter(|health| health.aside_until.is_some()).count()
+    pub fn ejected_count(&self) -> usize {
+        let ejected = self.back_ends.values();
+        ejected.filter(|health| health.ejected_until.is_some()).count()
     }
 
     /// Whether one more back end of the same group may be set aside.
-    fn has_room(&self, back_end: MachineId) -> bool {
+    fn may_eject_another(&self, back_end: MachineId) -> bool {
         let Some(own) = self.back_ends.get(&back_end) else {
             return false;
         };
@@ -205,9 +205,9 @@
             .values()
             .filter(|health| health.group == own.group);
         let known = group.clone().count();
-        let aside = group.filter(|health| health.aside_until.is_some()).count();
-        let share = known * self.settings.maximum_aside_percent / 100;
+        let ejected = group.filter(|health| health.ejected_until.is_some()).count();
+        let share = known * self.settings.max_ejected_percent / 100;
         let allowed = if known >= 2 { share.max(1) } else { 0 };
-        aside < allowed
+        ejected < allowed
     }
 }
--- a/crates/core/src/routing/prefix_index.rs
+++ b/crates/core/src/routing/prefix_index.rs
@@ -60,7 +60,7 @@
     /// Block to the stamp of its last use.
     blocks: IndexMap<u64, u64>,
     /// Uses in order; an entry whose stamp is not the block's newest is dead.
-    uses: VecDeque<(u64, u64)>,
+    recent_uses: VecDeque<(u64, u64)>,
     stamp: u64,
 }
 
@@ -71,7 +71,7 @@
             next_sequence: None,
             trust,
             blocks: IndexMap::new(),
-            uses: VecDeque::new(),
+            recent_uses: VecDeque::new(),
             stamp: 0,
         }
     }
@@ -79,18 +79,18 @@
     fn touch(&mut self, block: u64) {
         self.stamp += 1;
         self.blocks.insert(block, self.stamp);
-        self.uses.push_back((block, self.stamp));
+        self.recent_uses.push_back((block, self.stamp));
     }
 
     fn clear(&mut self) {
         self.blocks.clear();
-        self.uses.clear();
+        self.recent_uses.clear();
     }
 
-    fn shrink_to(&mut self, limit: usize) {
-        // The dead entries of `uses` are bounded too: at most as many as there are live ones.
-        while self.blocks.len() > limit || self.uses.len() > 2 * limit {
-            let Some((block, stamp)) = self.uses.pop_front() else {
+    fn evict_to(&mut self, limit: usize) {
+        // The dead entries of `recent_uses` are bounded too: at most as many as there are live ones.
+        while self.blocks.len() > limit || self.recent_uses.len() > 2 * limit {
+            let Some((block, stamp)) = self.recent_uses.pop_front() else {
                 return;
             };
             if self.blocks.get(&block) == Some(&stamp) {
@@ -126,7 +126,7 @@
         change: &PrefixChange,
     ) {
         let settings = self.settings;
-        let index = self.of_incarnation(engine, incarnation);
+        let index = self.entry_for_incarnation(engine, incarnation);
         if incarnation < index.incarnation {
             return;
         }
@@ -146,17 +146,17 @@
             PrefixChange::Cleared => index.clear(),
         }
         let limit = self.blocks_per_engine();
-        self.engines[&engine].shrink_to(limit);
+        self.engines[&engine].evict_to(limit);
     }
 
     /// Adds the blocks of a prompt that the engine has just read for this daemon.
     pub fn observed_prompt(&mut self, engine: MachineId, incarnation: Incarnation, blocks: &[u64]) {
-        let index = self.of_incarnation(engine, incarnation);
+        let index = self.entry_for_incarnation(engine, incarnation);
         if incarnation == index.incarnation {
             blocks.iter().for_each(|&block| index.touch(block));
         }
         let limit = self.blocks_per_engine();
-        self.engines[&engine].shrink_to(limit);
+        self.engines[&engine].evict_to(limit);
     }
 
     /// Moves the trust towards the share of the predicted cached tokens that the engine found.
@@ -206,12 +206,12 @@
         share.max(MINIMUM_BLOCKS_PER_ENGINE)
     }
 
-    fn of_incarnation(&mut self, engine: MachineId, incarnation: Incarnation) -> &mut EngineIndex {
+    fn entry_for_incarnation(&mut self, engine: MachineId, incarnation: Incarnation) -> &mut EngineIndex {
         let trust = self.settings.initial_trust;
         if !self.engines.contains_key(&engine) {
             self.engines
                 .insert(engine, EngineIndex::new(incarnation, trust));
-            self.shrink_all();
+            self.evict_all_excess();
         }
         let index = &mut self.engines[&engine];
         if incarnation > index.incarnation {
@@ -222,10 +222,10 @@
     }
 
     /// A further engine makes the share of each smaller.
-    fn shrink_all(&mut self) {
+    fn evict_all_excess(&mut self) {
         let limit = self.blocks_per_engine();
         for index in self.engines.values_mut() {
-            index.shrink_to(limit);
+            index.evict_to(limit);
         }
     }
 }
--- a/crates/core/src/routing/rates.rs
+++ b/crates/core/src/routing/rates.rs
@@ -10,13 +10,13 @@
 /// Weight of a new observation in a [`MovingAverage`].
 const NEW_OBSERVATION_WEIGHT: f64 = 0.2;
 /// A single observation moves an average by no more than this factor, up or down.
-const LARGEST_STEP: f64 = 4.0;
+const MAX_STEP_FACTOR: f64 = 4.0;
 /// How many own observations the typical rate counts for.
-const TYPICAL_WEIGHT: f64 = 3.0;
+const CLASS_WEIGHT: f64 = 3.0;
 /// Own observations count no more than this against the typical rate.
-const LARGEST_OWN_COUNT: u64 = 100;
+const MAX_OWN_OBSERVATIONS: u64 = 100;
 /// Shortest time taken for a measurement; below it the quotient is noise.
-const SHORTEST_MEASURED_SECONDS: f64 = 0.000_1;
+const MIN_MEASURED_SECONDS: f64 = 0.000_1;
 
 /// Exponentially weighted moving average of a positive quantity.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -49,12 +49,12 @@
 
     /// This average, drawn towards a typical one as long as it rests on few observations.
     #[must_use]
-    pub fn blended(&self, typical: Self) -> Self {
-        let own = self.observations.min(LARGEST_OWN_COUNT);
+    pub fn blended(&self, class_average: Self) -> Self {
+        let own = self.observations.min(MAX_OWN_OBSERVATIONS);
         let own_weight = f64::from(u32::try_from(own).unwrap_or(u32::MAX));
-        let sum = own_weight * self.value + TYPICAL_WEIGHT * typical.value;
+        let sum = own_weight * self.value + CLASS_WEIGHT * class_average.value;
         Self {
-            value: sum / (own_weight + TYPICAL_WEIGHT),
+            value: sum / (own_weight + CLASS_WEIGHT),
             observations: self.observations,
         }
     }
@@ -69,7 +69,7 @@
             self.value = sample;
             return;
         }
-        let bounded = sample.clamp(self.value / LARGEST_STEP, self.value * LARGEST_STEP);
+        let bounded = sample.clamp(self.value / MAX_STEP_FACTOR, self.value * MAX_STEP_FACTOR);
         self.value += NEW_OBSERVATION_WEIGHT * (bounded - self.value);
     }
 }
@@ -122,17 +122,17 @@
 
     /// These rates, drawn towards the typical ones as long as they rest on few observations.
     #[must_use]
-    pub fn blended(&self, typical: &Self) -> Self {
+    pub fn blended(&self, class_rates: &Self) -> Self {
         Self {
-            prefill: self.prefill.blended(typical.prefill),
-            token_interval: self.token_interval.blended(typical.token_interval),
-            response: self.response.blended(typical.response),
+            prefill: self.prefill.blended(class_rates.prefill),
+            token_interval: self.token_interval.blended(class_rates.token_interval),
+            response: self.response.blended(class_rates.response),
         }
     }
 }
 
 fn measured_seconds(elapsed: Duration) -> f64 {
-    elapsed.as_secs_f64().max(SHORTEST_MEASURED_SECONDS)
+    elapsed.as_secs_f64().max(MIN_MEASURED_SECONDS)
 }
 
 /// Back ends that are expected to be alike.
@@ -156,12 +156,12 @@
 /// In a large fleet a daemon sends to one engine only every few minutes, so what it learns of the
 /// others must count for that one too.
 #[derive(Debug, Clone)]
-pub(super) struct TypicalRates {
+pub(super) struct ClassRates {
     assumed: EngineRates,
     classes: BTreeMap<RateClass, EngineRates>,
 }
 
-impl TypicalRates {
+impl ClassRates {
     pub const fn new(assumed: EngineRates) -> Self {
         Self {
             assumed,
@@ -169,16 +169,16 @@
         }
     }
 
-    pub fn of(&mut self, state: &BackEndState) -> &mut EngineRates {
+    pub fn entry(&mut self, state: &BackEndState) -> &mut EngineRates {
         let assumed = self.assumed;
         self.classes.entry(RateClass::of(state)).or_insert(assumed)
     }
 
     pub fn blended(&self, state: &BackEndState) -> EngineRates {
-        let typical = self
+        let class_rates = self
             .classes
             .get(&RateClass::of(state))
             .unwrap_or(&self.assumed);
-        state.rates.blended(typical)
+        state.rates.blended(class_rates)
     }
 }
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -5,7 +5,7 @@
 use super::outlier::{Eligibility, OutlierDetector, OutlierGroup};
 use super::placement::{Placement, RouteRequest, RoutingRefusal};
 use super::prefix_index::{PrefixChange, PrefixIndex};
-use super::rates::{EngineRates, TypicalRates};
+use super::rates::{EngineRates, ClassRates};
 use super::score::{CellMeans, Scorer, batch_factor};
 use super::settings::RouterSettings;
 use super::view::{BackEndKind, BackEndState, BackEndView, OwnSend};
@@ -114,7 +114,7 @@
     back_ends: IndexMap<MachineId, BackEndState>,
     outliers: OutlierDetector,
     index: PrefixIndex,
-    typical: TypicalRates,
+    class_rates: ClassRates,
     random: SeededRandom,
 }
 
@@ -126,7 +126,7 @@
             back_ends: IndexMap::new(),
             outliers: OutlierDetector::new(settings.outlier),
             index: PrefixIndex::new(settings.prefix_index),
-            typical: TypicalRates::new(EngineRates::assumed(&settings)),
+            class_rates: ClassRates::new(EngineRates::assumed(&settings)),
             random: seeded(seed, "routing"),
             settings,
         }
@@ -173,8 +173,8 @@
 
     /// Back ends set aside, with those that wait for a probe.
     #[must_use]
-    pub fn aside_count(&self) -> usize {
-        self.outliers.aside_count()
+    pub fn ejected_count(&self) -> usize {
+        self.outliers.ejected_count()
     }
 
     /// Whether a back end may get a request now, as this daemon's own sends showed.
@@ -230,7 +230,7 @@
             request,
             means,
             index: &self.index,
-            typical: &self.typical,
+            class_rates: &self.class_rates,
         };
         choice::choose(&scorer, &mut self.random, &eligible.candidates)
     }
@@ -284,11 +284,11 @@
         let cached = f64::from(matched) * self.index.trust(sent.back_end);
         let own = OwnSend {
             sent_at: now,
-            unread_tokens: f64::from(sent.prompt_tokens) - cached,
+            uncached_tokens: f64::from(sent.prompt_tokens) - cached,
             matched_tokens: matched,
             prefix_blocks: sent.prefix_blocks,
             priority: sent.priority,
-            tokens_ahead: state.reported_prompt_tokens().unwrap_or(0.0) + unseen,
+            queued_tokens: state.reported_prompt_tokens().unwrap_or(0.0) + unseen,
             batch_factor: batch_factor(&self.settings, running),
             first_token_at: generates_only.then_some(now),
         };
@@ -308,13 +308,13 @@
         }
         send.first_token_at = Some(now);
         let prefix_blocks = std::mem::take(&mut send.prefix_blocks);
-        let tokens = send.tokens_ahead + send.unread_tokens;
+        let tokens = send.queued_tokens + send.uncached_tokens;
         let elapsed = now.since(send.sent_at);
         let Some(incarnation) = state.engine().map(|engine| engine.incarnation) else {
             return;
         };
         state.rates.observe_first_token(tokens, elapsed);
-        self.typical.of(state).observe_first_token(tokens, elapsed);
+        self.class_rates.entry(state).observe_first_token(tokens, elapsed);
         self.index
             .observed_prompt(back_end, incarnation, &prefix_blocks);
     }
@@ -334,7 +334,7 @@
                 cached_tokens,
             } => {
                 if let Some(send) = send {
-                    learn_from_end(state, self.typical.of(state), &send, now, output_tokens);
+                    learn_from_end(state, self.class_rates.entry(state), &send, now, output_tokens);
                     if let Some(found) = cached_tokens {
                         self.index
                             .observed_hit(back_end, send.matched_tokens, found);
@@ -344,7 +344,7 @@
                 None
             }
             SendOutcome::Neutral => {
-                self.outliers.ended_neutral(back_end);
+                self.outliers.record_neutral(back_end);
                 None
             }
             SendOutcome::Failed => self.outliers.failed(now, back_end),
@@ -361,7 +361,7 @@
 
 fn learn_from_end(
     state: &mut BackEndState,
-    typical: &mut EngineRates,
+    class_rates: &mut EngineRates,
     send: &OwnSend,
     now: Timestamp,
     output_tokens: u32,
@@ -369,7 +369,7 @@
     if state.engine().is_none() {
         let elapsed = now.since(send.sent_at);
         state.rates.observe_response(elapsed);
-        typical.observe_response(elapsed);
+        class_rates.observe_response(elapsed);
         return;
     }
     if let Some(first) = send.first_token_at {
@@ -377,6 +377,6 @@
         state
             .rates
             .observe_decode(output_tokens, send.batch_factor, elapsed);
-        typical.observe_decode(output_tokens, send.batch_factor, elapsed);
+        class_rates.observe_decode(output_tokens, send.batch_factor, elapsed);
     }
 }
--- a/crates/core/src/routing/router/choice.rs
+++ b/crates/core/src/routing/router/choice.rs
@@ -30,11 +30,11 @@
     }
     let of_role = |role| with_role(candidates, role);
     let whole = |candidate: &Candidate<'_>| scorer.engine(candidate.state, true, true);
-    let reads = |candidate: &Candidate<'_>| scorer.engine(candidate.state, true, false);
-    let generates = |candidate: &Candidate<'_>| scorer.engine(candidate.state, false, true);
+    let prefill_estimate = |candidate: &Candidate<'_>| scorer.engine(candidate.state, true, false);
+    let decode_estimate = |candidate: &Candidate<'_>| scorer.engine(candidate.state, false, true);
     let mixed = pick(scorer, random, &of_role(EngineRole::Mixed), &whole);
-    let prefill = pick(scorer, random, &of_role(EngineRole::Prefill), &reads);
-    let decode = pick(scorer, random, &of_role(EngineRole::Decode), &generates);
+    let prefill = pick(scorer, random, &of_role(EngineRole::Prefill), &prefill_estimate);
+    let decode = pick(scorer, random, &of_role(EngineRole::Decode), &decode_estimate);
     let eligible = candidates.len();
     match (mixed, prefill, decode) {
         (Some(mixed), Some(prefill), Some(decode)) => {
@@ -78,7 +78,7 @@
     let from_far = if near.is_empty() { wanted } else { 1 };
     sampled.extend(sample(random, &far, from_far));
     if let Some(cached) = best_cached(scorer, random, &near)
-        && !sampled.iter().any(|known| same(known, &cached))
+        && !sampled.iter().any(|known| is_same_back_end(known, &cached))
     {
         sampled.push(cached);
     }
@@ -98,7 +98,7 @@
     })
 }
 
-fn same(left: &Candidate<'_>, right: &Candidate<'_>) -> bool {
+fn is_same_back_end(left: &Candidate<'_>, right: &Candidate<'_>) -> bool {
     left.state.view.id == right.state.view.id
 }
 
@@ -129,20 +129,20 @@
     if scorer.request.prefix_blocks.is_empty() {
         return None;
     }
-    let worth = f64::from(scorer.request.prompt_tokens) * scorer.settings.affinity_minimum_share;
+    let min_cached_tokens = f64::from(scorer.request.prompt_tokens) * scorer.settings.affinity_minimum_share;
     let mut best: Option<(f64, Candidate<'a>)> = None;
-    let mut equals = 0_u32;
+    let mut ties = 0_u32;
     for &&candidate in candidates {
-        let cached = scorer.weighed_cached_tokens(candidate.state.view.id);
-        if cached < worth || cached <= 0.0 {
+        let cached = scorer.trusted_cached_tokens(candidate.state.view.id);
+        if cached < min_cached_tokens || cached <= 0.0 {
             continue;
         }
         match &best {
             Some((held, _)) if cached < *held => continue,
-            Some((held, _)) if cached > *held => equals = 1,
-            _ => equals += 1,
+            Some((held, _)) if cached > *held => ties = 1,
+            _ => ties += 1,
         }
-        if random.random_range(0..equals) == 0 {
+        if random.random_range(0..ties) == 0 {
             best = Some((cached, candidate));
         }
     }
@@ -160,7 +160,7 @@
             expected_total: seconds(estimate.total()),
             transfer: seconds(0.0),
             eligible,
-            weighed: winner.weighed.iter().map(Estimate::published).collect(),
+            weighed: winner.weighed.iter().map(Estimate::to_candidate_estimate).collect(),
         },
     }
 }
@@ -179,7 +179,7 @@
             expected_total: seconds(first_token + generation),
             transfer: seconds(transfer),
             eligible,
-            weighed: weighed.map(Estimate::published).collect(),
+            weighed: weighed.map(Estimate::to_candidate_estimate).collect(),
         },
     }
 }
--- a/crates/core/src/routing/router/eligible.rs
+++ b/crates/core/src/routing/router/eligible.rs
@@ -20,7 +20,7 @@
     serving: usize,
     draining: usize,
     excluded: usize,
-    first_probe: Option<Timestamp>,
+    earliest_probe: Option<Timestamp>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -43,7 +43,7 @@
             continue;
         }
         eligible.serving += 1;
-        if state.view.draining || changes_role(settings, now, state) {
+        if state.view.draining || has_no_current_role(settings, now, state) {
             eligible.draining += 1;
             continue;
         }
@@ -55,17 +55,17 @@
             Eligibility::InService => false,
             Eligibility::Probe if request.may_probe => true,
             Eligibility::Probe => {
-                eligible.note_probe(now);
+                eligible.record_probe_time(now);
                 continue;
             }
             Eligibility::Ejected { until } => {
-                eligible.note_probe(until);
+                eligible.record_probe_time(until);
                 continue;
             }
         };
         eligible.candidates.push(Candidate { state, probe });
     }
-    eligible.leave_zone(request);
+    eligible.drop_avoided_zone(request);
     eligible
 }
 
@@ -94,7 +94,7 @@
 }
 
 /// Whether an engine has no role now, by its view or by a fresh digest that contradicts the view.
-fn changes_role(settings: &RouterSettings, now: Timestamp, state: &BackEndState) -> bool {
+fn has_no_current_role(settings: &RouterSettings, now: Timestamp, state: &BackEndState) -> bool {
     let Some(engine) = state.engine() else {
         return false;
     };
@@ -112,13 +112,13 @@
 }
 
 impl Eligible<'_> {
-    fn note_probe(&mut self, at: Timestamp) {
-        let earlier = self.first_probe.map_or(at, |first| first.min(at));
-        self.first_probe = Some(earlier);
+    fn record_probe_time(&mut self, at: Timestamp) {
+        let earlier = self.earliest_probe.map_or(at, |first| first.min(at));
+        self.earliest_probe = Some(earlier);
     }
 
     /// Leaves out the avoided zone unless nothing else is left.
-    fn leave_zone(&mut self, request: &RouteRequest) {
+    fn drop_avoided_zone(&mut self, request: &RouteRequest) {
         let Some(avoided) = &request.avoided_zone else {
             return;
         };
@@ -133,7 +133,7 @@
         if self.serving == 0 {
             return RoutingRefusal::NoneServes;
         }
-        if let Some(at) = self.first_probe {
+        if let Some(at) = self.earliest_probe {
             let retry_after = at.since(now).max(Duration::from_millis(1));
             return RoutingRefusal::AllSetAside { retry_after };
         }
--- a/crates/core/src/routing/score.rs
+++ b/crates/core/src/routing/score.rs
@@ -5,7 +5,7 @@
 
 use super::placement::{CandidateEstimate, RouteRequest};
 use super::prefix_index::PrefixIndex;
-use super::rates::TypicalRates;
+use super::rates::ClassRates;
 use super::settings::RouterSettings;
 use super::view::{BackEndState, to_float};
 use crate::{CellName, EngineRole, MachineId, Timestamp};
@@ -31,7 +31,7 @@
 pub(super) struct CellMeans<'a> {
     sums: BTreeMap<(&'a CellName, Option<EngineRole>), LoadSum>,
     /// Over all cells: stands in for a cell of which no digest comes here, which would else look idle.
-    of_role: BTreeMap<Option<EngineRole>, LoadSum>,
+    by_role: BTreeMap<Option<EngineRole>, LoadSum>,
 }
 
 impl<'a> CellMeans<'a> {
@@ -44,18 +44,18 @@
         else {
             return;
         };
-        let of_cell = self.sums.entry((&engine.cell, engine.role)).or_default();
-        of_cell.add(prompt_tokens, running);
-        let of_role = self.of_role.entry(engine.role).or_default();
-        of_role.add(prompt_tokens, running);
+        let by_cell = self.sums.entry((&engine.cell, engine.role)).or_default();
+        by_cell.add(prompt_tokens, running);
+        let by_role = self.by_role.entry(engine.role).or_default();
+        by_role.add(prompt_tokens, running);
     }
 
-    fn of(&self, state: &BackEndState) -> (f64, f64) {
+    fn mean_load(&self, state: &BackEndState) -> (f64, f64) {
         let Some(engine) = state.engine() else {
             return (0.0, 0.0);
         };
-        let of_cell = self.sums.get(&(&engine.cell, engine.role));
-        let sum = of_cell.or_else(|| self.of_role.get(&engine.role));
+        let by_cell = self.sums.get(&(&engine.cell, engine.role));
+        let sum = by_cell.or_else(|| self.by_role.get(&engine.role));
         sum.map_or((0.0, 0.0), |sum| {
             (sum.prompt_tokens / sum.engines, sum.running / sum.engines)
         })
@@ -69,7 +69,7 @@
     pub request: &'a RouteRequest,
     pub means: CellMeans<'a>,
     pub index: &'a PrefixIndex,
-    pub typical: &'a TypicalRates,
+    pub class_rates: &'a ClassRates,
 }
 
 /// Expected load of an engine when a request would arrive there.
@@ -104,7 +104,7 @@
         self.total() + self.interference + self.pressure
     }
 
-    pub fn published(&self) -> CandidateEstimate {
+    pub fn to_candidate_estimate(&self) -> CandidateEstimate {
         CandidateEstimate {
             back_end: self.back_end,
             first_token: seconds(self.first_token),
@@ -120,7 +120,7 @@
 impl Scorer<'_> {
     /// Load of an engine: its digest decayed towards the cell's mean, own unseen sends on top.
     pub fn expected_load(&self, state: &BackEndState, priority: u8) -> ExpectedLoad {
-        let (mean_tokens, mean_running) = self.means.of(state);
+        let (mean_tokens, mean_running) = self.means.mean_load(state);
         let weight = self.digest_weight(state);
         let tokens = state.reported_prompt_tokens().unwrap_or(mean_tokens);
         let running = state.reported_running().unwrap_or(mean_running);
@@ -137,10 +137,10 @@
     /// Estimate of an engine. `reads_prompt` and `generates` tell which part it would do.
     pub fn engine(&self, state: &BackEndState, reads_prompt: bool, generates: bool) -> Estimate {
         let load = self.expected_load(state, self.request.priority);
-        let rates = self.typical.blended(state);
+        let rates = self.class_rates.blended(state);
         let prefill_rate = rates.prefill.value();
         let prompt = f64::from(self.request.prompt_tokens);
-        let cached = self.weighed_cached_tokens(state.view.id);
+        let cached = self.trusted_cached_tokens(state.view.id);
         let own_tokens = if reads_prompt { prompt - cached } else { 0.0 };
         let tokens_before_first = own_tokens
             + if reads_prompt {
@@ -172,7 +172,7 @@
     /// Estimate of a plain back end: own requests in flight times its response time.
     pub fn plain(&self, state: &BackEndState) -> Estimate {
         let in_flight = to_float(state.sends.len() as u64) + 1.0;
-        let response = self.typical.blended(state).response.value();
+        let response = self.class_rates.blended(state).response.value();
         Estimate {
             back_end: state.view.id,
             first_token: self.distance(state) * 2.0 + in_flight * response,
@@ -201,7 +201,7 @@
     }
 
     /// Tokens believed to be cached, weighed by the trust; at least one token is always read.
-    pub fn weighed_cached_tokens(&self, engine: MachineId) -> f64 {
+    pub fn trusted_cached_tokens(&self, engine: MachineId) -> f64 {
         let matched = self
             .index
             .matched_tokens(engine, &self.request.prefix_blocks);
--- a/crates/core/src/routing/settings.rs
+++ b/crates/core/src/routing/settings.rs
@@ -38,7 +38,7 @@
     /// Response time assumed of a plain back end before the first observation.
     pub initial_response_time: Duration,
     /// When an own send whose end was never reported is forgotten.
-    pub send_forgotten_after: Duration,
+    pub send_timeout: Duration,
     /// Setting failing back ends aside.
     pub outlier: OutlierSettings,
     /// The approximate index of prefix caches.
@@ -63,7 +63,7 @@
             cache_pressure_penalty: Duration::from_secs(1),
             affinity_minimum_share: 0.25,
             initial_response_time: Duration::from_millis(20),
-            send_forgotten_after: Duration::from_secs(600),
+            send_timeout: Duration::from_secs(600),
             outlier: OutlierSettings::default(),
             prefix_index: PrefixIndexSettings::default(),
         }
--- a/crates/core/src/routing/view.rs
+++ b/crates/core/src/routing/view.rs
@@ -59,13 +59,13 @@
 pub(super) struct OwnSend {
     pub sent_at: Timestamp,
     /// Prompt tokens that the engine probably has to read.
-    pub unread_tokens: f64,
+    pub uncached_tokens: f64,
     /// Prompt tokens that the index held at the time of sending.
     pub matched_tokens: u32,
     /// Kept until the first token, when they are known to be in the engine's cache.
     pub prefix_blocks: Vec<u64>,
     pub priority: u8,
-    pub tokens_ahead: f64,
+    pub queued_tokens: f64,
     pub batch_factor: f64,
     pub first_token_at: Option<Timestamp>,
 }
@@ -128,7 +128,7 @@
     }
 
     /// From when on own sends cannot be in the digest yet.
-    fn visible_until(&self, settings: &RouterSettings) -> Timestamp {
+    fn digest_covers_until(&self, settings: &RouterSettings) -> Timestamp {
         let Some(held) = self.digest else {
             return Timestamp::ZERO;
         };
@@ -140,26 +140,26 @@
     ///
     /// Sends of a lower priority are left out: the engine serves ours before them.
     pub fn unseen_prompt_tokens(&self, settings: &RouterSettings, priority: u8) -> f64 {
-        let visible_until = self.visible_until(settings);
+        let digest_covers_until = self.digest_covers_until(settings);
         let unseen = self.sends.values().filter(|send| {
-            send.sent_at >= visible_until
+            send.sent_at >= digest_covers_until
                 && send.first_token_at.is_none()
                 && send.priority <= priority
         });
-        unseen.map(|send| send.unread_tokens).sum()
+        unseen.map(|send| send.uncached_tokens).sum()
     }
 
     /// Own sends that are not in the digest's number of running sequences yet.
     pub fn unseen_sequences(&self, settings: &RouterSettings) -> usize {
-        let visible_until = self.visible_until(settings);
+        let digest_covers_until = self.digest_covers_until(settings);
         let unseen = self.sends.values();
-        unseen.filter(|send| send.sent_at >= visible_until).count()
+        unseen.filter(|send| send.sent_at >= digest_covers_until).count()
     }
 
     /// Forgets sends whose end was never reported.
     pub fn forget_old_sends(&mut self, now: Timestamp, settings: &RouterSettings) {
         self.sends
-            .retain(|_, send| now.since(send.sent_at) < settings.send_forgotten_after);
+            .retain(|_, send| now.since(send.sent_at) < settings.send_timeout);
     }
 }
 
--- a/crates/core/src/service_time.rs
+++ b/crates/core/src/service_time.rs
@@ -22,14 +22,14 @@
     /// The work of a completion.
     #[must_use]
     pub fn of_completion(prompt_tokens: u32, output_tokens: u32) -> Self {
-        let reading = f64::from(prompt_tokens) / PROMPT_TOKENS_PER_UNIT;
-        Self((reading + f64::from(output_tokens)).max(1.0))
+        let prefill_units = f64::from(prompt_tokens) / PROMPT_TOKENS_PER_UNIT;
+        Self((prefill_units + f64::from(output_tokens)).max(1.0))
     }
 }
 
 /// Age at which an average says nothing any more. A service whose requests are all refused for their expected
 /// time would never be measured again otherwise: after a freeze or a cut a daemon refused everything for good.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(5);
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
 struct Average {
@@ -47,7 +47,7 @@
     /// Time a request is expected to take; zero without a recent sample.
     #[must_use]
     pub fn expected(&self, now: Timestamp, service: &ServiceName, work: WorkUnits) -> Duration {
-        let is_recent = |average: &&Average| now.since(average.observed_at) <= FORGOTTEN_AFTER;
+        let is_recent = |average: &&Average| now.since(average.observed_at) <= MAX_SAMPLE_AGE;
         let average = self.averages.get(service).filter(is_recent);
         let seconds = average.map_or(0.0, |average| average.seconds_per_unit);
         Duration::from_secs_f64(seconds * work.0)
@@ -67,7 +67,7 @@
             observed_at: now,
         };
         let average = self.averages.entry(service.clone()).or_insert(first);
-        if now.since(average.observed_at) > FORGOTTEN_AFTER {
+        if now.since(average.observed_at) > MAX_SAMPLE_AGE {
             *average = first;
         }
         average.seconds_per_unit += SAMPLE_WEIGHT * (sample - average.seconds_per_unit);
--- a/crates/core/tests/request_admission.rs
+++ b/crates/core/tests/request_admission.rs
@@ -359,7 +359,7 @@
             now = now + Duration::from_millis(u64::from(pause));
             let amount = f64::from(amount);
             if bucket.allows(now, amount) {
-                bucket.take(now, amount);
+                bucket.debit(now, amount);
                 taken += amount;
             } else {
                 let wait = bucket.wait(now, amount);
@@ -391,7 +391,7 @@
         for (own, daemon) in daemons.iter_mut().enumerate() {
             daemon.set_live_daemons(DAEMONS);
             assert!(
-                (daemon.of_tenant(NOW, &name) - 0.25).abs() < 1e-9,
+                (daemon.tenant_share(NOW, &name) - 0.25).abs() < 1e-9,
                 "unheard: an even share"
             );
             for (other, report) in reports
@@ -399,9 +399,9 @@
                 .enumerate()
                 .filter(|(other, _)| *other != own)
             {
-                daemon.heard(NOW, MachineId(other as u32), report.clone());
+                daemon.add_report(NOW, MachineId(other as u32), report.clone());
             }
-            sum += daemon.of_tenant(NOW, &name);
+            sum += daemon.tenant_share(NOW, &name);
         }
         assert!((sum - 1.0).abs() < 1e-9, "{sum}");
     });
@@ -412,10 +412,10 @@
     let mut shares = DemandShares::new(AdmissionSettings::default());
     shares.set_live_daemons(3);
     (0..20).for_each(|_| shares.arrived(NOW, Some(&tenant("t"))));
-    shares.heard(NOW, MachineId(1), DemandReport::default());
-    let half_heard = shares.of_tenant(NOW, &tenant("t"));
-    shares.heard(NOW, MachineId(2), DemandReport::default());
-    let heard = shares.of_tenant(NOW, &tenant("t"));
+    shares.add_report(NOW, MachineId(1), DemandReport::default());
+    let half_heard = shares.tenant_share(NOW, &tenant("t"));
+    shares.add_report(NOW, MachineId(2), DemandReport::default());
+    let heard = shares.tenant_share(NOW, &tenant("t"));
     assert!(half_heard > 0.6 && heard > 0.9, "{half_heard} {heard}");
     let demand = TenantDemand {
         tenant: tenant("t"),
@@ -425,8 +425,8 @@
         total_requests_per_second: 4.0,
         tenants: vec![demand],
     };
-    shares.heard(NOW, MachineId(2), report);
-    assert!((shares.of_tenant(NOW, &tenant("t")) - 0.5).abs() < 0.05);
+    shares.add_report(NOW, MachineId(2), report);
+    assert!((shares.tenant_share(NOW, &tenant("t")) - 0.5).abs() < 0.05);
     let later = NOW + Duration::from_secs(11);
-    assert!((shares.of_tenant(later, &tenant("t")) - 1.0 / 3.0).abs() < 1e-9);
+    assert!((shares.tenant_share(later, &tenant("t")) - 1.0 / 3.0).abs() < 1e-9);
 }
--- a/crates/core/tests/request_answers.rs
+++ b/crates/core/tests/request_answers.rs
@@ -203,7 +203,7 @@
         connection = next;
         resumes += 1;
     }
-    assert_eq!(resumes, AnswerSettings::default().fruitless_resumes);
+    assert_eq!(resumes, AnswerSettings::default().max_resumes_without_progress);
 
     let mut stream = streaming();
     stream.handle(START, FIRST, part(1));
--- a/crates/core/tests/request_outliers_and_prefixes.rs
+++ b/crates/core/tests/request_outliers_and_prefixes.rs
@@ -26,7 +26,7 @@
             detector.failed(NOW, MachineId(id));
         }
     }
-    assert_eq!(detector.aside_count(), 1, "30% of the pool's four");
+    assert_eq!(detector.ejected_count(), 1, "30% of the pool's four");
 }
 
 #[test]
@@ -45,10 +45,10 @@
             detector.sent(now, MachineId(0));
             until = detector.failed(now, MachineId(0));
         }
-        let aside_for = until.expect("set aside").since(now);
-        assert!(aside_for > last);
-        last = aside_for;
-        now = now + aside_for;
+        let ejected_for = until.expect("set aside").since(now);
+        assert!(ejected_for > last);
+        last = ejected_for;
+        now = now + ejected_for;
         assert_eq!(detector.eligibility(now, MachineId(0)), Eligibility::Probe);
     }
     check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|steps| {
@@ -61,10 +61,10 @@
             match action % 4 {
                 0 => detector.sent(now, id),
                 1 => detector.succeeded(id),
-                2 => detector.ended_neutral(id),
+                2 => detector.record_neutral(id),
                 _ => drop(detector.failed(now, id)),
             }
-            assert!(detector.aside_count() <= 3);
+            assert!(detector.ejected_count() <= 3);
             if detector.eligibility(now, id) == Eligibility::Probe {
                 detector.sent(now, id);
                 assert!(matches!(
--- a/crates/core/tests/request_routing.rs
+++ b/crates/core/tests/request_routing.rs
@@ -381,7 +381,7 @@
         send(&mut router, NOW, &request(serial), 0);
         end(&mut router, NOW, serial, 0, SendOutcome::Failed);
     }
-    assert_eq!(router.aside_count(), 1);
+    assert_eq!(router.ejected_count(), 1);
     for serial in 10..60 {
         assert_ne!(single(&mut router, NOW, &request(serial)), 0);
     }
@@ -405,5 +405,5 @@
         cached_tokens: None,
     };
     end(&mut router, later, 70, 0, outcome);
-    assert_eq!(router.aside_count(), 0);
+    assert_eq!(router.ejected_count(), 0);
 }
