--- a/crates/core/examples/admission_overload.rs
+++ b/crates/core/examples/admission_overload.rs
@@ -1,8 +1,8 @@
-//! Goodput with and without admission as the offered load passes the capacity.
+//! Simulates goodput with and without admission control as the offered load exceeds the capacity.
 //!
-//! A small discrete-event model: one daemon before a back end with a fixed number of slots and a FIFO
-//! queue. A fifth of the requests has the higher priority. A request counts as good when it ends before
-//! its deadline. Prints one JSON document.
+//! Discrete-event model of one daemon and a back end with a fixed number of slots and a FIFO queue.
+//! A fifth of the requests has high priority. A request counts as good if it ends before its
+//! deadline. Prints one JSON document.
 //!
 //! `cargo run --release -p ponddrift-core --example admission_overload`
 
@@ -18,24 +18,24 @@
 use serde::Serialize;
 
 const SLOTS: usize = 20;
-const MEAN_SERVICE: f64 = 0.4;
-const PATIENCE: Duration = Duration::from_secs(3);
-const SIMULATED: Duration = Duration::from_secs(60);
-const LOADS: [f64; 6] = [0.5, 0.9, 1.0, 1.5, 2.0, 4.0];
-const HIGH_SHARE: f64 = 0.2;
+const MEAN_SERVICE_SECONDS: f64 = 0.4;
+const CALLER_TIMEOUT: Duration = Duration::from_secs(3);
+const SIMULATED_TIME: Duration = Duration::from_secs(60);
+const OFFERED_LOADS: [f64; 6] = [0.5, 0.9, 1.0, 1.5, 2.0, 4.0];
+const HIGH_PRIORITY_SHARE: f64 = 0.2;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Strategy {
-    /// Everything goes to the back end at once.
+    /// All requests are sent to the back end immediately.
     None,
-    /// At most as many as would end within the patience wait, first come first served.
+    /// FIFO queue, bounded to the requests expected to end within [`CALLER_TIMEOUT`].
     BoundedFifo,
-    /// The admission, told the capacity.
+    /// Admission control configured with the actual capacity.
     Admission,
-    /// The admission, told half the capacity.
+    /// Admission control configured with half the capacity.
     AdmissionToldHalf,
-    /// The admission, told twice the capacity.
+    /// Admission control configured with twice the capacity.
     AdmissionToldTwice,
 }
 
@@ -90,10 +90,10 @@
             Strategy::AdmissionToldTwice => SLOTS * 2,
             _ => SLOTS,
         };
-        let told = AdmissionEvent::CapacityChanged {
+        let capacity = AdmissionEvent::CapacityChanged {
             slots: slots as u32,
         };
-        admission.handle(Timestamp::ZERO, told);
+        admission.handle(Timestamp::ZERO, capacity);
         Self {
             strategy,
             load,
@@ -115,14 +115,14 @@
     }
 
     fn run(mut self) -> Figures {
-        let arrival_gap = MEAN_SERVICE / (SLOTS as f64 * self.load);
+        let arrival_gap = MEAN_SERVICE_SECONDS / (SLOTS as f64 * self.load);
         let mut serial = 0;
         let mut next_arrival = Timestamp::ZERO + self.exponential(arrival_gap);
-        let last = Timestamp::ZERO + SIMULATED;
+        let end_of_arrivals = Timestamp::ZERO + SIMULATED_TIME;
         loop {
             let end = self.ends.first().map(|&(at, _)| at);
             let tick = self.admission.next_tick();
-            let arrival = (next_arrival < last).then_some(next_arrival);
+            let arrival = (next_arrival < end_of_arrivals).then_some(next_arrival);
             let Some(now) = [end, tick, arrival].into_iter().flatten().min() else {
                 return self.figures();
             };
@@ -140,8 +140,8 @@
     }
 
     fn arrive(&mut self, now: Timestamp, id: RequestId) {
-        let level = u8::from(self.random.random::<f64>() >= HIGH_SHARE);
-        let service = self.exponential(MEAN_SERVICE);
+        let level = u8::from(self.random.random::<f64>() >= HIGH_PRIORITY_SHARE);
+        let service = self.exponential(MEAN_SERVICE_SECONDS);
         let request = Request {
             arrived: now,
             service,
@@ -152,8 +152,9 @@
         match self.strategy {
             Strategy::None => self.send(now, id),
             Strategy::BoundedFifo => {
-                let places = SLOTS as f64 / MEAN_SERVICE * PATIENCE.as_secs_f64();
-                if (self.waiting.len() as f64) < places {
+                let queue_capacity =
+                    SLOTS as f64 / MEAN_SERVICE_SECONDS * CALLER_TIMEOUT.as_secs_f64();
+                if (self.waiting.len() as f64) < queue_capacity {
                     self.send(now, id);
                 } else {
                     self.refused += 1;
@@ -166,9 +167,9 @@
                     weight: 1,
                     service: "service".parse().expect("a name"),
                     level,
-                    deadline: now + PATIENCE,
+                    deadline: now + CALLER_TIMEOUT,
                     expected_tokens: 100,
-                    expected_service: Duration::from_secs_f64(MEAN_SERVICE),
+                    expected_service: Duration::from_secs_f64(MEAN_SERVICE_SECONDS),
                 };
                 let actions = self.admission.handle(now, AdmissionEvent::Arrived(request));
                 self.perform(now, actions);
@@ -211,7 +212,7 @@
             return;
         };
         let request = self.requests[&id];
-        if now.since(request.arrived) <= PATIENCE {
+        if now.since(request.arrived) <= CALLER_TIMEOUT {
             self.good[usize::from(request.level)] += 1;
         } else {
             self.late += 1;
@@ -226,7 +227,7 @@
     }
 
     fn figures(self) -> Figures {
-        let seconds = SIMULATED.as_secs_f64();
+        let seconds = SIMULATED_TIME.as_secs_f64();
         let offered = f64::from(self.offered[0] + self.offered[1]);
         let share = |level: usize| f64::from(self.good[level]) / f64::from(self.offered[level]);
         Figures {
@@ -246,7 +247,7 @@
 fn main() {
     let figures: Vec<Figures> = STRATEGIES
         .iter()
-        .flat_map(|&strategy| LOADS.map(|load| Model::new(strategy, load).run()))
+        .flat_map(|&strategy| OFFERED_LOADS.map(|load| Model::new(strategy, load).run()))
         .collect();
     println!(
         "{}",
--- a/crates/core/examples/herd.rs
+++ b/crates/core/examples/herd.rs
@@ -1,8 +1,8 @@
-//! How well many daemons spread requests on the same stale view.
+//! Simulates how well many daemons spread requests given the same stale view (herding).
 //!
-//! A small discrete-event model: engines read prompts one after the other, daemons get the same digest
-//! of each engine at fixed intervals. Compared are the router, random, round robin, the least loaded of
-//! the stale view, and one that always knows the true queues. Prints one JSON document.
+//! Discrete-event model: engines prefill prompts sequentially, and all daemons receive the same
+//! digest of each engine at fixed intervals. Compares the router, random, round robin, least loaded
+//! by the stale view and least loaded by the actual queues. Prints one JSON document.
 //!
 //! `cargo run --release -p ponddrift-core --example herd`
 
@@ -23,7 +23,7 @@
 
 const TOKENS_PER_SECOND: f64 = 10_000.0;
 const MEAN_PROMPT_TOKENS: f64 = 2_000.0;
-const SIMULATED: Duration = Duration::from_secs(120);
+const SIMULATED_TIME: Duration = Duration::from_secs(120);
 const WARM_UP: Duration = Duration::from_secs(20);
 const DIGEST_LAG: Duration = Duration::from_millis(250);
 
@@ -106,7 +106,7 @@
 struct Job {
     request: RequestId,
     daemon: usize,
-    ends: Timestamp,
+    ends_at: Timestamp,
 }
 
 #[derive(Default)]
@@ -116,7 +116,7 @@
 
 impl Engine {
     fn waiting_tokens(&self, now: Timestamp) -> f64 {
-        let free_at = self.jobs.last().map_or(now, |job| job.ends);
+        let free_at = self.jobs.last().map_or(now, |job| job.ends_at);
         free_at.since(now).as_secs_f64() * TOKENS_PER_SECOND
     }
 }
@@ -154,12 +154,12 @@
     strategy: Strategy,
     engines: Vec<Engine>,
     routers: Vec<Router>,
-    stale: Vec<u32>,
-    pending: Vec<(Timestamp, Vec<u32>)>,
-    next: Vec<usize>,
+    stale_view: Vec<u32>,
+    pending_digests: Vec<(Timestamp, Vec<u32>)>,
+    next_engine: Vec<usize>,
     arrivals: SeededRandom,
     choices: SeededRandom,
-    times: Vec<f64>,
+    latencies_ms: Vec<f64>,
     longest_queue: usize,
     sequence: u32,
 }
@@ -177,12 +177,12 @@
         Self {
             engines: (0..scenario.engines).map(|_| Engine::default()).collect(),
             routers,
-            stale: vec![0; scenario.engines as usize],
-            pending: Vec::new(),
-            next: (0..scenario.daemons).collect(),
+            stale_view: vec![0; scenario.engines as usize],
+            pending_digests: Vec::new(),
+            next_engine: (0..scenario.daemons).collect(),
             arrivals: seeded(7, "arrivals"),
             choices: seeded(7, "choices"),
-            times: Vec::new(),
+            latencies_ms: Vec::new(),
             longest_queue: 0,
             sequence: 0,
             scenario,
@@ -196,7 +196,7 @@
         let mut now = Timestamp::ZERO;
         let mut next_poll = Timestamp::ZERO;
         let mut serial = 0_u128;
-        while now.since(Timestamp::ZERO) < SIMULATED {
+        while now.since(Timestamp::ZERO) < SIMULATED_TIME {
             let gap = exponential(&mut self.arrivals, 1.0 / arrivals);
             let arrival = now + Duration::from_secs_f64(gap);
             while next_poll <= arrival {
@@ -218,12 +218,17 @@
             .engines
             .iter()
             .map(|engine| engine.waiting_tokens(now) as u32);
-        self.pending.push((now + DIGEST_LAG, tokens.collect()));
+        self.pending_digests
+            .push((now + DIGEST_LAG, tokens.collect()));
     }
 
     fn deliver_digests(&mut self, now: Timestamp) {
-        while self.pending.first().is_some_and(|(at, _)| *at <= now) {
-            let (at, tokens) = self.pending.remove(0);
+        while self
+            .pending_digests
+            .first()
+            .is_some_and(|(at, _)| *at <= now)
+        {
+            let (at, tokens) = self.pending_digests.remove(0);
             self.sequence += 1;
             for (engine, waiting) in tokens.iter().enumerate() {
                 let digest = LoadDigest {
@@ -240,24 +245,28 @@
                     router.handle(at, RoutingEvent::Digest(digest));
                 }
             }
-            self.stale = tokens;
+            self.stale_view = tokens;
         }
     }
 
     fn end_jobs(&mut self, now: Timestamp) {
         for (engine, state) in self.engines.iter_mut().enumerate() {
-            let done = state.jobs.iter().take_while(|job| job.ends <= now).count();
+            let done = state
+                .jobs
+                .iter()
+                .take_while(|job| job.ends_at <= now)
+                .count();
             for job in state.jobs.drain(..done) {
                 let router = &mut self.routers[job.daemon];
                 let back_end = MachineId(engine as u32);
                 let request = job.request;
-                router.handle(job.ends, RoutingEvent::FirstToken { request, back_end });
+                router.handle(job.ends_at, RoutingEvent::FirstToken { request, back_end });
                 let outcome = SendOutcome::Succeeded {
                     output_tokens: 1,
                     cached_tokens: None,
                 };
                 router.handle(
-                    job.ends,
+                    job.ends_at,
                     RoutingEvent::Ended {
                         request,
                         back_end,
@@ -274,16 +283,17 @@
         let daemon = self.arrivals.random_range(0..self.scenario.daemons);
         let engine = self.choose(now, daemon, request, tokens);
         let state = &mut self.engines[engine];
-        let start = state.jobs.last().map_or(now, |job| job.ends.max(now));
-        let ends = start + Duration::from_secs_f64(f64::from(tokens) / TOKENS_PER_SECOND);
+        let start = state.jobs.last().map_or(now, |job| job.ends_at.max(now));
+        let ends_at = start + Duration::from_secs_f64(f64::from(tokens) / TOKENS_PER_SECOND);
         state.jobs.push(Job {
             request,
             daemon,
-            ends,
+            ends_at,
         });
         self.longest_queue = self.longest_queue.max(state.jobs.len());
         if now.since(Timestamp::ZERO) >= WARM_UP {
-            self.times.push(ends.since(now).as_secs_f64() * 1_000.0);
+            self.latencies_ms
+                .push(ends_at.since(now).as_secs_f64() * 1_000.0);
         }
     }
 
@@ -293,11 +303,11 @@
             Strategy::Router => self.choose_by_router(now, daemon, request, tokens),
             Strategy::Random => self.choices.random_range(0..engines),
             Strategy::RoundRobin => {
-                self.next[daemon] += 1;
-                self.next[daemon] % engines
+                self.next_engine[daemon] += 1;
+                self.next_engine[daemon] % engines
             }
             Strategy::LeastLoadedOfStaleView => (0..engines)
-                .min_by_key(|&engine| self.stale[engine])
+                .min_by_key(|&engine| self.stale_view[engine])
                 .expect("an engine"),
             Strategy::AllKnowing => (0..engines)
                 .min_by_key(|&engine| self.engines[engine].waiting_tokens(now) as u64)
@@ -347,13 +357,13 @@
     }
 
     fn figures(mut self) -> Figures {
-        self.times.sort_by(f64::total_cmp);
-        let count = self.times.len();
-        let at = |share: f64| self.times[((count - 1) as f64 * share) as usize];
+        self.latencies_ms.sort_by(f64::total_cmp);
+        let count = self.latencies_ms.len();
+        let at = |share: f64| self.latencies_ms[((count - 1) as f64 * share) as usize];
         Figures {
             strategy: self.strategy,
             requests: count,
-            mean_ms: self.times.iter().sum::<f64>() / count as f64,
+            mean_ms: self.latencies_ms.iter().sum::<f64>() / count as f64,
             p50_ms: at(0.5),
             p95_ms: at(0.95),
             p99_ms: at(0.99),
--- a/crates/core/tests/assignment.rs
+++ b/crates/core/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing of duties.
+//! Guards the assignment of duties to daemons by rendezvous hashing.
 
 #[path = "support/gossip_network.rs"]
 #[allow(dead_code)]
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_daemon_that_goes_moves_only_its_own_share() {
+fn removing_a_daemon_moves_only_its_own_keys() {
     let all = members(70);
     let all: Vec<_> = all.iter().collect();
     let rest: Vec<_> = all.iter().copied().skip(1).collect();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_spread_choice_takes_each_zone_before_a_second_of_one() {
+fn a_spread_choice_uses_every_zone_before_any_zone_twice() {
     let all = members(70);
     let all: Vec<_> = all.iter().collect();
     let chosen = rendezvous("key", &all, 7, ZoneSpread::Spread);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn duties_go_to_live_daemons_that_stay_and_near_ones_first() {
+fn duties_go_to_live_daemons_that_are_not_leaving_and_nearby_ones_first() {
     let mut all = members(70);
     for member in all.iter_mut().take(14) {
         member.state = MemberState::Dead;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_prepared_assignment_ranks_as_the_sorted_pollers_do() {
+fn a_poller_assignment_ranks_like_the_sorted_pollers() {
     let mut all = members(70);
     all[3].state = MemberState::Dead;
     all[4].facts.readiness = Readiness::Leaving;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_daemon_that_knows_nobody_leaves_engines_to_the_expected() {
+fn a_daemon_without_known_peers_leaves_engines_to_expected_daemons() {
     let all = members(70);
     let own = &all[0];
     let zones = all.iter().take(7);
--- a/crates/core/tests/load_table.rs
+++ b/crates/core/tests/load_table.rs
@@ -1,4 +1,4 @@
-//! The table of load digests.
+//! Guards the load table: newest digest wins, bounded gossip, aging and subscriptions.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_newest_wins_by_incarnation_then_sequence_in_any_order() {
+fn the_newest_digest_wins_by_incarnation_then_sequence_in_any_order() {
     bolero::check!()
         .with_type::<Vec<(u8, u8)>>()
         .for_each(|arrivals| {
@@ -34,8 +34,8 @@
             let mut newest = None;
             for (incarnation, sequence) in arrivals {
                 let order = (u64::from(*incarnation), u32::from(*sequence));
-                let is_news = table.take(Timestamp(5), digest(0, order.0, order.1, 0));
-                assert_eq!(is_news, newest.is_none_or(|newest| order > newest));
+                let is_newer = table.take(Timestamp(5), digest(0, order.0, order.1, 0));
+                assert_eq!(is_newer, newest.is_none_or(|newest| order > newest));
                 newest = newest.max(Some(order));
                 let known = table.get(Timestamp(5), MachineId(0)).unwrap().digest;
                 assert_eq!(Some((known.incarnation.0, known.sequence)), newest);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn gossip_takes_the_freshest_first_a_bounded_number_of_times_in_bounded_messages() {
+fn gossip_sends_the_newest_first_a_bounded_number_of_times_in_bounded_messages() {
     let mut table = table(100);
     let now = Timestamp::from_millis(10_000);
     for engine in 0..100 {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn age_adds_up_over_daemons_and_old_digests_are_neither_passed_on_nor_kept() {
+fn ages_add_up_over_hops_and_old_digests_are_neither_sent_nor_kept() {
     let mut first = table(1);
     let mut second = table(1);
     first.take(Timestamp::from_millis(1_000), digest(0, 1, 1, 200));
--- a/crates/core/tests/model_assignment.rs
+++ b/crates/core/tests/model_assignment.rs
@@ -1,4 +1,4 @@
-//! Engines are shared out among models by the configured shares, with as few loads as possible.
+//! Guards model assignment: engines are divided by the configured shares with few model loads.
 
 use ponddrift_core::MachineId;
 use ponddrift_core::configuration::{Configuration, ModelSettings, ServiceKind, ServiceSettings};
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn engines_keep_what_they_hold() {
+fn engines_keep_their_models() {
     let configuration = configuration(&[("ledger", 50), ("tagger", 50)]);
     let held = engines(&[
         Some("tagger"),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_empty_engine_goes_to_the_model_that_lacks_most() {
+fn an_empty_engine_gets_the_model_that_is_furthest_below_its_quota() {
     let configuration = configuration(&[("ledger", 75), ("tagger", 25)]);
     let held = engines(&[Some("ledger"), None, Some("tagger"), Some("ledger")]);
     let assigned = assign_models(&configuration, &held);
@@ -65,13 +65,13 @@
 }
 
 #[test]
-fn without_models_nothing_is_wanted() {
+fn no_models_are_assigned_without_configured_models() {
     let assigned = assign_models(&Configuration::default(), &engines(&[Some("old"), None]));
     assert!(assigned.is_empty());
 }
 
 #[test]
-fn quotas_add_up_and_differ_from_the_share_by_less_than_one_engine_or_are_one() {
+fn quotas_add_up_to_the_number_of_engines() {
     bolero::check!()
         .with_type::<(u8, u8, u8, u8)>()
         .for_each(|(count, a, b, c)| {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_second_assignment_moves_nothing() {
+fn repeating_an_assignment_changes_nothing() {
     bolero::check!()
         .with_type::<(Vec<u8>, u8, u8)>()
         .for_each(|(held, a, b)| {
@@ -97,13 +97,13 @@
                 .map(|number| names[usize::from(number % 4)])
                 .collect();
             let first = assign_models(&configuration, &engines(&held));
-            let again: Vec<EngineModel> = engines(&held)
+            let second: Vec<EngineModel> = engines(&held)
                 .into_iter()
                 .map(|engine| EngineModel {
                     model: first.get(&engine.engine).map(|loaded| loaded.model.clone()),
                     ..engine
                 })
                 .collect();
-            assert_eq!(assign_models(&configuration, &again), first);
+            assert_eq!(assign_models(&configuration, &second), first);
         });
 }
--- a/crates/core/tests/request_admission.rs
+++ b/crates/core/tests/request_admission.rs
@@ -1,4 +1,4 @@
-//! Admission: limits, order of the queue, shedding, and answers at once.
+//! Guards admission control: limits, queue order, load shedding and immediate refusals.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use ponddrift_core::{Execution, MachineId, RequestId, ServiceName, TenantName, Timestamp};
 
 const NOW: Timestamp = Timestamp::from_millis(60_000);
-const SERVICE: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 
 fn tenant(name: &str) -> TenantName {
     TenantName::new(name).unwrap()
@@ -28,7 +28,7 @@
         level,
         deadline: NOW + Duration::from_secs(600),
         expected_tokens: 100,
-        expected_service: SERVICE,
+        expected_service: SERVICE_TIME,
     }
 }
 
@@ -68,7 +68,7 @@
     })
 }
 
-/// Ends what runs, one at a time, and lists what starts.
+/// Finishes running requests one at a time and returns the order in which queued requests start.
 fn drain(admission: &mut Admission, mut running: u128) -> Vec<u128> {
     let mut order = Vec::new();
     loop {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn limits_of_a_tenant_are_answered_at_once_with_a_time_to_come_back() {
+fn a_tenant_over_its_limit_is_refused_immediately_with_a_retry_time() {
     let cases = [
         (
             Limits {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_new_concurrency_limit_counts_what_runs_already() {
+fn a_new_concurrency_limit_counts_running_requests() {
     let mut admission = admission(100, 10);
     for serial in 0..3 {
         arrive(&mut admission, NOW, request(serial, 0, "t"));
@@ -161,13 +161,13 @@
 }
 
 #[test]
-fn the_queue_goes_by_priority_then_fairness_then_deadline() {
+fn the_queue_is_ordered_by_priority_then_fairness_then_deadline() {
     let mut admission = admission(1, 100);
     arrive(&mut admission, NOW, request(0, 5, "a"));
     for serial in 10..14 {
-        let mut late_first = request(serial, 1, "heavy");
-        late_first.deadline = NOW + Duration::from_secs(700 - serial as u64);
-        arrive(&mut admission, NOW, late_first);
+        let mut heavy = request(serial, 1, "heavy");
+        heavy.deadline = NOW + Duration::from_secs(700 - serial as u64);
+        arrive(&mut admission, NOW, heavy);
     }
     arrive(&mut admission, NOW, request(20, 1, "light"));
     arrive(&mut admission, NOW, request(30, 0, "heavy"));
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn weights_share_the_starts_under_contention() {
+fn starts_are_shared_by_weight_under_contention() {
     let mut admission = admission(1, 200);
     arrive(&mut admission, NOW, request(0, 0, "x"));
     for serial in 0..60 {
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_full_queue_gives_up_the_lowest_priority_at_once() {
+fn a_full_queue_displaces_the_lowest_priority_immediately() {
     let mut admission = admission(1, 2);
     arrive(&mut admission, NOW, request(0, 3, "a"));
     arrive(&mut admission, NOW, request(1, 3, "a"));
@@ -203,7 +203,8 @@
         Some(AdmissionRefusal::Overloaded { .. })
     ));
     let other_tenant = arrive(&mut admission, NOW, request(4, 3, "b"));
-    let displaced = refusal(&other_tenant, 2).expect("the larger backlog gives way");
+    let displaced =
+        refusal(&other_tenant, 2).expect("the tenant with the larger backlog is displaced");
     assert!(matches!(displaced, AdmissionRefusal::Displaced { .. }));
     assert_eq!(displaced.execution(), Execution::NotStarted);
     let higher = arrive(&mut admission, NOW, request(5, 0, "a"));
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn what_cannot_meet_its_deadline_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_immediately() {
     let mut admission = admission(1, 100);
     arrive(&mut admission, NOW, request(0, 0, "a"));
     for serial in 1..20 {
@@ -236,14 +237,16 @@
     let mut higher = request(51, 0, "b");
     higher.deadline = NOW + Duration::from_secs(2);
     assert_eq!(arrive(&mut admission, NOW, higher), []);
-    let due = admission.next_tick().expect("a deadline to watch");
-    assert!(due + SERVICE <= NOW + Duration::from_secs(2) + Duration::from_micros(1));
+    let due = admission
+        .next_tick()
+        .expect("a queued request has a deadline");
+    assert!(due + SERVICE_TIME <= NOW + Duration::from_secs(2) + Duration::from_micros(1));
     let actions = admission.handle(due, AdmissionEvent::Tick);
     assert!(refusal(&actions, 51).is_some());
 }
 
 #[test]
-fn an_abandoned_request_leaves_the_queue_and_gives_back_its_limits() {
+fn an_abandoned_request_leaves_the_queue_and_releases_its_limits() {
     let mut admission = admission(1, 10);
     with_limits(
         &mut admission,
@@ -262,7 +265,7 @@
 }
 
 #[test]
-fn fewer_requests_are_sent_while_back_ends_let_them_wait() {
+fn the_in_flight_limit_falls_while_requests_wait_at_back_ends() {
     let mut admission = admission(40, 10);
     let mut now = NOW;
     for _ in 0..50 {
@@ -282,7 +285,7 @@
 }
 
 #[test]
-fn under_any_events_each_request_is_answered_once_and_bounds_hold() {
+fn under_any_events_each_request_gets_one_decision_and_bounds_hold() {
     const QUEUE: usize = 5;
     check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|steps| {
         let mut admission = admission(3, QUEUE);
@@ -327,11 +330,17 @@
             for action in admission.handle(now, event) {
                 match action {
                     AdmissionAction::Start(id) => {
-                        assert!(waiting.remove(&id), "started once, after it arrived");
+                        assert!(
+                            waiting.remove(&id),
+                            "a request starts only once and only while queued"
+                        );
                         running.insert(id);
                     }
                     AdmissionAction::Refuse(id, refusal) => {
-                        assert!(waiting.remove(&id), "refused once, before it started");
+                        assert!(
+                            waiting.remove(&id),
+                            "a request is refused only once and only while queued"
+                        );
                         let settings = AdmissionSettings::default();
                         let range = settings.shortest_retry_after..=settings.longest_retry_after;
                         assert!(range.contains(&refusal.retry_after()));
@@ -345,12 +354,16 @@
         }
         let actions = admission.handle(now + Duration::from_secs(600), AdmissionEvent::Tick);
         let answered = actions.len();
-        assert_eq!(answered, waiting.len(), "nothing waits past its deadline");
+        assert_eq!(
+            answered,
+            waiting.len(),
+            "all queued requests are refused after their deadlines"
+        );
     });
 }
 
 #[test]
-fn a_bucket_lets_through_at_most_burst_and_rate_and_one_taking() {
+fn a_bucket_allows_at_most_burst_plus_rate_plus_one_debit() {
     check!().with_type::<Vec<(u8, u8)>>().for_each(|steps| {
         let mut bucket = TokenBucket::new(NOW, 50.0, 100.0);
         let mut now = NOW;
@@ -376,7 +389,7 @@
 }
 
 #[test]
-fn shares_of_daemons_that_hear_each_other_add_up_to_one() {
+fn shares_of_daemons_with_all_reports_add_up_to_one() {
     check!().with_type::<Vec<u8>>().for_each(|arrivals| {
         const DAEMONS: u32 = 4;
         let name = tenant("t");
@@ -392,7 +405,7 @@
             daemon.set_live_daemons(DAEMONS);
             assert!(
                 (daemon.tenant_share(NOW, &name) - 0.25).abs() < 1e-9,
-                "unheard: an even share"
+                "the share is even without reports"
             );
             for (other, report) in reports
                 .iter()
@@ -413,10 +426,13 @@
     shares.set_live_daemons(3);
     (0..20).for_each(|_| shares.arrived(NOW, Some(&tenant("t"))));
     shares.add_report(NOW, MachineId(1), DemandReport::default());
-    let half_heard = shares.tenant_share(NOW, &tenant("t"));
+    let share_with_one_report = shares.tenant_share(NOW, &tenant("t"));
     shares.add_report(NOW, MachineId(2), DemandReport::default());
-    let heard = shares.tenant_share(NOW, &tenant("t"));
-    assert!(half_heard > 0.6 && heard > 0.9, "{half_heard} {heard}");
+    let share_with_all_reports = shares.tenant_share(NOW, &tenant("t"));
+    assert!(
+        share_with_one_report > 0.6 && share_with_all_reports > 0.9,
+        "{share_with_one_report} {share_with_all_reports}"
+    );
     let demand = TenantDemand {
         tenant: tenant("t"),
         requests_per_second: 4.0,
--- a/crates/core/tests/request_answers.rs
+++ b/crates/core/tests/request_answers.rs
@@ -1,4 +1,5 @@
-//! Whole answers: numbering, echoes, resumes, and never a silent end.
+//! Guards answer assembly: numbering, request id echoes, resumes and an explicit end of every
+//! answer.
 
 use std::time::Duration;
 
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_whole_stream_is_passed_on_once_and_completed() {
+fn a_complete_stream_is_forwarded_once_and_completed() {
     let mut stream = streaming();
     assert_eq!(
         stream.handle(START, FIRST, part(1)),
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_gap_and_a_missing_number_are_resumed_from_the_last_part() {
+fn a_gap_or_a_missing_id_resumes_after_the_last_part() {
     let mut stream = streaming();
     stream.handle(START, FIRST, part(1));
     let actions = stream.handle(START, FIRST, part(3));
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn crossed_answers_are_never_passed_on() {
+fn answers_to_other_requests_are_never_forwarded() {
     let mut stream = assembler(AnswerKind::Stream);
     let actions = stream.handle(START, FIRST, head(OTHER, BodyFraming::Delimited));
     assert_eq!(resume(&actions), Some((ConnectionNumber(1), None)));
@@ -140,23 +141,23 @@
     assert_eq!(fault(&actions), Some(AnswerFault::Crossed));
 
     let mut body = assembler(AnswerKind::Whole);
-    let silent: Event = AnswerEvent::Head {
+    let without_echo: Event = AnswerEvent::Head {
         echoed: None,
         framing: BodyFraming::Length(3),
     };
-    let actions = body.handle(START, FIRST, silent);
+    let actions = body.handle(START, FIRST, without_echo);
     assert_eq!(fault(&actions), Some(AnswerFault::EchoMissing));
 }
 
 #[test]
-fn whole_bodies_are_checked_against_their_length() {
+fn bodies_are_checked_against_their_content_length() {
     let bytes = |length| -> Event { AnswerEvent::Bytes { length, payload: 0 } };
-    let begun = |framing| {
+    let receiving_body = |framing| {
         let mut body = assembler(AnswerKind::Whole);
         assert!(body.handle(START, FIRST, head(OWN, framing)).is_empty());
         body
     };
-    let mut body = begun(BodyFraming::Length(10));
+    let mut body = receiving_body(BodyFraming::Length(10));
     body.handle(START, FIRST, bytes(4));
     let actions = body.handle(START, FIRST, Event::Closed);
     let short = AnswerFault::TooShort {
@@ -165,21 +166,21 @@
     };
     assert_eq!(fault(&actions), Some(short));
 
-    let mut body = begun(BodyFraming::Length(10));
+    let mut body = receiving_body(BodyFraming::Length(10));
     let actions = body.handle(START, FIRST, bytes(11));
     assert_eq!(
         fault(&actions),
         Some(AnswerFault::TooLong { announced: 10 })
     );
 
-    let mut body = begun(BodyFraming::Length(10));
+    let mut body = receiving_body(BodyFraming::Length(10));
     body.handle(START, FIRST, bytes(10));
     assert_eq!(
         body.handle(START, FIRST, Event::Closed),
         [AnswerAction::Complete]
     );
 
-    let mut body = begun(BodyFraming::Delimited);
+    let mut body = receiving_body(BodyFraming::Delimited);
     body.handle(START, FIRST, bytes(4));
     let actions = body.handle(START, FIRST, Event::Broken);
     assert_eq!(fault(&actions), Some(AnswerFault::Cut));
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn a_request_may_wait_in_a_queue_but_not_past_the_time_set_for_its_first_part() {
+fn a_silent_back_end_is_tolerated_until_the_limit_for_the_first_part() {
     let deadline = START + Duration::from_secs(60);
     assert_eq!(assembler(AnswerKind::Whole).next_tick(), Some(deadline));
     let by = START + Duration::from_secs(3);
@@ -238,7 +239,7 @@
     assert_eq!(fault(&actions), Some(AnswerFault::Idle));
 }
 
-/// What the network does next in the property below.
+/// Next event from the network in the property test below.
 fn next_event(choice: u8, sent: &mut u64, total: u64) -> Event {
     let fresh = *sent + 1;
     match choice % 16 {
@@ -266,7 +267,7 @@
 }
 
 #[test]
-fn under_any_schedule_the_parts_are_a_prefix_and_the_end_is_explicit() {
+fn under_any_schedule_the_forwarded_parts_are_a_prefix_and_the_end_is_explicit() {
     const TOTAL: u64 = 6;
     check!().with_type::<Vec<u8>>().for_each(|schedule| {
         let mut stream = streaming();
@@ -295,7 +296,11 @@
         let expected: Vec<u64> = (1..=forwarded.len() as u64).collect();
         assert_eq!(forwarded, expected);
         let completed = actions.contains(&AnswerAction::Complete);
-        assert_ne!(completed, fault(&actions).is_some(), "exactly one end");
+        assert_ne!(
+            completed,
+            fault(&actions).is_some(),
+            "an answer either completes or fails"
+        );
         assert!(!completed || forwarded.len() as u64 == TOTAL);
     });
 }
--- a/crates/core/tests/request_outliers_and_prefixes.rs
+++ b/crates/core/tests/request_outliers_and_prefixes.rs
@@ -1,4 +1,4 @@
-//! Setting back ends aside, and the approximate index of prefix caches.
+//! Guards outlier detection and the approximate prefix cache index.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_share_aside_is_bounded_within_each_pool() {
+fn the_ejected_share_is_bounded_within_each_pool() {
     let mut detector = OutlierDetector::new(OutlierSettings::default());
     (0..20).for_each(|id| detector.add(MachineId(id), engines()));
     let pool = OutlierGroup::Pool("records".parse().unwrap());
@@ -26,11 +26,15 @@
             detector.failed(NOW, MachineId(id));
         }
     }
-    assert_eq!(detector.ejected_count(), 1, "30% of the pool's four");
+    assert_eq!(
+        detector.ejected_count(),
+        1,
+        "30% of the four back ends of the pool, rounded down"
+    );
 }
 
 #[test]
-fn time_aside_grows_and_the_share_aside_is_bounded() {
+fn ejection_times_grow_and_the_ejected_share_is_bounded() {
     let settings = OutlierSettings::default();
     let mut detector = OutlierDetector::new(settings);
     for id in 0..10 {
@@ -45,7 +49,7 @@
             detector.sent(now, MachineId(0));
             until = detector.failed(now, MachineId(0));
         }
-        let ejected_for = until.expect("set aside").since(now);
+        let ejected_for = until.expect("ejected").since(now);
         assert!(ejected_for > last);
         last = ejected_for;
         now = now + ejected_for;
@@ -93,7 +97,7 @@
     assert_eq!(
         index.matched_tokens(id, &[1, 2, 3]),
         0,
-        "a late event of an old life"
+        "a late event of an older incarnation is ignored"
     );
     index.observed_hit(id, 100, 0);
     assert!(index.trust(id) < after_gap);
--- a/crates/core/tests/request_retries.rs
+++ b/crates/core/tests/request_retries.rs
@@ -1,4 +1,4 @@
-//! Retries: only where allowed, in time and within the budget.
+//! Guards retry decisions: only where allowed, before the deadline and within the budget.
 
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_repeatable_request_goes_elsewhere() {
+fn a_repeatable_request_is_retried_on_another_back_end() {
     let decision = policy().decide(NOW, &failed(AttemptFailure::TimedOut), &facts(true));
     let RetryDecision::Retry {
         after,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_request_that_must_not_be_repeated_is_retried_only_when_it_surely_did_not_run() {
+fn a_non_repeatable_request_is_retried_only_if_it_did_not_run() {
     for failure in [AttemptFailure::NotSent, AttemptFailure::RefusedNotRun] {
         let decision = policy().decide(NOW, &failed(failure), &facts(false));
         assert!(matches!(decision, RetryDecision::Retry { .. }));
@@ -87,9 +87,9 @@
 #[test]
 fn nothing_is_retried_after_the_first_byte_or_without_time_or_attempts() {
     let not_sent = failed(AttemptFailure::NotSent);
-    let mut begun = facts(true);
-    begun.first_byte_sent = true;
-    let decision = policy().decide(NOW, &not_sent, &begun);
+    let mut forwarded = facts(true);
+    forwarded.first_byte_sent = true;
+    let decision = policy().decide(NOW, &not_sent, &forwarded);
     assert_eq!(
         decision,
         gives_up(GiveUpReason::FirstByteSent, Execution::NotStarted)
@@ -103,11 +103,11 @@
         gives_up(GiveUpReason::DeadlineTooNear, Execution::NotStarted)
     );
 
-    let mut tried = facts(true);
-    tried.earlier = ExecutionRecord::default()
+    let mut exhausted = facts(true);
+    exhausted.earlier = ExecutionRecord::default()
         .with(Execution::NotStarted)
         .with(Execution::Unknown);
-    let decision = policy().decide(NOW, &not_sent, &tried);
+    let decision = policy().decide(NOW, &not_sent, &exhausted);
     assert_eq!(
         decision,
         gives_up(GiveUpReason::AttemptsUsed, Execution::Unknown)
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_budget_refuses_when_nothing_succeeds_and_recovers_with_the_window() {
+fn the_budget_is_exhausted_without_successes_and_recovers_after_the_window() {
     let mut policy = policy();
     let floor = 5;
     for _ in 0..floor {
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn retries_of_any_window_stay_within_share_and_floor() {
+fn retries_in_any_window_stay_within_the_success_share_and_the_floor() {
     let settings = RetryBudgetSettings::default();
     check!().with_type::<Vec<(bool, u16)>>().for_each(|steps| {
         let mut budget = RetryBudget::new(settings);
@@ -149,7 +149,7 @@
             } else if budget.take(now) {
                 retries += 1.0;
             }
-            // All steps fit one window, or the successes before it count for less.
+            // Upper bound: the floor applies once per window, and each success counts at most once.
             let windows = 1.0 + now.since(NOW).as_secs_f64() / settings.window.as_secs_f64();
             let allowed = settings.floor * windows.ceil() + settings.share_of_successes * successes;
             assert!(retries <= allowed, "{retries} of {allowed}");
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn not_started_is_said_only_when_no_attempt_may_have_run() {
+fn not_started_is_reported_only_if_no_attempt_may_have_run() {
     check!().with_type::<Vec<bool>>().for_each(|attempts| {
         let mut record = ExecutionRecord::default();
         for &maybe_ran in attempts {
@@ -179,8 +179,8 @@
     answered: u32,
 }
 
-/// 12 engines of which 4 are dead; 50 requests a second for a minute.
-fn with_a_third_dead(detects_outliers: bool) -> Fleet {
+/// Simulates 50 requests per second for one minute to 12 engines, 4 of which are dead.
+fn simulate_a_third_dead(detects_outliers: bool) -> Fleet {
     const ENGINES: u32 = 12;
     const REQUESTS: u64 = 3_000;
     let mut random = seeded(3, "fleet");
@@ -230,9 +230,9 @@
 }
 
 #[test]
-fn with_a_third_of_the_engines_dead_there_are_few_sends_for_each_request() {
-    let without = with_a_third_dead(false);
-    let with = with_a_third_dead(true);
+fn with_a_third_of_the_engines_dead_retries_stay_few_and_most_requests_succeed() {
+    let without = simulate_a_third_dead(false);
+    let with = simulate_a_third_dead(true);
     println!(
         "without outlier detection: {} sends, {} answered",
         without.sends, without.answered
--- a/crates/core/tests/request_routing.rs
+++ b/crates/core/tests/request_routing.rs
@@ -1,4 +1,4 @@
-//! Routing: who may be chosen, how choices spread, what is learned.
+//! Guards routing: eligibility of back ends, spread of choices and learned rates.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -127,10 +127,10 @@
 }
 
 #[test]
-fn refusals_say_why() {
-    let mut none = router(1, []);
+fn refusals_state_the_reason() {
+    let mut empty = router(1, []);
     assert_eq!(
-        none.choose(NOW, &request(1)),
+        empty.choose(NOW, &request(1)),
         Err(RoutingRefusal::NoneServes)
     );
 
@@ -161,15 +161,15 @@
     late.deadline = NOW;
     assert_eq!(two.choose(NOW, &late), Err(RoutingRefusal::DeadlinePassed));
 
-    let mut halves = router(1, [engine(0, EngineRole::Prefill)]);
+    let mut prefill_only = router(1, [engine(0, EngineRole::Prefill)]);
     assert_eq!(
-        halves.choose(NOW, &request(1)),
+        prefill_only.choose(NOW, &request(1)),
         Err(RoutingRefusal::NoPartner)
     );
 }
 
 #[test]
-fn a_draining_engine_or_one_without_role_gets_nothing() {
+fn an_engine_that_drains_or_has_no_role_gets_no_requests() {
     let mut router = router(2, mixed(3));
     let back_end = MachineId(0);
     router.handle(
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn only_the_asked_version_and_adapter_serve() {
+fn only_engines_with_the_requested_version_and_adapter_are_chosen() {
     let mut views = mixed(4);
     if let BackEndKind::Engine(held) = &mut views[3].kind {
         held.version = 2;
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn own_sends_spread_a_burst_before_any_digest_shows_it() {
+fn own_sends_spread_a_burst_before_digests_include_it() {
     let mut router = router(4, mixed(8));
     let mut counts = BTreeMap::<u32, u32>::new();
     for serial in 0..160 {
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn daemons_on_one_stale_view_do_not_herd_to_its_empty_engine() {
+fn daemons_with_the_same_stale_view_do_not_all_choose_its_idle_engine() {
     let mut to_empty = 0;
     for daemon in 0..400 {
         let mut router = router(daemon, mixed(20));
@@ -248,12 +248,12 @@
         }
         to_empty += u32::from(single(&mut router, NOW, &request(1)) == 7);
     }
-    // Two samples out of twenty: one daemon in ten, 40 of 400, may find the empty engine.
+    // With two samples out of twenty, one daemon in ten (40 of 400) is expected to sample engine 7.
     assert!((20..=65).contains(&to_empty), "{to_empty} of 400");
 }
 
 #[test]
-fn one_seed_gives_one_sequence_of_choices() {
+fn the_same_seed_gives_the_same_choices() {
     let choices = |seed| {
         let mut router = router(seed, mixed(16));
         (0..64)
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_handover_is_planned_only_where_it_pays() {
+fn a_handover_is_chosen_only_if_it_costs_less() {
     let views = [
         engine(0, EngineRole::Mixed),
         engine(1, EngineRole::Prefill),
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_cached_prefix_draws_a_request_until_the_queue_outweighs_it() {
+fn a_cached_prefix_attracts_requests_until_the_queue_costs_more() {
     let mut router = router(7, mixed(30));
     let mut cached = request(1);
     cached.prefix_blocks = (0..100).collect();
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn a_slow_engine_is_learned_from_own_observations() {
+fn a_slow_engine_is_avoided_after_own_observations() {
     let mut router = router(8, mixed(2));
     let mut now = NOW;
     for serial in 0..40 {
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn plain_back_ends_are_chosen_by_requests_in_flight_and_zone() {
+fn plain_back_ends_are_chosen_by_in_flight_requests_and_zone() {
     let mut views: Vec<_> = (0..2).map(plain).collect();
     views.push(in_zone(plain(2), "b"));
     let mut router = router(9, views);
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn a_failing_back_end_is_set_aside_probed_once_and_taken_back() {
+fn a_failing_back_end_is_ejected_probed_once_and_readmitted() {
     let mut router = router(10, mixed(4));
     for serial in 0..3 {
         send(&mut router, NOW, &request(serial), 0);
--- a/crates/core/tests/service_time.rs
+++ b/crates/core/tests/service_time.rs
@@ -1,4 +1,5 @@
-//! Learned service times: a bad sample is forgotten when nothing new can be learned.
+//! Guards service time estimates: an outlier must not cause refusals forever when no new samples
+//! arrive.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 use ponddrift_core::{ServiceName, Timestamp};
 
 #[test]
-fn an_estimate_that_refuses_everything_does_not_last() {
+fn an_outlier_estimate_expires() {
     let service = ServiceName::new("reconcile").expect("a name");
     let mut times = ServiceTimes::default();
     let work = WorkUnits::of_completion(100, 10);
