--- a/crates/core/src/routing/outlier.rs
+++ b/crates/core/src/routing/outlier.rs
@@ -111,7 +111,7 @@
     }
 
     /// Resets the health of a back end that has a new incarnation.
-    pub fn restarted(&mut self, back_end: MachineId) {
+    pub fn reset(&mut self, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end) {
             *health = Health::new(health.group.clone());
         }
@@ -138,7 +138,7 @@
     }
 
     /// Records a sent request. On an ejected back end it is the probe.
-    pub fn sent(&mut self, now: Timestamp, back_end: MachineId) {
+    pub fn record_send(&mut self, now: Timestamp, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end)
             && health.ejected_until.is_some()
         {
@@ -147,7 +147,7 @@
     }
 
     /// Records a success: resets the failure count, and ends the ejection if a probe was running.
-    pub fn succeeded(&mut self, back_end: MachineId) {
+    pub fn record_success(&mut self, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end) {
             health.failures = 0;
             if health.probe_since.take().is_some() {
@@ -168,7 +168,7 @@
     }
 
     /// Records a failure or timeout. If it ejects the back end, returns the end of the ejection.
-    pub fn failed(&mut self, now: Timestamp, back_end: MachineId) -> Option<Timestamp> {
+    pub fn record_failure(&mut self, now: Timestamp, back_end: MachineId) -> Option<Timestamp> {
         let room = self.may_eject_another(back_end);
         let settings = self.settings;
         let health = self.back_ends.get_mut(&back_end)?;
--- a/crates/core/src/routing/prefix_index.rs
+++ b/crates/core/src/routing/prefix_index.rs
@@ -121,7 +121,7 @@
 
     /// Applies an event of an engine's event stream. Duplicates and events of an older incarnation
     /// are ignored.
-    pub fn event(
+    pub fn apply(
         &mut self,
         engine: MachineId,
         incarnation: Incarnation,
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -150,7 +150,7 @@
                 change,
             } => {
                 if self.back_ends.contains_key(&engine) {
-                    self.index.event(engine, incarnation, sequence, &change);
+                    self.index.apply(engine, incarnation, sequence, &change);
                 }
             }
             RoutingEvent::Sent(sent) => self.record_send(now, sent),
@@ -252,7 +252,7 @@
         };
         state.view = view;
         if restarted {
-            self.outliers.restarted(id);
+            self.outliers.reset(id);
         }
     }
 
@@ -294,7 +294,7 @@
             first_token_at: generates_only.then_some(now),
         };
         state.sends.insert(sent.request, own);
-        self.outliers.sent(now, sent.back_end);
+        self.outliers.record_send(now, sent.back_end);
     }
 
     fn first_token(&mut self, now: Timestamp, request: RequestId, back_end: MachineId) {
@@ -349,14 +349,14 @@
                             .observed_hit(back_end, send.matched_tokens, found);
                     }
                 }
-                self.outliers.succeeded(back_end);
+                self.outliers.record_success(back_end);
                 None
             }
             SendOutcome::Neutral => {
                 self.outliers.record_neutral(back_end);
                 None
             }
-            SendOutcome::Failed => self.outliers.failed(now, back_end),
+            SendOutcome::Failed => self.outliers.record_failure(now, back_end),
         }
     }
 }
--- a/crates/core/tests/request_outliers_and_prefixes.rs
+++ b/crates/core/tests/request_outliers_and_prefixes.rs
@@ -23,7 +23,7 @@
     (20..24).for_each(|id| detector.add(MachineId(id), pool.clone()));
     for id in 20..24 {
         for _ in 0..3 {
-            detector.failed(NOW, MachineId(id));
+            detector.record_failure(NOW, MachineId(id));
         }
     }
     assert_eq!(
@@ -46,8 +46,8 @@
         let tries = if round == 0 { 3 } else { 1 };
         let mut until = None;
         for _ in 0..tries {
-            detector.sent(now, MachineId(0));
-            until = detector.failed(now, MachineId(0));
+            detector.record_send(now, MachineId(0));
+            until = detector.record_failure(now, MachineId(0));
         }
         let ejected_for = until.expect("ejected").since(now);
         assert!(ejected_for > last);
@@ -63,14 +63,14 @@
             let id = MachineId(u32::from(back_end % 10));
             now = now + Duration::from_millis(u64::from(pause) * 20);
             match action % 4 {
-                0 => detector.sent(now, id),
-                1 => detector.succeeded(id),
+                0 => detector.record_send(now, id),
+                1 => detector.record_success(id),
                 2 => detector.record_neutral(id),
-                _ => drop(detector.failed(now, id)),
+                _ => drop(detector.record_failure(now, id)),
             }
             assert!(detector.ejected_count() <= 3);
             if detector.eligibility(now, id) == Eligibility::Probe {
-                detector.sent(now, id);
+                detector.record_send(now, id);
                 assert!(matches!(
                     detector.eligibility(now, id),
                     Eligibility::Ejected { .. }
@@ -85,15 +85,15 @@
     let mut index = PrefixIndex::new(PrefixIndexSettings::default());
     let stored = PrefixChange::Stored(vec![1, 2, 3]);
     let id = MachineId(1);
-    index.event(id, Incarnation(1), 1, &stored);
+    index.apply(id, Incarnation(1), 1, &stored);
     let whole = index.trust(id);
     assert_eq!(index.matched_tokens(id, &[1, 2, 9, 3]), 32);
-    index.event(id, Incarnation(1), 5, &stored);
+    index.apply(id, Incarnation(1), 5, &stored);
     let after_gap = index.trust(id);
     assert!(after_gap < whole);
-    index.event(id, Incarnation(2), 1, &PrefixChange::Stored(vec![7]));
+    index.apply(id, Incarnation(2), 1, &PrefixChange::Stored(vec![7]));
     assert_eq!(index.matched_tokens(id, &[1, 2, 3]), 0);
-    index.event(id, Incarnation(1), 6, &stored);
+    index.apply(id, Incarnation(1), 6, &stored);
     assert_eq!(
         index.matched_tokens(id, &[1, 2, 3]),
         0,
@@ -122,7 +122,7 @@
                     1 => PrefixChange::Removed(blocks.clone()),
                     _ => PrefixChange::Stored(blocks.clone()),
                 };
-                index.event(id, incarnation, u64::from(*sequence), &change);
+                index.apply(id, incarnation, u64::from(*sequence), &change);
                 index.observed_prompt(id, incarnation, &blocks);
                 let trust = index.trust(id);
                 assert!((0.0..=1.0).contains(&trust));
--- a/crates/core/tests/request_retries.rs
+++ b/crates/core/tests/request_retries.rs
@@ -207,14 +207,14 @@
                 continue;
             }
             fleet.sends += 1;
-            outliers.sent(now, back_end);
+            outliers.record_send(now, back_end);
             if back_end.0 >= ENGINES / 3 {
-                outliers.succeeded(back_end);
+                outliers.record_success(back_end);
                 policy.succeeded(now);
                 fleet.answered += 1;
                 break;
             }
-            outliers.failed(now, back_end);
+            outliers.record_failure(now, back_end);
             let mut outcome = failed(AttemptFailure::TimedOut);
             outcome.back_end = back_end;
             let decision = policy.decide(now, &outcome, &request);
