--- a/crates/core/src/admission/capacity.rs
+++ b/crates/core/src/admission/capacity.rs
@@ -84,7 +84,7 @@
     }
 
     fn clamp_limit(&mut self) {
-        let multiple = self.settings.largest_multiple_of_capacity;
+        let multiple = self.settings.max_capacity_multiple;
         let largest = self.capacity.map_or(f64::MAX, |slots| slots * multiple);
         let smallest = self.settings.minimum_in_flight;
         self.limit = self.limit.clamp(smallest, largest.max(smallest));
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -21,7 +21,7 @@
     /// Lower bound of the limit on requests in flight.
     pub minimum_in_flight: f64,
     /// Upper bound of the limit on requests in flight, as a multiple of the reported capacity.
-    pub largest_multiple_of_capacity: f64,
+    pub max_capacity_multiple: f64,
     /// Queue wait at back ends above which the limit decreases.
     pub wait_target: Duration,
     /// Factor applied to the limit when the wait exceeds the target.
@@ -48,7 +48,7 @@
             burst: Duration::from_secs(2),
             initial_in_flight: 16.0,
             minimum_in_flight: 1.0,
-            largest_multiple_of_capacity: 2.0,
+            max_capacity_multiple: 2.0,
             wait_target: Duration::from_millis(200),
             decrease: 0.9,
             decrease_interval: Duration::from_millis(200),
--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -481,7 +481,7 @@
 fn start_admission(runtime: &Runtime, settings: &Settings, kind: &str) -> Address<AdmissionActor> {
     let admission_settings = AdmissionSettings {
         queue_length: settings.admission.queue_length,
-        largest_multiple_of_capacity: 1.0,
+        max_capacity_multiple: 1.0,
         wait_target: DAEMON_WAIT_TARGET,
         ..AdmissionSettings::default()
     };
--- a/crates/emulator/src/experiment/simulation/gateway.rs
+++ b/crates/emulator/src/experiment/simulation/gateway.rs
@@ -79,7 +79,7 @@
         };
         let admission_settings = AdmissionSettings {
             queue_length: QUEUE_LENGTH,
-            largest_multiple_of_capacity: 1.0,
+            max_capacity_multiple: 1.0,
             wait_target: inputs.wait_target(),
             ..AdmissionSettings::default()
         };
