--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -18,7 +18,7 @@
     AdmissionAction, AdmissionEvent, AdmissionRefusal, AdmissionRequest, LimitKind, LimitScope,
 };
 pub use limits::Limits;
-pub use queue::{FairQueue, Queued};
+pub use queue::{FairQueue, QueuedRequest};
 pub use settings::{AdmissionSettings, DAEMON_WAIT_TARGET};
 pub use share::{DemandReport, DemandShares, TenantDemand};
 pub use token_bucket::TokenBucket;
--- a/crates/core/src/admission/capacity.rs
+++ b/crates/core/src/admission/capacity.rs
@@ -75,7 +75,7 @@
             return;
         }
         if interval.shortest > self.settings.wait_target {
-            self.limit *= self.settings.decrease;
+            self.limit *= self.settings.decrease_factor;
         }
         *interval = WaitInterval {
             since: now,
@@ -86,7 +86,7 @@
     fn clamp_limit(&mut self) {
         let multiple = self.settings.max_capacity_multiple;
         let largest = self.capacity.map_or(f64::MAX, |slots| slots * multiple);
-        let smallest = self.settings.minimum_in_flight;
+        let smallest = self.settings.min_in_flight;
         self.limit = self.limit.clamp(smallest, largest.max(smallest));
     }
 }
--- a/crates/core/src/admission/controller.rs
+++ b/crates/core/src/admission/controller.rs
@@ -417,9 +417,6 @@
     fn bounded_retry_after(&mut self, seconds: f64) -> Duration {
         let with_jitter = seconds * (1.0 + RETRY_AFTER_JITTER * self.random.random::<f64>());
         let wait = Duration::try_from_secs_f64(with_jitter).unwrap_or(Duration::MAX);
-        wait.clamp(
-            self.settings.shortest_retry_after,
-            self.settings.longest_retry_after,
-        )
+        wait.clamp(self.settings.min_retry_after, self.settings.max_retry_after)
     }
 }
--- a/crates/core/src/admission/event.rs
+++ b/crates/core/src/admission/event.rs
@@ -89,7 +89,7 @@
     Refuse(RequestId, AdmissionRefusal),
 }
 
-/// Which limit was reached.
+/// Kind of limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LimitKind {
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -10,7 +10,7 @@
 
 /// A queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Queued {
+pub struct QueuedRequest {
     /// The request.
     pub request: AdmissionRequest,
     /// Latest time at which it may start; it is refused afterwards.
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Default)]
 struct TenantQueue {
     /// Ordered by deadline, then arrival.
-    waiting: BTreeMap<(Timestamp, u64), Queued>,
+    waiting: BTreeMap<(Timestamp, u64), QueuedRequest>,
     /// Virtual time at which the tenant's next request may start.
     virtual_start: f64,
     weight: u32,
@@ -94,15 +94,15 @@
         if tenant.waiting.is_empty() {
             tenant.virtual_start = tenant.virtual_start.max(virtual_time);
         }
-        let queued = Queued {
+        let queued = QueuedRequest {
             request,
             latest_start,
         };
         tenant.waiting.insert(key, queued);
     }
 
-    /// Takes the request that goes first.
-    pub fn pop(&mut self) -> Option<Queued> {
+    /// Removes and returns the request that starts next.
+    pub fn pop(&mut self) -> Option<QueuedRequest> {
         let (_, level) = self
             .levels
             .iter_mut()
@@ -118,8 +118,8 @@
         self.remove(id)
     }
 
-    /// Removes a request wherever it stands.
-    pub fn remove(&mut self, id: RequestId) -> Option<Queued> {
+    /// Removes a request from any position in the queue.
+    pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let position = self.positions.swap_remove(&id)?;
         let level = self.levels.get_mut(&position.level)?;
         let tenant = level.tenants.get_mut(&position.tenant)?;
@@ -134,7 +134,7 @@
     }
 
     /// Removes and returns a request that can no longer meet its deadline.
-    pub fn pop_expired(&mut self, now: Timestamp) -> Option<Queued> {
+    pub fn pop_expired(&mut self, now: Timestamp) -> Option<QueuedRequest> {
         let &(latest_start, id) = self.latest_starts.first()?;
         if latest_start >= now {
             return None;
--- a/crates/core/src/admission/settings.rs
+++ b/crates/core/src/admission/settings.rs
@@ -19,21 +19,21 @@
     /// Initial limit on requests in flight to back ends.
     pub initial_in_flight: f64,
     /// Lower bound of the limit on requests in flight.
-    pub minimum_in_flight: f64,
+    pub min_in_flight: f64,
     /// Upper bound of the limit on requests in flight, as a multiple of the reported capacity.
     pub max_capacity_multiple: f64,
     /// Queue wait at back ends above which the limit decreases.
     pub wait_target: Duration,
     /// Factor applied to the limit when the wait exceeds the target.
-    pub decrease: f64,
+    pub decrease_factor: f64,
     /// Minimum time between two decreases.
     pub decrease_interval: Duration,
     /// Window over which the drain rate is measured.
     pub drain_window: Duration,
     /// Lower bound of the retry time given to refused callers.
-    pub shortest_retry_after: Duration,
+    pub min_retry_after: Duration,
     /// Upper bound of the retry time given to refused callers.
-    pub longest_retry_after: Duration,
+    pub max_retry_after: Duration,
     /// Age at which another daemon's demand report is ignored.
     pub demand_report_age: Duration,
     /// Time constant of the exponentially decaying demand rates.
@@ -47,14 +47,14 @@
             service_margin: 3.0,
             burst: Duration::from_secs(2),
             initial_in_flight: 16.0,
-            minimum_in_flight: 1.0,
+            min_in_flight: 1.0,
             max_capacity_multiple: 2.0,
             wait_target: Duration::from_millis(200),
-            decrease: 0.9,
+            decrease_factor: 0.9,
             decrease_interval: Duration::from_millis(200),
             drain_window: Duration::from_secs(5),
-            shortest_retry_after: Duration::from_secs(1),
-            longest_retry_after: Duration::from_secs(60),
+            min_retry_after: Duration::from_secs(1),
+            max_retry_after: Duration::from_secs(60),
             demand_report_age: Duration::from_secs(10),
             demand_time: Duration::from_secs(5),
         }
--- a/crates/core/src/retry/policy.rs
+++ b/crates/core/src/retry/policy.rs
@@ -18,7 +18,7 @@
     /// Upper bound of the delay before the first retry; doubled for each further retry.
     pub base_delay: Duration,
     /// Upper bound of any retry delay.
-    pub longest_delay: Duration,
+    pub max_delay: Duration,
     /// Retry budget.
     pub budget: RetryBudgetSettings,
 }
@@ -28,7 +28,7 @@
         Self {
             maximum_attempts: 3,
             base_delay: Duration::from_millis(10),
-            longest_delay: Duration::from_millis(500),
+            max_delay: Duration::from_millis(500),
             budget: RetryBudgetSettings::default(),
         }
     }
@@ -160,7 +160,7 @@
     fn delay(&mut self, attempts: u32) -> Duration {
         let doublings = attempts.saturating_sub(1).min(16);
         let bound = self.settings.base_delay.saturating_mul(1 << doublings);
-        let bound = bound.min(self.settings.longest_delay);
+        let bound = bound.min(self.settings.max_delay);
         bound.mul_f64(self.random.random::<f64>())
     }
 }
--- a/crates/core/src/routing/prefix_index.rs
+++ b/crates/core/src/routing/prefix_index.rs
@@ -15,7 +15,7 @@
     /// Tokens per block.
     pub block_tokens: u32,
     /// Maximum number of indexed blocks, divided evenly between the engines.
-    pub maximum_blocks: usize,
+    pub max_blocks: usize,
     /// Initial trust in the index of an engine, from 0 to 1.
     pub initial_trust: f64,
     /// Factor applied to the trust at a gap in the events.
@@ -30,7 +30,7 @@
     fn default() -> Self {
         Self {
             block_tokens: 16,
-            maximum_blocks: 262_144,
+            max_blocks: 262_144,
             initial_trust: 0.5,
             gap_factor: 0.5,
             trust_gain: 0.01,
@@ -206,7 +206,7 @@
     }
 
     fn blocks_per_engine(&self) -> usize {
-        let share = self.settings.maximum_blocks / self.engines.len().max(1);
+        let share = self.settings.max_blocks / self.engines.len().max(1);
         share.max(MINIMUM_BLOCKS_PER_ENGINE)
     }
 
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -84,7 +84,7 @@
         incarnation: Incarnation,
         /// Sequence number of the event.
         sequence: u64,
-        /// What changed.
+        /// The change of the cache.
         change: PrefixChange,
     },
     /// A request was sent.
--- a/crates/core/tests/request_admission.rs
+++ b/crates/core/tests/request_admission.rs
@@ -132,7 +132,7 @@
             panic!("expected a limit, got {actions:?}");
         };
         assert_eq!((scope, limit), (LimitScope::Tenant, kind));
-        assert!(retry_after >= AdmissionSettings::default().shortest_retry_after);
+        assert!(retry_after >= AdmissionSettings::default().min_retry_after);
         let other = arrive(&mut admission, NOW, request(100, 0, "other"));
         assert_eq!(other, [AdmissionAction::Start(RequestId(100))]);
         finish(&mut admission, 0);
@@ -342,7 +342,7 @@
                             "a request is refused only once and only while queued"
                         );
                         let settings = AdmissionSettings::default();
-                        let range = settings.shortest_retry_after..=settings.longest_retry_after;
+                        let range = settings.min_retry_after..=settings.max_retry_after;
                         assert!(range.contains(&refusal.retry_after()));
                     }
                 }
--- a/crates/core/tests/request_outliers_and_prefixes.rs
+++ b/crates/core/tests/request_outliers_and_prefixes.rs
@@ -106,7 +106,7 @@
 #[test]
 fn the_index_stays_bounded_under_any_events() {
     let settings = PrefixIndexSettings {
-        maximum_blocks: 400,
+        max_blocks: 400,
         ..PrefixIndexSettings::default()
     };
     check!()
