--- a/crates/core/src/routing/router/choice.rs
+++ b/crates/core/src/routing/router/choice.rs
@@ -175,7 +175,7 @@
             weighed: winner
                 .weighed
                 .iter()
-                .map(Estimate::to_candidate_estimate)
+                .map(Estimate::candidate_estimate)
                 .collect(),
         },
     }
@@ -195,7 +195,7 @@
             expected_total: seconds(first_token + generation),
             transfer: seconds(transfer),
             eligible,
-            weighed: weighed.map(Estimate::to_candidate_estimate).collect(),
+            weighed: weighed.map(Estimate::candidate_estimate).collect(),
         },
     }
 }
--- a/crates/core/src/routing/score.rs
+++ b/crates/core/src/routing/score.rs
@@ -104,7 +104,7 @@
         self.total() + self.interference + self.pressure
     }
 
-    pub fn to_candidate_estimate(&self) -> CandidateEstimate {
+    pub fn candidate_estimate(&self) -> CandidateEstimate {
         CandidateEstimate {
             back_end: self.back_end,
             first_token: seconds(self.first_token),
