--- a/crates/core/src/answer/assembler.rs
+++ b/crates/core/src/answer/assembler.rs
@@ -1,4 +1,4 @@
-//! The state machine of one answer.
+//! State machine that assembles one answer.
 
 use std::time::Duration;
 
--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -50,8 +50,8 @@
         self.successes.add(now);
     }
 
-    /// Takes one retry from the budget; returns `false` if none is left.
-    pub fn take(&mut self, now: Timestamp) -> bool {
+    /// Consumes one retry of the budget; returns `false` if none is left.
+    pub fn try_consume(&mut self, now: Timestamp) -> bool {
         if self.available(now) < 1.0 {
             return false;
         }
--- a/crates/core/src/retry/policy.rs
+++ b/crates/core/src/retry/policy.rs
@@ -149,7 +149,7 @@
         if now + after + facts.expected_service > facts.deadline {
             return Some(GiveUpReason::DeadlineTooNear);
         }
-        if !self.budget.take(now) {
+        if !self.budget.try_consume(now) {
             return Some(GiveUpReason::BudgetUsed);
         }
         None
--- a/crates/core/src/routing/prefix_index.rs
+++ b/crates/core/src/routing/prefix_index.rs
@@ -89,8 +89,7 @@
     }
 
     fn evict_to(&mut self, limit: usize) {
-        // The dead entries of `recent_uses` are bounded too: at most as many as there are live
-        // ones.
+        // The second condition bounds the stale entries of `recent_uses`.
         while self.blocks.len() > limit || self.recent_uses.len() > 2 * limit {
             let Some((block, stamp)) = self.recent_uses.pop_front() else {
                 return;
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -198,7 +198,7 @@
             .map_or(0, |state| state.sends.len())
     }
 
-    /// Chooses the back ends for a request. The caller must report the send with
+    /// Chooses the back ends for a request. Nothing is recorded until the caller reports
     /// [`RoutingEvent::Sent`].
     ///
     /// # Errors
--- a/crates/core/tests/request_retries.rs
+++ b/crates/core/tests/request_retries.rs
@@ -146,7 +146,7 @@
             if success {
                 budget.succeeded(now);
                 successes += 1.0;
-            } else if budget.take(now) {
+            } else if budget.try_consume(now) {
                 retries += 1.0;
             }
             // Upper bound: the floor applies once per window, and each success counts at most once.
