--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,7 +1,7 @@
-//! Admission of requests: limits, bounded queues, shedding.
+//! Admission control: rate and concurrency limits, a bounded fair queue and load shedding.
 //!
-//! A request starts, waits in a bounded queue, or is refused. A refusal is given at once, says when to
-//! come back, and is never held back.
+//! Each arriving request starts, waits in the queue or is refused. A refusal is returned
+//! immediately and tells the caller when to retry.
 
 mod capacity;
 mod controller;
@@ -18,7 +18,7 @@
     AdmissionAction, AdmissionEvent, AdmissionRefusal, AdmissionRequest, LimitKind, LimitScope,
 };
 pub use limits::Limits;
-pub use queue::{FairQueue, Queued};
-pub use settings::{AdmissionSettings, WAIT_TARGET_OF_DAEMONS};
+pub use queue::{FairQueue, QueuedRequest};
+pub use settings::{AdmissionSettings, DAEMON_WAIT_TARGET};
 pub use share::{DemandReport, DemandShares, TenantDemand};
 pub use token_bucket::TokenBucket;
--- a/crates/core/src/answer/assembler.rs
+++ b/crates/core/src/answer/assembler.rs
@@ -1,4 +1,4 @@
-//! The state machine of one answer.
+//! State machine that assembles one answer.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use super::settings::AnswerSettings;
 use crate::{RequestId, Timestamp};
 
-/// Doublings of the wait before a resume.
-const LARGEST_BACKOFF_SHIFT: u32 = 6;
+/// Maximum number of doublings of the delay before a resume.
+const MAX_BACKOFF_SHIFT: u32 = 6;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// A connection is open or being opened; the head has not come.
+    /// A connection is open or being opened; the response head has not arrived.
     Connecting,
-    /// Events of a stream come.
+    /// Receiving the events of a stream.
     Streaming,
-    /// Bytes of a body come.
+    /// Receiving the bytes of a body.
     Body { framing: BodyFraming, received: u64 },
-    /// The answer was completed or failed.
+    /// The answer is complete or has failed.
     Ended,
 }
 
-/// Assembles one answer. See [`AnswerAction`] for what it may ask for.
+/// Assembles one answer. [`AnswerAction`] lists the actions that it requests.
 #[derive(Debug, Clone)]
 pub struct AnswerAssembler {
     settings: AnswerSettings,
@@ -35,15 +35,16 @@
     next_id: u64,
     forwarded: u64,
     resumes: u32,
-    fruitless: u32,
-    /// Since when nothing new came although it was waited for.
+    resumes_without_progress: u32,
+    /// When the first interruption since the last progress occurred.
     stalled_since: Option<Timestamp>,
-    /// From when on silence of the current connection is counted.
-    quiet_since: Timestamp,
+    /// Start of the current idle period; in the future while a resume is delayed.
+    last_activity: Timestamp,
 }
 
 impl AnswerAssembler {
-    /// Starts with the connection on which the request was sent, [`ConnectionNumber`] 0.
+    /// Creates an assembler for the connection on which the request was sent, [`ConnectionNumber`]
+    /// 0.
     #[must_use]
     pub const fn new(
         settings: AnswerSettings,
@@ -63,42 +64,43 @@
             next_id: settings.first_event_id,
             forwarded: 0,
             resumes: 0,
-            fruitless: 0,
+            resumes_without_progress: 0,
             stalled_since: None,
-            quiet_since: now,
+            last_activity: now,
         }
     }
 
-    /// Sets when silence before the first part counts as a cut. Without it only the deadline does: a
-    /// request may well wait in the back end's queue.
+    /// Sets a time limit for the first part, after which the connection is treated as lost. By
+    /// default only the deadline applies, because the request may wait in the back end's queue.
     #[must_use]
     pub const fn first_part_by(mut self, time: Timestamp) -> Self {
         self.first_part_by = Some(time);
         self
     }
 
-    /// Parts passed on so far.
+    /// Number of parts forwarded so far.
     #[must_use]
     pub const fn forwarded(&self) -> u64 {
         self.forwarded
     }
 
-    /// Whether the answer was completed or failed.
+    /// Whether the answer is complete or has failed.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
 
-    /// When [`AnswerEvent::Tick`] is due; `None` after the end.
+    /// When [`AnswerEvent::Tick`] is due; `None` once the answer has ended.
     #[must_use]
     pub fn next_tick(&self) -> Option<Timestamp> {
         if self.is_ended() {
             return None;
         }
-        Some(self.deadline.min(self.idle_at()))
+        Some(self.deadline.min(self.idle_deadline()))
     }
 
-    /// Takes an event of a connection. Events of earlier connections, and all after the end, do nothing.
+    /// Handles an event of a connection. Events of earlier connections and all events after the end
+    /// of the answer are ignored.
     pub fn handle<P>(
         &mut self,
         now: Timestamp,
@@ -130,19 +132,19 @@
         }
     }
 
-    fn idle_at(&self) -> Timestamp {
+    fn idle_deadline(&self) -> Timestamp {
         if self.forwarded == 0 && self.resumes == 0 {
             return self.first_part_by.unwrap_or(self.deadline);
         }
-        self.quiet_since + self.settings.idle_limit
+        self.last_activity + self.settings.idle_limit
     }
 
     fn tick<P>(&mut self, now: Timestamp) -> Vec<AnswerAction<P>> {
         if now >= self.deadline {
             return self.fail(AnswerFault::DeadlinePassed);
         }
-        if now >= self.idle_at() {
-            return self.interrupted(now, AnswerFault::Idle);
+        if now >= self.idle_deadline() {
+            return self.resume_or_fail(now, AnswerFault::Idle);
         }
         Vec::new()
     }
@@ -154,16 +156,16 @@
         framing: BodyFraming,
     ) -> Vec<AnswerAction<P>> {
         if self.phase != Phase::Connecting {
-            return self.interrupted(now, AnswerFault::Unexpected);
+            return self.resume_or_fail(now, AnswerFault::Unexpected);
         }
         match echoed {
             Some(other) if other != self.request => {
-                return self.interrupted(now, AnswerFault::Crossed);
+                return self.resume_or_fail(now, AnswerFault::Crossed);
             }
             None if self.settings.echo_required => return self.fail(AnswerFault::EchoMissing),
             _ => {}
         }
-        self.quiet_since = now;
+        self.last_activity = now;
         if self.kind == AnswerKind::Stream {
             self.phase = Phase::Streaming;
             return Vec::new();
@@ -186,21 +188,21 @@
         payload: P,
     ) -> Vec<AnswerAction<P>> {
         if self.phase != Phase::Streaming {
-            return self.interrupted(now, AnswerFault::Unexpected);
+            return self.resume_or_fail(now, AnswerFault::Unexpected);
         }
         if echoed.is_some_and(|other| other != self.request) {
-            return self.interrupted(now, AnswerFault::Crossed);
+            return self.resume_or_fail(now, AnswerFault::Crossed);
         }
         let Some(received) = id else {
-            return self.interrupted(now, AnswerFault::NumberMissing);
+            return self.resume_or_fail(now, AnswerFault::NumberMissing);
         };
-        self.quiet_since = now;
+        self.last_activity = now;
         let expected = self.next_id;
         if received < expected {
             return Vec::new();
         }
         if received > expected {
-            return self.interrupted(now, AnswerFault::Gap { expected, received });
+            return self.resume_or_fail(now, AnswerFault::Gap { expected, received });
         }
         self.next_id += 1;
         self.progress();
@@ -209,22 +211,22 @@
 
     fn end_mark<P>(&mut self, now: Timestamp, id: Option<u64>) -> Vec<AnswerAction<P>> {
         if self.phase != Phase::Streaming {
-            return self.interrupted(now, AnswerFault::Unexpected);
+            return self.resume_or_fail(now, AnswerFault::Unexpected);
         }
         let expected = self.next_id;
         if let Some(received) = id
             && received != expected
         {
-            return self.interrupted(now, AnswerFault::Gap { expected, received });
+            return self.resume_or_fail(now, AnswerFault::Gap { expected, received });
         }
         self.complete()
     }
 
     fn bytes<P>(&mut self, now: Timestamp, length: u64, payload: P) -> Vec<AnswerAction<P>> {
         let Phase::Body { framing, received } = self.phase else {
-            return self.interrupted(now, AnswerFault::Unexpected);
+            return self.resume_or_fail(now, AnswerFault::Unexpected);
         };
-        self.quiet_since = now;
+        self.last_activity = now;
         let received = received.saturating_add(length);
         if let BodyFraming::Length(announced) = framing
             && received > announced
@@ -239,7 +241,7 @@
     fn closed<P>(&mut self, now: Timestamp) -> Vec<AnswerAction<P>> {
         match self.phase {
             Phase::Body {
-                framing: BodyFraming::Marked,
+                framing: BodyFraming::Delimited,
                 ..
             } => self.complete(),
             Phase::Body {
@@ -264,12 +266,12 @@
                 received,
             });
         }
-        self.interrupted(now, AnswerFault::Cut)
+        self.resume_or_fail(now, AnswerFault::Cut)
     }
 
     fn progress(&mut self) {
         self.forwarded += 1;
-        self.fruitless = 0;
+        self.resumes_without_progress = 0;
         self.stalled_since = None;
     }
 
@@ -288,21 +290,22 @@
         vec![AnswerAction::Disconnect, AnswerAction::Fail(error)]
     }
 
-    /// The connection is of no more use: resume the stream, or fail where that is not possible.
-    fn interrupted<P>(&mut self, now: Timestamp, fault: AnswerFault) -> Vec<AnswerAction<P>> {
+    /// Gives up the current connection: resumes the stream, or fails if no resume is possible.
+    fn resume_or_fail<P>(&mut self, now: Timestamp, fault: AnswerFault) -> Vec<AnswerAction<P>> {
         let stalled_since = *self.stalled_since.get_or_insert(now);
         let at = now + self.resume_delay();
         let in_time = at < self.deadline && at.since(stalled_since) <= self.settings.resume_window;
-        let tries_left = self.fruitless < self.settings.fruitless_resumes
-            && self.resumes < self.settings.total_resumes;
-        if self.kind == AnswerKind::Whole || !in_time || !tries_left {
+        let resumes_left = self.resumes_without_progress
+            < self.settings.max_resumes_without_progress
+            && self.resumes < self.settings.max_resumes;
+        if self.kind == AnswerKind::Whole || !in_time || !resumes_left {
             return self.fail(fault);
         }
-        self.fruitless += 1;
+        self.resumes_without_progress += 1;
         self.resumes += 1;
         self.connection = ConnectionNumber(self.connection.0 + 1);
         self.phase = Phase::Connecting;
-        self.quiet_since = at;
+        self.last_activity = at;
         let resume = AnswerAction::Resume {
             connection: self.connection,
             after: self.last_id(),
@@ -316,7 +319,7 @@
     }
 
     fn resume_delay(&self) -> Duration {
-        let doublings = self.fruitless.min(LARGEST_BACKOFF_SHIFT);
+        let doublings = self.resumes_without_progress.min(MAX_BACKOFF_SHIFT);
         self.settings.resume_delay * (1 << doublings)
     }
 }
--- a/crates/core/src/answer/settings.rs
+++ b/crates/core/src/answer/settings.rs
@@ -1,24 +1,25 @@
-//! Settings of the assembly of answers.
+//! Settings of answer assembly.
 
 use std::time::Duration;
 
 /// Settings of an [`super::AnswerAssembler`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AnswerSettings {
-    /// Number of a stream's first event.
+    /// Id of the first event of a stream.
     pub first_event_id: u64,
-    /// Whether an answer without an echoed request id is refused.
+    /// Whether an answer must echo the request id.
     pub echo_required: bool,
-    /// Resumes in a row that bring nothing new.
-    pub fruitless_resumes: u32,
-    /// Resumes of one answer in all.
-    pub total_resumes: u32,
-    /// Time in which a resume must have brought something new.
+    /// Maximum number of consecutive resumes without a new part.
+    pub max_resumes_without_progress: u32,
+    /// Maximum number of resumes of one answer.
+    pub max_resumes: u32,
+    /// Time from the first interruption within which a resume may still be attempted without a new
+    /// part.
     pub resume_window: Duration,
-    /// Wait before the first resume; doubled at each fruitless one.
+    /// Delay before the first resume; doubled after each resume without a new part.
     pub resume_delay: Duration,
-    /// A connection that brings nothing for so long after the first part, or after a resume, counts
-    /// as cut.
+    /// Idle time after the first part or after a resume, after which a connection is treated as
+    /// lost.
     pub idle_limit: Duration,
 }
 
@@ -27,8 +28,8 @@
         Self {
             first_event_id: 1,
             echo_required: true,
-            fruitless_resumes: 4,
-            total_resumes: 16,
+            max_resumes_without_progress: 4,
+            max_resumes: 16,
             resume_window: Duration::from_secs(10),
             resume_delay: Duration::from_millis(20),
             idle_limit: Duration::from_secs(15),
--- a/crates/core/src/load/table.rs
+++ b/crates/core/src/load/table.rs
@@ -1,4 +1,4 @@
-//! The newest digest of each engine, and what is passed on of it.
+//! Table of the newest load digest of each engine, with its gossip state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use super::LoadDigest;
 use crate::{MachineId, Timestamp};
 
-/// Limits of the gossip of digests.
+/// Settings of a [`LoadTable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadTableSettings {
-    /// Most digests in one message; each takes 28 bytes.
+    /// Maximum number of digests per message; each is about 28 bytes.
     pub digests_per_message: usize,
-    /// How often one digest is passed on.
+    /// Number of times a digest is sent to peers.
     pub retransmits: u32,
-    /// Older digests are not passed on.
-    pub pass_on_until: Duration,
-    /// Older digests are forgotten.
+    /// Age up to which a digest is sent to peers.
+    pub max_gossip_age: Duration,
+    /// Age after which a digest is dropped.
     pub forget_after: Duration,
 }
 
@@ -26,29 +26,29 @@
         Self {
             digests_per_message: 40,
             retransmits: 3,
-            pass_on_until: Duration::from_secs(4),
+            max_gossip_age: Duration::from_secs(4),
             forget_after: Duration::from_secs(60),
         }
     }
 }
 
-/// A digest with its age when it was sent: clocks of two daemons are not compared.
+/// A digest with its age at the time of sending, because clocks of daemons are not comparable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AgedDigest {
     /// The digest.
     pub digest: LoadDigest,
-    /// Its age in milliseconds, without the time in the network.
+    /// Its age in milliseconds, excluding network latency.
     pub age_ms: u16,
 }
 
-/// What is known of an engine's load.
+/// Newest known load of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownLoad {
     /// The newest digest.
     pub digest: LoadDigest,
-    /// When it came to this daemon.
+    /// When it arrived at this daemon.
     pub received: Timestamp,
-    /// How old it is now.
+    /// Its age now.
     pub age: Duration,
 }
 
@@ -60,40 +60,41 @@
     sends_left: u32,
 }
 
-/// Newest digests of the engines that this daemon routes to.
+/// Newest digests of the engines that this daemon subscribes to.
 #[derive(Debug, Clone)]
 pub struct LoadTable {
     settings: LoadTableSettings,
-    wanted: BTreeSet<MachineId>,
+    subscribed: BTreeSet<MachineId>,
     entries: BTreeMap<MachineId, Entry>,
 }
 
 impl LoadTable {
-    /// Starts without an engine.
+    /// Creates a table without subscriptions.
     #[must_use]
     pub const fn new(settings: LoadTableSettings) -> Self {
         Self {
             settings,
-            wanted: BTreeSet::new(),
+            subscribed: BTreeSet::new(),
             entries: BTreeMap::new(),
         }
     }
 
-    /// Sets the engines of the cells that this daemon subscribes to; all others are ignored.
+    /// Replaces the set of engines whose digests are kept; digests of other engines are dropped.
     pub fn subscribe(&mut self, engines: impl IntoIterator<Item = MachineId>) {
-        self.wanted = engines.into_iter().collect();
-        let wanted = &self.wanted;
-        self.entries.retain(|engine, _| wanted.contains(engine));
+        self.subscribed = engines.into_iter().collect();
+        let subscribed = &self.subscribed;
+        self.entries.retain(|engine, _| subscribed.contains(engine));
     }
 
-    /// Takes a digest, from an own poll (age 0) or from a peer. Returns whether it is news.
+    /// Stores a digest from an own poll (age 0) or a peer if it is newer. Returns whether it was
+    /// stored.
     pub fn take(&mut self, now: Timestamp, aged: AgedDigest) -> bool {
         let digest = aged.digest;
-        if !self.wanted.contains(&digest.engine) {
+        if !self.subscribed.contains(&digest.engine) {
             return false;
         }
         let known = self.entries.get(&digest.engine).map(|entry| &entry.digest);
-        if known.is_some_and(|known| known.order() >= digest.order()) {
+        if known.is_some_and(|known| known.version() >= digest.version()) {
             return false;
         }
         let age = u64::from(aged.age_ms) * 1_000;
@@ -107,20 +108,21 @@
         true
     }
 
-    /// What is known of an engine.
+    /// Known load of an engine.
     #[must_use]
     pub fn get(&self, now: Timestamp, engine: MachineId) -> Option<KnownLoad> {
         self.entries.get(&engine).map(|entry| entry.known(now))
     }
 
-    /// What is known of all engines, ordered by machine.
+    /// Known loads of all engines, ordered by machine id.
     pub fn iter(&self, now: Timestamp) -> impl Iterator<Item = KnownLoad> {
         self.entries.values().map(move |entry| entry.known(now))
     }
 
-    /// Digests for one message: the freshest first, each a bounded number of times.
+    /// Digests for one message, most recent first. Each digest is returned a bounded number of
+    /// times.
     pub fn take_for_gossip(&mut self, now: Timestamp) -> Vec<AgedDigest> {
-        let limit = self.settings.pass_on_until;
+        let limit = self.settings.max_gossip_age;
         let mut waiting: Vec<_> = self
             .entries
             .values_mut()
@@ -139,7 +141,7 @@
         waiting.into_iter().map(send).collect()
     }
 
-    /// Forgets what is too old to say anything.
+    /// Drops digests older than [`LoadTableSettings::forget_after`].
     pub fn forget_old(&mut self, now: Timestamp) {
         let limit = self.settings.forget_after;
         self.entries
@@ -158,8 +160,8 @@
 }
 
 impl LoadDigest {
-    /// By what the newer of two digests of an engine is told: the incarnation, then the sequence.
-    const fn order(&self) -> (u64, u32) {
+    /// Ordering of digests of one engine: by incarnation, then sequence.
+    const fn version(&self) -> (u64, u32) {
         (self.incarnation.0, self.sequence)
     }
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,7 +1,8 @@
-//! Whether and when a failed attempt is repeated.
+//! Retry decisions for failed attempts.
 //!
-//! A repeat needs three things: it must be allowed, it must be able to help in time, and the budget must
-//! have room, so that retries cannot multiply the load of a system in trouble.
+//! A retry must be safe to run, able to finish before the deadline, and within the retry budget, so
+//! that retries do not multiply the load of an overloaded system. It is safe if the service allows
+//! a request to run more than once, or if no earlier attempt may have run.
 
 mod attempt;
 mod budget;
--- a/crates/core/src/routing/outlier.rs
+++ b/crates/core/src/routing/outlier.rs
@@ -1,4 +1,4 @@
-//! Setting failing back ends aside, and probing them back.
+//! Outlier detection: ejects failing back ends and readmits them after a successful probe.
 
 use std::time::Duration;
 
@@ -9,48 +9,49 @@
 /// Settings of an [`OutlierDetector`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutlierSettings {
-    /// Failures in a row after which a back end is set aside.
+    /// Consecutive failures after which a back end is ejected.
     pub consecutive_failures: u32,
-    /// Time of the first setting aside; doubled at each further one.
-    pub first_time_aside: Duration,
-    /// Longest time aside.
-    pub longest_time_aside: Duration,
-    /// Most back ends of a group aside at once, in per cent; one is always allowed of two or more.
-    pub maximum_aside_percent: usize,
-    /// When a probe that never ended makes room for the next.
-    pub probe_forgotten_after: Duration,
+    /// Duration of the first ejection; doubled for each further one.
+    pub first_ejection: Duration,
+    /// Upper bound of the duration of an ejection.
+    pub max_ejection: Duration,
+    /// Maximum percentage of a group that is ejected at once. A group of two or more may always
+    /// have one ejected back end.
+    pub max_ejected_percent: usize,
+    /// Time after which an unfinished probe is given up and another is allowed.
+    pub probe_timeout: Duration,
 }
 
 impl Default for OutlierSettings {
     fn default() -> Self {
         Self {
             consecutive_failures: 3,
-            first_time_aside: Duration::from_secs(1),
-            longest_time_aside: Duration::from_secs(30),
-            maximum_aside_percent: 30,
-            probe_forgotten_after: Duration::from_secs(30),
+            first_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(30),
+            max_ejected_percent: 30,
+            probe_timeout: Duration::from_secs(30),
         }
     }
 }
 
-/// Whether a back end may get a request.
+/// Whether a back end may receive a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It may.
+    /// It may receive requests.
     InService,
-    /// It may get one request at a time, to see whether it works again.
+    /// It may receive one request at a time, to test whether it has recovered.
     Probe,
-    /// It may not before this time.
-    SetAside {
-        /// When a probe is due, or the running probe is given up.
+    /// It must not receive requests before this time.
+    Ejected {
+        /// When a probe is allowed, or when the running probe is given up.
         until: Timestamp,
     },
 }
 
-/// Back ends that can stand in for one another. The share set aside is bounded within each group.
+/// Group of interchangeable back ends. The share of ejected back ends is bounded within each group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OutlierGroup {
-    /// Engines with a model, or those without one.
+    /// Engines with the given model, or without a model.
     Engines(Option<ModelName>),
     /// Plain back ends of a pool.
     Pool(PoolName),
@@ -60,8 +61,8 @@
 struct Health {
     group: OutlierGroup,
     failures: u32,
-    times_aside: u32,
-    aside_until: Option<Timestamp>,
+    ejections: u32,
+    ejected_until: Option<Timestamp>,
     probe_since: Option<Timestamp>,
 }
 
@@ -70,14 +71,14 @@
         Self {
             group,
             failures: 0,
-            times_aside: 0,
-            aside_until: None,
+            ejections: 0,
+            ejected_until: None,
             probe_since: None,
         }
     }
 }
 
-/// Health of back ends, as this daemon sees it.
+/// Health of back ends as observed by this daemon.
 #[derive(Debug, Clone)]
 pub struct OutlierDetector {
     settings: OutlierSettings,
@@ -85,7 +86,7 @@
 }
 
 impl OutlierDetector {
-    /// A detector that knows no back end.
+    /// Creates a detector without back ends.
     #[must_use]
     pub fn new(settings: OutlierSettings) -> Self {
         Self {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Adds a back end, in service, or moves a known one to another group with its state.
+    /// Adds a back end in service, or moves a known one to another group and keeps its state.
     pub fn add(&mut self, back_end: MachineId, group: OutlierGroup) {
         match self.back_ends.get_mut(&back_end) {
             Some(health) => health.group = group,
@@ -104,99 +105,100 @@
         }
     }
 
-    /// Forgets a back end.
+    /// Removes a back end.
     pub fn remove(&mut self, back_end: MachineId) {
         self.back_ends.shift_remove(&back_end);
     }
 
-    /// Starts afresh: the back end has a new incarnation.
-    pub fn restarted(&mut self, back_end: MachineId) {
+    /// Resets the health of a back end that has a new incarnation.
+    pub fn reset(&mut self, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end) {
             *health = Health::new(health.group.clone());
         }
     }
 
-    /// Whether a back end may get a request now. Unknown ones may.
+    /// Whether a back end may receive a request now. Unknown back ends may.
     #[must_use]
     pub fn eligibility(&self, now: Timestamp, back_end: MachineId) -> Eligibility {
         let Some(health) = self.back_ends.get(&back_end) else {
             return Eligibility::InService;
         };
-        let Some(until) = health.aside_until else {
+        let Some(until) = health.ejected_until else {
             return Eligibility::InService;
         };
         if now < until {
-            return Eligibility::SetAside { until };
+            return Eligibility::Ejected { until };
         }
         match health.probe_since {
-            Some(since) if now.since(since) < self.settings.probe_forgotten_after => {
-                Eligibility::SetAside {
-                    until: since + self.settings.probe_forgotten_after,
-                }
-            }
+            Some(since) if now.since(since) < self.settings.probe_timeout => Eligibility::Ejected {
+                until: since + self.settings.probe_timeout,
+            },
             _ => Eligibility::Probe,
         }
     }
 
-    /// A request was sent. On a back end set aside it is the probe.
-    pub fn sent(&mut self, now: Timestamp, back_end: MachineId) {
+    /// Records a sent request. On an ejected back end it is the probe.
+    pub fn record_send(&mut self, now: Timestamp, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end)
-            && health.aside_until.is_some()
+            && health.ejected_until.is_some()
         {
             health.probe_since = Some(now);
         }
     }
 
-    /// A request ended well: the back end is in service.
-    pub fn succeeded(&mut self, back_end: MachineId) {
+    /// Records a success: resets the failure count, and ends the ejection if a probe was running.
+    pub fn record_success(&mut self, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end) {
             health.failures = 0;
             if health.probe_since.take().is_some() {
-                health.aside_until = None;
+                health.ejected_until = None;
             }
-            if health.aside_until.is_none() {
-                health.times_aside = 0;
+            if health.ejected_until.is_none() {
+                health.ejections = 0;
             }
         }
     }
 
-    /// A request ended without telling anything of the back end's health (cancelled, refused).
-    pub fn ended_neutral(&mut self, back_end: MachineId) {
+    /// Records a request that ended without information on the back end's health (cancelled or
+    /// refused).
+    pub fn record_neutral(&mut self, back_end: MachineId) {
         if let Some(health) = self.back_ends.get_mut(&back_end) {
             health.probe_since = None;
         }
     }
 
-    /// A request failed or timed out. Returns when the back end was set aside, until when.
-    pub fn failed(&mut self, now: Timestamp, back_end: MachineId) -> Option<Timestamp> {
-        let room = self.has_room(back_end);
+    /// Records a failure or timeout. If it ejects the back end, returns the end of the ejection.
+    pub fn record_failure(&mut self, now: Timestamp, back_end: MachineId) -> Option<Timestamp> {
+        let room = self.may_eject_another(back_end);
         let settings = self.settings;
         let health = self.back_ends.get_mut(&back_end)?;
         health.failures = health.failures.saturating_add(1);
-        let probe_failed = health.probe_since.take().is_some() && health.aside_until.is_some();
+        let probe_failed = health.probe_since.take().is_some() && health.ejected_until.is_some();
         let reached = health.failures >= settings.consecutive_failures;
-        let newly_aside = health.aside_until.is_none() && reached && room;
-        if !probe_failed && !newly_aside {
+        let newly_ejected = health.ejected_until.is_none() && reached && room;
+        if !probe_failed && !newly_ejected {
             return None;
         }
         let doubled = settings
-            .first_time_aside
-            .saturating_mul(1_u32 << health.times_aside.min(16));
-        let until = now + doubled.min(settings.longest_time_aside);
-        health.times_aside = health.times_aside.saturating_add(1);
-        health.aside_until = Some(until);
+            .first_ejection
+            .saturating_mul(1_u32 << health.ejections.min(16));
+        let until = now + doubled.min(settings.max_ejection);
+        health.ejections = health.ejections.saturating_add(1);
+        health.ejected_until = Some(until);
         Some(until)
     }
 
-    /// Number of back ends set aside (with those that wait for a probe).
+    /// Number of ejected back ends, including those waiting for a probe.
     #[must_use]
-    pub fn aside_count(&self) -> usize {
-        let aside = self.back_ends.values();
-        aside.filter(|health| health.aside_until.is_some()).count()
+    pub fn ejected_count(&self) -> usize {
+        let ejected = self.back_ends.values();
+        ejected
+            .filter(|health| health.ejected_until.is_some())
+            .count()
     }
 
-    /// Whether one more back end of the same group may be set aside.
-    fn has_room(&self, back_end: MachineId) -> bool {
+    /// Whether another back end of the same group may be ejected.
+    fn may_eject_another(&self, back_end: MachineId) -> bool {
         let Some(own) = self.back_ends.get(&back_end) else {
             return false;
         };
@@ -205,9 +207,11 @@
             .values()
             .filter(|health| health.group == own.group);
         let known = group.clone().count();
-        let aside = group.filter(|health| health.aside_until.is_some()).count();
-        let share = known * self.settings.maximum_aside_percent / 100;
+        let ejected = group
+            .filter(|health| health.ejected_until.is_some())
+            .count();
+        let share = known * self.settings.max_ejected_percent / 100;
         let allowed = if known >= 2 { share.max(1) } else { 0 };
-        aside < allowed
+        ejected < allowed
     }
 }
--- a/crates/core/src/routing/router/eligible.rs
+++ b/crates/core/src/routing/router/eligible.rs
@@ -1,4 +1,4 @@
-//! Which back ends may be chosen for a request, and why the others may not.
+//! Filters the back ends that may be chosen for a request and records why others may not.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 use crate::routing::view::{BackEndKind, BackEndState};
 use crate::{EngineRole, MachineId, Timestamp};
 
-/// Half-lives after which the role in a digest no longer speaks against the view's.
+/// Digest age, in half-lives, after which a contradicting role in the digest is ignored.
 const ROLE_CHECK_HALF_LIVES: u32 = 4;
 
-/// The back ends of one target that may be chosen, and why others may not.
+/// Candidates for a target, with counts of the back ends that were excluded.
 #[derive(Debug, Default)]
 pub(super) struct Eligible<'a> {
     pub candidates: Vec<Candidate<'a>>,
     serving: usize,
     draining: usize,
     excluded: usize,
-    first_probe: Option<Timestamp>,
+    earliest_probe: Option<Timestamp>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -29,7 +29,7 @@
     pub probe: bool,
 }
 
-/// Sorts the back ends that serve a target into those that may be chosen and the others.
+/// Collects the back ends that match the target of a request and may be chosen.
 pub(super) fn collect<'a>(
     settings: &RouterSettings,
     back_ends: &'a IndexMap<MachineId, BackEndState>,
@@ -43,7 +43,7 @@
             continue;
         }
         eligible.serving += 1;
-        if state.view.draining || changes_role(settings, now, state) {
+        if state.view.draining || has_no_current_role(settings, now, state) {
             eligible.draining += 1;
             continue;
         }
@@ -55,23 +55,23 @@
             Eligibility::InService => false,
             Eligibility::Probe if request.may_probe => true,
             Eligibility::Probe => {
-                eligible.note_probe(now);
+                eligible.record_probe_time(now);
                 continue;
             }
-            Eligibility::SetAside { until } => {
-                eligible.note_probe(until);
+            Eligibility::Ejected { until } => {
+                eligible.record_probe_time(until);
                 continue;
             }
         };
         eligible.candidates.push(Candidate { state, probe });
     }
-    eligible.leave_zone(request);
+    eligible.drop_avoided_zone(request);
     eligible
 }
 
 fn serves(state: &BackEndState, target: &RouteTarget) -> bool {
     match (target, &state.view.kind) {
-        (RouteTarget::Plain { pool }, BackEndKind::Plain { pool: held }) => pool == held,
+        (RouteTarget::Plain { pool }, BackEndKind::Plain { pool: own_pool }) => pool == own_pool,
         (
             RouteTarget::Completion {
                 model,
@@ -93,8 +93,8 @@
     }
 }
 
-/// Whether an engine has no role now, by its view or by a fresh digest that contradicts the view.
-fn changes_role(settings: &RouterSettings, now: Timestamp, state: &BackEndState) -> bool {
+/// Whether an engine has no role in its view, or a recent digest contradicts that role.
+fn has_no_current_role(settings: &RouterSettings, now: Timestamp, state: &BackEndState) -> bool {
     let Some(engine) = state.engine() else {
         return false;
     };
@@ -102,8 +102,8 @@
         return true;
     };
     let fresh_for = settings.digest_half_life * ROLE_CHECK_HALF_LIVES;
-    state.digest.is_some_and(|held| {
-        now.since(held.received_at) < fresh_for && !reports_role(held.digest.role, role)
+    state.digest.is_some_and(|received| {
+        now.since(received.received_at) < fresh_for && !reports_role(received.digest.role, role)
     })
 }
 
@@ -112,13 +112,13 @@
 }
 
 impl Eligible<'_> {
-    fn note_probe(&mut self, at: Timestamp) {
-        let earlier = self.first_probe.map_or(at, |first| first.min(at));
-        self.first_probe = Some(earlier);
+    fn record_probe_time(&mut self, at: Timestamp) {
+        let earlier = self.earliest_probe.map_or(at, |first| first.min(at));
+        self.earliest_probe = Some(earlier);
     }
 
-    /// Leaves out the avoided zone unless nothing else is left.
-    fn leave_zone(&mut self, request: &RouteRequest) {
+    /// Drops candidates in the avoided zone unless there are no others.
+    fn drop_avoided_zone(&mut self, request: &RouteRequest) {
         let Some(avoided) = &request.avoided_zone else {
             return;
         };
@@ -128,12 +128,12 @@
         }
     }
 
-    /// Why nothing may be chosen.
+    /// Reason why there are no candidates.
     pub fn refusal(&self, now: Timestamp) -> RoutingRefusal {
         if self.serving == 0 {
             return RoutingRefusal::NoneServes;
         }
-        if let Some(at) = self.first_probe {
+        if let Some(at) = self.earliest_probe {
             let retry_after = at.since(now).max(Duration::from_millis(1));
             return RoutingRefusal::AllSetAside { retry_after };
         }
--- a/crates/core/src/routing/score.rs
+++ b/crates/core/src/routing/score.rs
@@ -1,16 +1,16 @@
-//! Expected times of a candidate. All times are in seconds here.
+//! Cost estimates of candidates. All times in this module are in seconds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::placement::{CandidateEstimate, RouteRequest};
 use super::prefix_index::PrefixIndex;
-use super::rates::TypicalRates;
+use super::rates::ClassRates;
 use super::settings::RouterSettings;
 use super::view::{BackEndState, to_float};
 use crate::{CellName, EngineRole, MachineId, Timestamp};
 
-/// Mean load of the engines of one cell and role, from their last digests.
+/// Sum of the reported loads of the engines of one cell and role.
 #[derive(Debug, Clone, Copy, Default)]
 struct LoadSum {
     prompt_tokens: f64,
@@ -26,12 +26,12 @@
     }
 }
 
-/// Mean loads by cell and role: what a digest decays towards as it ages.
+/// Mean loads by cell and role, which the load in an aging digest decays towards.
 #[derive(Debug, Default)]
 pub(super) struct CellMeans<'a> {
     sums: BTreeMap<(&'a CellName, Option<EngineRole>), LoadSum>,
-    /// Over all cells: stands in for a cell of which no digest comes here, which would else look idle.
-    of_role: BTreeMap<Option<EngineRole>, LoadSum>,
+    /// Over all cells; used for cells without digests, which would otherwise look idle.
+    by_role: BTreeMap<Option<EngineRole>, LoadSum>,
 }
 
 impl<'a> CellMeans<'a> {
@@ -44,35 +44,35 @@
         else {
             return;
         };
-        let of_cell = self.sums.entry((&engine.cell, engine.role)).or_default();
-        of_cell.add(prompt_tokens, running);
-        let of_role = self.of_role.entry(engine.role).or_default();
-        of_role.add(prompt_tokens, running);
+        let by_cell = self.sums.entry((&engine.cell, engine.role)).or_default();
+        by_cell.add(prompt_tokens, running);
+        let by_role = self.by_role.entry(engine.role).or_default();
+        by_role.add(prompt_tokens, running);
     }
 
-    fn of(&self, state: &BackEndState) -> (f64, f64) {
+    fn mean_load(&self, state: &BackEndState) -> (f64, f64) {
         let Some(engine) = state.engine() else {
             return (0.0, 0.0);
         };
-        let of_cell = self.sums.get(&(&engine.cell, engine.role));
-        let sum = of_cell.or_else(|| self.of_role.get(&engine.role));
+        let by_cell = self.sums.get(&(&engine.cell, engine.role));
+        let sum = by_cell.or_else(|| self.by_role.get(&engine.role));
         sum.map_or((0.0, 0.0), |sum| {
             (sum.prompt_tokens / sum.engines, sum.running / sum.engines)
         })
     }
 }
 
-/// Everything that an estimate is made from, besides the candidate.
+/// Inputs of an estimate other than the candidate.
 pub(super) struct Scorer<'a> {
     pub settings: &'a RouterSettings,
     pub now: Timestamp,
     pub request: &'a RouteRequest,
     pub means: CellMeans<'a>,
     pub index: &'a PrefixIndex,
-    pub typical: &'a TypicalRates,
+    pub class_rates: &'a ClassRates,
 }
 
-/// Expected load of an engine when a request would arrive there.
+/// Expected load of an engine when the request arrives.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ExpectedLoad {
     pub prompt_tokens: f64,
@@ -87,9 +87,9 @@
     pub token_interval: f64,
     pub cached_tokens: f64,
     pub digest_age: Option<Duration>,
-    /// Delay brought to sequences that the same engine decodes.
+    /// Penalty for delaying sequences that the same engine decodes.
     pub interference: f64,
-    /// Penalty of a full KV cache.
+    /// Penalty for a nearly full KV cache.
     pub pressure: f64,
     pub output_tokens: f64,
     pub probe: bool,
@@ -104,7 +104,7 @@
         self.total() + self.interference + self.pressure
     }
 
-    pub fn published(&self) -> CandidateEstimate {
+    pub fn candidate_estimate(&self) -> CandidateEstimate {
         CandidateEstimate {
             back_end: self.back_end,
             first_token: seconds(self.first_token),
@@ -118,9 +118,10 @@
 }
 
 impl Scorer<'_> {
-    /// Load of an engine: its digest decayed towards the cell's mean, own unseen sends on top.
+    /// Load of an engine: its digest decayed towards the mean of its cell, plus own sends that the
+    /// digest does not include yet.
     pub fn expected_load(&self, state: &BackEndState, priority: u8) -> ExpectedLoad {
-        let (mean_tokens, mean_running) = self.means.of(state);
+        let (mean_tokens, mean_running) = self.means.mean_load(state);
         let weight = self.digest_weight(state);
         let tokens = state.reported_prompt_tokens().unwrap_or(mean_tokens);
         let running = state.reported_running().unwrap_or(mean_running);
@@ -134,13 +135,13 @@
         }
     }
 
-    /// Estimate of an engine. `reads_prompt` and `generates` tell which part it would do.
+    /// Estimate of an engine that would prefill (`reads_prompt`), decode (`generates`) or both.
     pub fn engine(&self, state: &BackEndState, reads_prompt: bool, generates: bool) -> Estimate {
         let load = self.expected_load(state, self.request.priority);
-        let rates = self.typical.blended(state);
+        let rates = self.class_rates.blended(state);
         let prefill_rate = rates.prefill.value();
         let prompt = f64::from(self.request.prompt_tokens);
-        let cached = self.weighed_cached_tokens(state.view.id);
+        let cached = self.trusted_cached_tokens(state.view.id);
         let own_tokens = if reads_prompt { prompt - cached } else { 0.0 };
         let tokens_before_first = own_tokens
             + if reads_prompt {
@@ -161,7 +162,9 @@
             first_token: self.distance(state) * 2.0 + tokens_before_first / prefill_rate,
             token_interval: interval,
             cached_tokens: if reads_prompt { cached } else { 0.0 },
-            digest_age: state.digest.map(|held| self.now.since(held.received_at)),
+            digest_age: state
+                .digest
+                .map(|received| self.now.since(received.received_at)),
             interference: self.settings.interference_weight * stalled * own_tokens / prefill_rate,
             pressure: self.cache_pressure(state),
             output_tokens: if generates { output } else { 0.0 },
@@ -169,10 +172,11 @@
         }
     }
 
-    /// Estimate of a plain back end: own requests in flight times its response time.
+    /// Estimate of a plain back end: its response time multiplied by the number of own requests in
+    /// flight.
     pub fn plain(&self, state: &BackEndState) -> Estimate {
         let in_flight = to_float(state.sends.len() as u64) + 1.0;
-        let response = self.typical.blended(state).response.value();
+        let response = self.class_rates.blended(state).response.value();
         Estimate {
             back_end: state.view.id,
             first_token: self.distance(state) * 2.0 + in_flight * response,
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Time of a hand-over of the prompt's KV cache.
+    /// Time to transfer the prompt's KV cache between two engines.
     pub fn transfer(&self, prefill: &BackEndState, decode: &BackEndState) -> f64 {
         let tokens = f64::from(self.request.prompt_tokens);
         let distance = if prefill.view.zone == decode.view.zone {
@@ -200,8 +204,8 @@
         self.settings.transfer_fixed.as_secs_f64() + 2.0 * distance + tokens * per_token
     }
 
-    /// Tokens believed to be cached, weighed by the trust; at least one token is always read.
-    pub fn weighed_cached_tokens(&self, engine: MachineId) -> f64 {
+    /// Estimated cached tokens, weighted by the trust. At least one prompt token is never cached.
+    pub fn trusted_cached_tokens(&self, engine: MachineId) -> f64 {
         let matched = self
             .index
             .matched_tokens(engine, &self.request.prefix_blocks);
@@ -210,10 +214,10 @@
     }
 
     fn digest_weight(&self, state: &BackEndState) -> f64 {
-        let Some(held) = state.digest else {
+        let Some(received) = state.digest else {
             return 0.0;
         };
-        let age = self.now.since(held.received_at).as_secs_f64();
+        let age = self.now.since(received.received_at).as_secs_f64();
         let half_life = self.settings.digest_half_life.as_secs_f64();
         (-age / half_life).exp2()
     }
@@ -230,21 +234,21 @@
 
     fn cache_pressure(&self, state: &BackEndState) -> f64 {
         let threshold = f64::from(self.settings.cache_pressure_permille);
-        let Some(held) = state.digest else {
+        let Some(received) = state.digest else {
             return 0.0;
         };
-        let over = f64::from(held.digest.cache_used_permille) - threshold;
+        let over = f64::from(received.digest.cache_used_permille) - threshold;
         let span = (1_000.0 - threshold).max(1.0);
         (over / span).clamp(0.0, 1.0) * self.settings.cache_pressure_penalty.as_secs_f64()
     }
 }
 
-/// How much longer the time between tokens is than that of an empty engine.
+/// Ratio of the time between tokens to that of an idle engine.
 pub(super) fn batch_factor(settings: &RouterSettings, running: f64) -> f64 {
     1.0 + running / settings.batch_of_double_interval
 }
 
-/// A duration out of seconds; anything that is no time becomes zero.
+/// Converts seconds to a duration; negative, non-finite or too large values become zero.
 pub(super) fn seconds(value: f64) -> Duration {
     Duration::try_from_secs_f64(value).unwrap_or(Duration::ZERO)
 }
--- a/crates/core/src/service_time.rs
+++ b/crates/core/src/service_time.rs
@@ -1,4 +1,4 @@
-//! Learned time that requests of a service take, for admission.
+//! Learned service times per service, used by admission control.
 
 use std::time::Duration;
 
@@ -8,28 +8,29 @@
 
 /// Weight of the newest sample in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Prompt tokens that an engine reads in about the time in which it generates one token of a sequence.
+/// Prompt tokens prefilled in roughly the time needed to generate one token of a sequence.
 const PROMPT_TOKENS_PER_UNIT: f64 = 256.0;
 
-/// How much work a request is, in generated tokens: reading a prompt is far quicker for each token.
+/// Work of a request, in units of one generated token. Prompt tokens count for a fraction of a
+/// unit.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct WorkUnits(f64);
 
 impl WorkUnits {
-    /// A request whose size is not known.
+    /// Work of a request of unknown size.
     pub const ONE: Self = Self(1.0);
 
     /// The work of a completion.
     #[must_use]
     pub fn of_completion(prompt_tokens: u32, output_tokens: u32) -> Self {
-        let reading = f64::from(prompt_tokens) / PROMPT_TOKENS_PER_UNIT;
-        Self((reading + f64::from(output_tokens)).max(1.0))
+        let prefill_units = f64::from(prompt_tokens) / PROMPT_TOKENS_PER_UNIT;
+        Self((prefill_units + f64::from(output_tokens)).max(1.0))
     }
 }
 
-/// Age at which an average says nothing any more. A service whose requests are all refused for their expected
-/// time would never be measured again otherwise: after a freeze or a cut a daemon refused everything for good.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(5);
+/// Age at which an average is ignored. Without this limit, an estimate so large that all requests
+/// of the service are refused would never be corrected by a new sample.
+const MAX_SAMPLE_AGE: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
 struct Average {
@@ -37,23 +38,23 @@
     observed_at: Timestamp,
 }
 
-/// Moving averages of the time for each unit of work, by service.
+/// Moving averages of the time per unit of work, by service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceTimes {
     averages: IndexMap<ServiceName, Average>,
 }
 
 impl ServiceTimes {
-    /// Time a request is expected to take; zero without a recent sample.
+    /// Expected service time of a request; zero without a recent sample.
     #[must_use]
     pub fn expected(&self, now: Timestamp, service: &ServiceName, work: WorkUnits) -> Duration {
-        let is_recent = |average: &&Average| now.since(average.observed_at) <= FORGOTTEN_AFTER;
+        let is_recent = |average: &&Average| now.since(average.observed_at) <= MAX_SAMPLE_AGE;
         let average = self.averages.get(service).filter(is_recent);
         let seconds = average.map_or(0.0, |average| average.seconds_per_unit);
         Duration::from_secs_f64(seconds * work.0)
     }
 
-    /// Learns from a request that ended well.
+    /// Adds a sample from a successful request.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -67,14 +68,14 @@
             observed_at: now,
         };
         let average = self.averages.entry(service.clone()).or_insert(first);
-        if now.since(average.observed_at) > FORGOTTEN_AFTER {
+        if now.since(average.observed_at) > MAX_SAMPLE_AGE {
             *average = first;
         }
         average.seconds_per_unit += SAMPLE_WEIGHT * (sample - average.seconds_per_unit);
         average.observed_at = now;
     }
 
-    /// Forgets services for which `keep` is false.
+    /// Removes services for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&ServiceName) -> bool) {
         self.averages.retain(|service, _| keep(service));
     }
--- a/crates/core/tests/request_answers.rs
+++ b/crates/core/tests/request_answers.rs
@@ -1,4 +1,5 @@
-//! Whole answers: numbering, echoes, resumes, and never a silent end.
+//! Guards answer assembly: numbering, request id echoes, resumes and an explicit end of every
+//! answer.
 
 use std::time::Duration;
 
@@ -39,7 +40,7 @@
 
 fn streaming() -> AnswerAssembler {
     let mut assembler = assembler(AnswerKind::Stream);
-    let actions = assembler.handle(START, FIRST, head(OWN, BodyFraming::Marked));
+    let actions = assembler.handle(START, FIRST, head(OWN, BodyFraming::Delimited));
     assert!(actions.is_empty());
     assembler
 }
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn a_whole_stream_is_passed_on_once_and_completed() {
+fn a_complete_stream_is_forwarded_once_and_completed() {
     let mut stream = streaming();
     assert_eq!(
         stream.handle(START, FIRST, part(1)),
@@ -88,7 +89,7 @@
     assert_eq!(resume(&actions), Some((second, Some(1))));
     assert_eq!(stream.handle(START, FIRST, part(2)), []);
     assert_eq!(
-        stream.handle(START, second, head(OWN, BodyFraming::Marked)),
+        stream.handle(START, second, head(OWN, BodyFraming::Delimited)),
         []
     );
     assert_eq!(
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_gap_and_a_missing_number_are_resumed_from_the_last_part() {
+fn a_gap_or_a_missing_id_resumes_after_the_last_part() {
     let mut stream = streaming();
     stream.handle(START, FIRST, part(1));
     let actions = stream.handle(START, FIRST, part(3));
@@ -114,15 +115,15 @@
     assert_eq!(resume(&actions), Some((ConnectionNumber(1), None)));
     let early_end: Event = AnswerEvent::EndMark { id: Some(5) };
     let second = ConnectionNumber(1);
-    stream.handle(START, second, head(OWN, BodyFraming::Marked));
+    stream.handle(START, second, head(OWN, BodyFraming::Delimited));
     let actions = stream.handle(START, second, early_end);
     assert!(resume(&actions).is_some());
 }
 
 #[test]
-fn crossed_answers_are_never_passed_on() {
+fn answers_to_other_requests_are_never_forwarded() {
     let mut stream = assembler(AnswerKind::Stream);
-    let actions = stream.handle(START, FIRST, head(OTHER, BodyFraming::Marked));
+    let actions = stream.handle(START, FIRST, head(OTHER, BodyFraming::Delimited));
     assert_eq!(resume(&actions), Some((ConnectionNumber(1), None)));
 
     let mut stream = streaming();
@@ -140,23 +141,23 @@
     assert_eq!(fault(&actions), Some(AnswerFault::Crossed));
 
     let mut body = assembler(AnswerKind::Whole);
-    let silent: Event = AnswerEvent::Head {
+    let without_echo: Event = AnswerEvent::Head {
         echoed: None,
         framing: BodyFraming::Length(3),
     };
-    let actions = body.handle(START, FIRST, silent);
+    let actions = body.handle(START, FIRST, without_echo);
     assert_eq!(fault(&actions), Some(AnswerFault::EchoMissing));
 }
 
 #[test]
-fn whole_bodies_are_checked_against_their_length() {
+fn bodies_are_checked_against_their_content_length() {
     let bytes = |length| -> Event { AnswerEvent::Bytes { length, payload: 0 } };
-    let begun = |framing| {
+    let receiving_body = |framing| {
         let mut body = assembler(AnswerKind::Whole);
         assert!(body.handle(START, FIRST, head(OWN, framing)).is_empty());
         body
     };
-    let mut body = begun(BodyFraming::Length(10));
+    let mut body = receiving_body(BodyFraming::Length(10));
     body.handle(START, FIRST, bytes(4));
     let actions = body.handle(START, FIRST, Event::Closed);
     let short = AnswerFault::TooShort {
@@ -165,21 +166,21 @@
     };
     assert_eq!(fault(&actions), Some(short));
 
-    let mut body = begun(BodyFraming::Length(10));
+    let mut body = receiving_body(BodyFraming::Length(10));
     let actions = body.handle(START, FIRST, bytes(11));
     assert_eq!(
         fault(&actions),
         Some(AnswerFault::TooLong { announced: 10 })
     );
 
-    let mut body = begun(BodyFraming::Length(10));
+    let mut body = receiving_body(BodyFraming::Length(10));
     body.handle(START, FIRST, bytes(10));
     assert_eq!(
         body.handle(START, FIRST, Event::Closed),
         [AnswerAction::Complete]
     );
 
-    let mut body = begun(BodyFraming::Marked);
+    let mut body = receiving_body(BodyFraming::Delimited);
     body.handle(START, FIRST, bytes(4));
     let actions = body.handle(START, FIRST, Event::Broken);
     assert_eq!(fault(&actions), Some(AnswerFault::Cut));
@@ -203,7 +204,10 @@
         connection = next;
         resumes += 1;
     }
-    assert_eq!(resumes, AnswerSettings::default().fruitless_resumes);
+    assert_eq!(
+        resumes,
+        AnswerSettings::default().max_resumes_without_progress
+    );
 
     let mut stream = streaming();
     stream.handle(START, FIRST, part(1));
@@ -222,7 +226,7 @@
 }
 
 #[test]
-fn a_request_may_wait_in_a_queue_but_not_past_the_time_set_for_its_first_part() {
+fn a_silent_back_end_is_tolerated_until_the_limit_for_the_first_part() {
     let deadline = START + Duration::from_secs(60);
     assert_eq!(assembler(AnswerKind::Whole).next_tick(), Some(deadline));
     let by = START + Duration::from_secs(3);
@@ -235,7 +239,7 @@
     assert_eq!(fault(&actions), Some(AnswerFault::Idle));
 }
 
-/// What the network does next in the property below.
+/// Next event from the network in the property test below.
 fn next_event(choice: u8, sent: &mut u64, total: u64) -> Event {
     let fresh = *sent + 1;
     match choice % 16 {
@@ -251,7 +255,7 @@
             *sent += 1;
             part(fresh + 1)
         }
-        5 => head(OTHER, BodyFraming::Marked),
+        5 => head(OTHER, BodyFraming::Delimited),
         _ if fresh > total => AnswerEvent::EndMark {
             id: Some(total + 1),
         },
@@ -263,7 +267,7 @@
 }
 
 #[test]
-fn under_any_schedule_the_parts_are_a_prefix_and_the_end_is_explicit() {
+fn under_any_schedule_the_forwarded_parts_are_a_prefix_and_the_end_is_explicit() {
     const TOTAL: u64 = 6;
     check!().with_type::<Vec<u8>>().for_each(|schedule| {
         let mut stream = streaming();
@@ -276,7 +280,7 @@
             if let Some((next, after)) = resume(&taken) {
                 connection = next;
                 sent = after.unwrap_or(0);
-                stream.handle(START, connection, head(OWN, BodyFraming::Marked));
+                stream.handle(START, connection, head(OWN, BodyFraming::Delimited));
             }
             actions.extend(taken);
         }
@@ -292,7 +296,11 @@
         let expected: Vec<u64> = (1..=forwarded.len() as u64).collect();
         assert_eq!(forwarded, expected);
         let completed = actions.contains(&AnswerAction::Complete);
-        assert_ne!(completed, fault(&actions).is_some(), "exactly one end");
+        assert_ne!(
+            completed,
+            fault(&actions).is_some(),
+            "an answer either completes or fails"
+        );
         assert!(!completed || forwarded.len() as u64 == TOTAL);
     });
 }
--- a/crates/core/tests/request_outliers_and_prefixes.rs
+++ b/crates/core/tests/request_outliers_and_prefixes.rs
@@ -1,4 +1,4 @@
-//! Setting back ends aside, and the approximate index of prefix caches.
+//! Guards outlier detection and the approximate prefix cache index.
 
 use std::time::Duration;
 
@@ -16,21 +16,25 @@
 }
 
 #[test]
-fn the_share_aside_is_bounded_within_each_pool() {
+fn the_ejected_share_is_bounded_within_each_pool() {
     let mut detector = OutlierDetector::new(OutlierSettings::default());
     (0..20).for_each(|id| detector.add(MachineId(id), engines()));
     let pool = OutlierGroup::Pool("records".parse().unwrap());
     (20..24).for_each(|id| detector.add(MachineId(id), pool.clone()));
     for id in 20..24 {
         for _ in 0..3 {
-            detector.failed(NOW, MachineId(id));
+            detector.record_failure(NOW, MachineId(id));
         }
     }
-    assert_eq!(detector.aside_count(), 1, "30% of the pool's four");
+    assert_eq!(
+        detector.ejected_count(),
+        1,
+        "30% of the four back ends of the pool, rounded down"
+    );
 }
 
 #[test]
-fn time_aside_grows_and_the_share_aside_is_bounded() {
+fn ejection_times_grow_and_the_ejected_share_is_bounded() {
     let settings = OutlierSettings::default();
     let mut detector = OutlierDetector::new(settings);
     for id in 0..10 {
@@ -42,13 +46,13 @@
         let tries = if round == 0 { 3 } else { 1 };
         let mut until = None;
         for _ in 0..tries {
-            detector.sent(now, MachineId(0));
-            until = detector.failed(now, MachineId(0));
+            detector.record_send(now, MachineId(0));
+            until = detector.record_failure(now, MachineId(0));
         }
-        let aside_for = until.expect("set aside").since(now);
-        assert!(aside_for > last);
-        last = aside_for;
-        now = now + aside_for;
+        let ejected_for = until.expect("ejected").since(now);
+        assert!(ejected_for > last);
+        last = ejected_for;
+        now = now + ejected_for;
         assert_eq!(detector.eligibility(now, MachineId(0)), Eligibility::Probe);
     }
     check!().with_type::<Vec<(u8, u8, u8)>>().for_each(|steps| {
@@ -59,17 +63,17 @@
             let id = MachineId(u32::from(back_end % 10));
             now = now + Duration::from_millis(u64::from(pause) * 20);
             match action % 4 {
-                0 => detector.sent(now, id),
-                1 => detector.succeeded(id),
-                2 => detector.ended_neutral(id),
-                _ => drop(detector.failed(now, id)),
+                0 => detector.record_send(now, id),
+                1 => detector.record_success(id),
+                2 => detector.record_neutral(id),
+                _ => drop(detector.record_failure(now, id)),
             }
-            assert!(detector.aside_count() <= 3);
+            assert!(detector.ejected_count() <= 3);
             if detector.eligibility(now, id) == Eligibility::Probe {
-                detector.sent(now, id);
+                detector.record_send(now, id);
                 assert!(matches!(
                     detector.eligibility(now, id),
-                    Eligibility::SetAside { .. }
+                    Eligibility::Ejected { .. }
                 ));
             }
         }
@@ -81,19 +85,19 @@
     let mut index = PrefixIndex::new(PrefixIndexSettings::default());
     let stored = PrefixChange::Stored(vec![1, 2, 3]);
     let id = MachineId(1);
-    index.event(id, Incarnation(1), 1, &stored);
+    index.apply(id, Incarnation(1), 1, &stored);
     let whole = index.trust(id);
     assert_eq!(index.matched_tokens(id, &[1, 2, 9, 3]), 32);
-    index.event(id, Incarnation(1), 5, &stored);
+    index.apply(id, Incarnation(1), 5, &stored);
     let after_gap = index.trust(id);
     assert!(after_gap < whole);
-    index.event(id, Incarnation(2), 1, &PrefixChange::Stored(vec![7]));
+    index.apply(id, Incarnation(2), 1, &PrefixChange::Stored(vec![7]));
     assert_eq!(index.matched_tokens(id, &[1, 2, 3]), 0);
-    index.event(id, Incarnation(1), 6, &stored);
+    index.apply(id, Incarnation(1), 6, &stored);
     assert_eq!(
         index.matched_tokens(id, &[1, 2, 3]),
         0,
-        "a late event of an old life"
+        "a late event of an older incarnation is ignored"
     );
     index.observed_hit(id, 100, 0);
     assert!(index.trust(id) < after_gap);
@@ -102,7 +106,7 @@
 #[test]
 fn the_index_stays_bounded_under_any_events() {
     let settings = PrefixIndexSettings {
-        maximum_blocks: 400,
+        max_blocks: 400,
         ..PrefixIndexSettings::default()
     };
     check!()
@@ -118,7 +122,7 @@
                     1 => PrefixChange::Removed(blocks.clone()),
                     _ => PrefixChange::Stored(blocks.clone()),
                 };
-                index.event(id, incarnation, u64::from(*sequence), &change);
+                index.apply(id, incarnation, u64::from(*sequence), &change);
                 index.observed_prompt(id, incarnation, &blocks);
                 let trust = index.trust(id);
                 assert!((0.0..=1.0).contains(&trust));
--- a/crates/emulator/src/experiment/simulation/gateway.rs
+++ b/crates/emulator/src/experiment/simulation/gateway.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use ponddrift_core::admission::{
     Admission, AdmissionAction, AdmissionEvent, AdmissionRequest, AdmissionSettings,
-    WAIT_TARGET_OF_DAEMONS,
+    DAEMON_WAIT_TARGET,
 };
 use ponddrift_core::retry::{
     AttemptFailure, AttemptOutcome, RequestFacts, RetryDecision, RetryPolicy, RetrySettings,
@@ -48,7 +48,7 @@
     fn wait_target(self) -> Duration {
         match self {
             Self::Adjusted => NO_WAIT_TARGET,
-            Self::Shipped => WAIT_TARGET_OF_DAEMONS,
+            Self::Shipped => DAEMON_WAIT_TARGET,
         }
     }
 
@@ -79,7 +79,7 @@
         };
         let admission_settings = AdmissionSettings {
             queue_length: QUEUE_LENGTH,
-            largest_multiple_of_capacity: 1.0,
+            max_capacity_multiple: 1.0,
             wait_target: inputs.wait_target(),
             ..AdmissionSettings::default()
         };
