--- a/crates/core/examples/costs.rs
+++ b/crates/core/examples/costs.rs
@@ -307,7 +307,7 @@
         black_box(first.clone());
     });
     let mut state = ConfigurationState::default();
-    state.take_snapshot(first);
+    state.apply_snapshot(first);
     let apply = cost("configuration: apply one change", 2_000, |number| {
         let revision = state.revision();
         let change = ConfigurationChange {
@@ -316,8 +316,8 @@
             expected: None,
             steps: vec![ChangeStep::Update(tenant(number % TENANTS, number))],
         };
-        let head = ponddrift_core::configuration::StoredHead {
-            head: ponddrift_core::configuration::Head {
+        let latest = ponddrift_core::configuration::StoredLatestChange {
+            latest: ponddrift_core::configuration::LatestChange {
                 change: ChangeId(0),
                 author: String::new(),
                 previous: Revision(0),
@@ -325,10 +325,10 @@
             },
             revision,
         };
-        let writes = key_writes(&change, Some(&head));
+        let writes = key_writes(&change, Some(&latest));
         let next = Revision(revision.0 + 1);
         let delta = delta_from_writes(next, &writes).expect("own writes");
-        black_box(state.take_delta(delta));
+        black_box(state.apply_delta(delta));
     });
     vec![decode, copy, apply]
 }
--- a/crates/core/src/authority.rs
+++ b/crates/core/src/authority.rs
@@ -5,15 +5,15 @@
 //! the reasons.
 
 mod answers;
+mod election;
 mod event;
-mod holder;
 mod settings;
 
+pub use election::{AuthorityState, ControllerElection};
 pub use event::{
     AuthorityAction, AuthorityEvent, CallFailure, CallNumber, KeyHolder, LeaseNumber, StoreAnswer,
     StoreCall,
 };
-pub use holder::{AuthorityState, LeaseHolder};
 pub use settings::AuthoritySettings;
 
 use crate::CellName;
--- a/crates/core/src/authority/answers.rs
+++ b/crates/core/src/authority/answers.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
+use super::election::{AuthorityState, ControllerElection};
 use super::event::{AuthorityAction, CallFailure, KeyHolder, LeaseNumber, StoreCall};
-use super::holder::{AuthorityState, LeaseHolder};
 use crate::Timestamp;
 
-impl LeaseHolder {
+impl ControllerElection {
     pub(super) fn was_read(
         &mut self,
         now: Timestamp,
@@ -99,7 +99,7 @@
             Some(lease) => AuthorityState::SteppingDown { lease },
             None => AuthorityState::Follower,
         };
-        let period = self.settings.look_period;
+        let period = self.settings.key_read_period;
         let is_unused = unused_lease.is_some();
         let wait = if is_unused {
             Duration::ZERO
@@ -180,7 +180,7 @@
             return;
         }
         self.state = AuthorityState::Follower;
-        let period = self.settings.look_period;
+        let period = self.settings.key_read_period;
         self.next_call = now + period + self.jitter(period);
     }
 
--- a/crates/core/src/authority/holder.rs
+++ b/crates/core/src/authority/election.rs
@@ -54,7 +54,7 @@
 
 /// One daemon's part in the election of one cell's controller.
 #[derive(Debug)]
-pub struct LeaseHolder {
+pub struct ControllerElection {
     pub(super) settings: AuthoritySettings,
     cell: CellName,
     pub(super) own: MachineId,
@@ -69,7 +69,7 @@
     random: SeededRandom,
 }
 
-impl LeaseHolder {
+impl ControllerElection {
     /// Starts as a follower.
     #[must_use]
     pub fn new(
@@ -130,7 +130,7 @@
         match event {
             AuthorityEvent::Tick => self.tick(now, &mut actions),
             AuthorityEvent::RankChanged(rank) => self.take_rank(now, rank),
-            AuthorityEvent::KeyGone => self.key_gone(now),
+            AuthorityEvent::KeyRemoved => self.key_gone(now),
             AuthorityEvent::Answered { number, answer } => {
                 self.take_answer(now, number, answer, &mut actions);
             }
@@ -155,7 +155,7 @@
             return;
         }
         match answer {
-            StoreAnswer::WasRead(holder) => self.was_read(now, holder, actions),
+            StoreAnswer::KeyRead(holder) => self.was_read(now, holder, actions),
             StoreAnswer::Granted(lease) => self.granted(now, lease, actions),
             StoreAnswer::Created { succeeded } => self.created(now, succeeded, actions),
             StoreAnswer::KeptAlive => self.kept_alive(now),
--- a/crates/core/src/authority/event.rs
+++ b/crates/core/src/authority/event.rs
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreAnswer {
     /// Answer to [`StoreCall::Read`], also after a lost [`StoreCall::Create`].
-    WasRead(Option<KeyHolder>),
+    KeyRead(Option<KeyHolder>),
     /// Answer to [`StoreCall::Grant`].
     Granted(LeaseNumber),
     /// Answer to [`StoreCall::Create`]: whether the key was absent. The token is read back next.
@@ -95,7 +95,7 @@
     /// This daemon's place among the candidates, by rendezvous over the live daemons.
     RankChanged(Option<u32>),
     /// The key is known to be gone: a watch or gossip said so. Only a hint.
-    KeyGone,
+    KeyRemoved,
     /// A call was answered, or failed.
     Answered {
         /// Number of the call.
--- a/crates/core/src/authority/settings.rs
+++ b/crates/core/src/authority/settings.rs
@@ -16,7 +16,7 @@
     /// Candidates of this rank and above do not stand at all.
     pub maximum_rank: u32,
     /// A candidate looks again at the key this often, if no watch tells it sooner.
-    pub look_period: Duration,
+    pub key_read_period: Duration,
     /// First wait after a failed call.
     pub backoff_minimum: Duration,
     /// Longest wait after failed calls.
@@ -31,7 +31,7 @@
             clock_margin: Duration::from_millis(500),
             rank_delay: Duration::from_secs(2),
             maximum_rank: 5,
-            look_period: Duration::from_secs(15),
+            key_read_period: Duration::from_secs(15),
             backoff_minimum: Duration::from_millis(500),
             backoff_maximum: Duration::from_secs(20),
         }
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -21,7 +21,7 @@
     CarriedClaim, CarriedState, ClaimAnswer, ClaimMessage, ClaimReply, ClaimState, HeldClaim,
     Obstacle, Vote,
 };
-pub use planning::{ClaimCandidate, FleetForClaims, plan_shard_map};
+pub use planning::{ClaimCandidate, ClaimPlanningInput, plan_shard_map};
 pub use replica::ClaimReplica;
 pub use settings::{ClaimSettings, InvalidClaimSettings};
 pub use shard_map::{ClaimGroup, GROUP_SIZE, GroupOrigin, PreviousGroup, ShardMap};
--- a/crates/core/src/claims/planning.rs
+++ b/crates/core/src/claims/planning.rs
@@ -19,7 +19,7 @@
 
 /// What a plan is made from.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct FleetForClaims {
+pub struct ClaimPlanningInput {
     /// Live daemons that are not about to leave.
     pub live: Vec<ClaimCandidate>,
     /// Lives that are over for certain: the machine has a later incarnation, or the platform took it off
@@ -35,7 +35,7 @@
 pub fn plan_shard_map(
     current: &ShardMap,
     shard_count: u32,
-    fleet: &FleetForClaims,
+    fleet: &ClaimPlanningInput,
 ) -> Option<ShardMap> {
     let zones: BTreeMap<ClaimMember, &ZoneName> = fleet
         .live
--- a/crates/core/src/claims/replica.rs
+++ b/crates/core/src/claims/replica.rs
@@ -150,7 +150,7 @@
     }
 
     /// Forgets what is older than the retention. To be called now and then.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         for shard in self.shards.values_mut() {
             shard.records.retain(|_, record| record.expires_at > now);
         }
@@ -358,7 +358,7 @@
     /// Whether no further claim may be kept. What is in force is never dropped to make room.
     fn is_full(&mut self, now: Timestamp) -> bool {
         if self.records >= self.settings.maximum_claims {
-            self.forget_old(now);
+            self.remove_expired(now);
         }
         self.records >= self.settings.maximum_claims
     }
--- a/crates/core/src/configuration/keys.rs
+++ b/crates/core/src/configuration/keys.rs
@@ -14,8 +14,8 @@
 
 /// All keys of the configuration begin so.
 pub const CONFIGURATION_PREFIX: &str = "ponddrift/configuration/";
-/// Key of the [`Head`].
-pub const HEAD_KEY: &str = "ponddrift/configuration/head";
+/// Key of the [`LatestChange`].
+pub const LATEST_CHANGE_KEY: &str = "ponddrift/configuration/head";
 /// How many earlier changes the head names, to settle lost answers.
 pub const MAXIMUM_RECENT_CHANGES: usize = 32;
 
@@ -38,7 +38,7 @@
 
 /// The last accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, BorshSerialize, BorshDeserialize)]
-pub struct Head {
+pub struct LatestChange {
     /// The change.
     pub change: ChangeId,
     /// Who asked for it.
@@ -52,9 +52,9 @@
 
 /// The head as it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoredHead {
+pub struct StoredLatestChange {
     /// Its value.
-    pub head: Head,
+    pub latest: LatestChange,
     /// Its `mod_revision`: the configuration's revision.
     pub revision: Revision,
 }
@@ -139,7 +139,10 @@
 /// The shell sends them under a compare: the head's `mod_revision` is `base.revision`, or, without
 /// a base, the head is absent.
 #[must_use]
-pub fn key_writes(change: &ConfigurationChange, base: Option<&StoredHead>) -> Vec<KeyWrite> {
+pub fn key_writes(
+    change: &ConfigurationChange,
+    base: Option<&StoredLatestChange>,
+) -> Vec<KeyWrite> {
     let mut writes: Vec<KeyWrite> = Vec::new();
     for write in change.writes() {
         let write = match write {
@@ -152,22 +155,28 @@
         writes.retain(|earlier| earlier.key() != write.key());
         writes.push(write);
     }
-    let head = next_head(change, base);
-    writes.push(put(HEAD_KEY.to_owned(), serde_json::to_string(&head)));
+    let latest = next_latest_change(change, base);
+    writes.push(put(
+        LATEST_CHANGE_KEY.to_owned(),
+        serde_json::to_string(&latest),
+    ));
     writes
 }
 
-fn next_head(change: &ConfigurationChange, base: Option<&StoredHead>) -> Head {
+fn next_latest_change(
+    change: &ConfigurationChange,
+    base: Option<&StoredLatestChange>,
+) -> LatestChange {
     let last = base.map(|base| RecentChange {
-        change: base.head.change,
-        author: base.head.author.clone(),
+        change: base.latest.change,
+        author: base.latest.author.clone(),
         revision: base.revision,
     });
     let earlier = base
-        .map(|base| base.head.recent.clone())
+        .map(|base| base.latest.recent.clone())
         .unwrap_or_default();
     let recent = last.into_iter().chain(earlier);
-    Head {
+    LatestChange {
         change: change.id,
         author: change.author.clone(),
         previous: base.map_or(Revision(0), |base| base.revision),
@@ -246,14 +255,14 @@
 /// The first key that cannot be read.
 pub fn snapshot_from_entries(
     entries: &[StoredEntry],
-) -> Result<(Configuration, Option<StoredHead>), KeyError> {
+) -> Result<(Configuration, Option<StoredLatestChange>), KeyError> {
     let mut configuration = Configuration::default();
-    let mut stored_head = None;
+    let mut stored_latest_change = None;
     for entry in entries {
-        if entry.key == HEAD_KEY {
+        if entry.key == LATEST_CHANGE_KEY {
             configuration.revision = entry.mod_revision;
-            stored_head = Some(StoredHead {
-                head: parse_value(&entry.key, &entry.value_json)?,
+            stored_latest_change = Some(StoredLatestChange {
+                latest: parse_value(&entry.key, &entry.value_json)?,
                 revision: entry.mod_revision,
             });
         } else {
@@ -264,7 +273,7 @@
             configuration.put(item);
         }
     }
-    Ok((configuration, stored_head))
+    Ok((configuration, stored_latest_change))
 }
 
 /// The delta from the writes that a watch saw at one `revision`.
@@ -272,12 +281,12 @@
 /// # Errors
 /// The first key that cannot be read, or [`KeyError::HeadMissing`].
 pub fn delta_from_writes(revision: Revision, writes: &[KeyWrite]) -> Result<Delta, KeyError> {
-    let mut head: Option<Head> = None;
+    let mut latest: Option<LatestChange> = None;
     let mut items = Vec::new();
     for write in writes {
         match write {
-            KeyWrite::Put { key, value_json } if key == HEAD_KEY => {
-                head = Some(parse_value(key, value_json)?);
+            KeyWrite::Put { key, value_json } if key == LATEST_CHANGE_KEY => {
+                latest = Some(parse_value(key, value_json)?);
             }
             KeyWrite::Put { key, value_json } => {
                 items.push(ItemWrite::Put(parse_item(key, value_json)?));
@@ -285,12 +294,12 @@
             KeyWrite::Delete { key } => items.push(ItemWrite::Delete(parse_key(key)?)),
         }
     }
-    let head = head.ok_or(KeyError::HeadMissing)?;
+    let latest = latest.ok_or(KeyError::HeadMissing)?;
     Ok(Delta {
-        from_revision: head.previous,
+        from_revision: latest.previous,
         to_revision: revision,
-        change: head.change,
-        author: head.author,
+        change: latest.change,
+        author: latest.author,
         writes: items,
     })
 }
--- a/crates/core/src/configuration/settle.rs
+++ b/crates/core/src/configuration/outcome.rs
@@ -1,18 +1,18 @@
 //! Outcome of a change when operators race, or when the answer of the key-value service was lost.
 
-use super::keys::StoredHead;
+use super::keys::StoredLatestChange;
 use crate::{ChangeId, Revision};
 
 /// What became of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
     /// It was accepted.
-    Won {
+    Accepted {
         /// The revision it led to.
         revision: Revision,
     },
     /// Another change was accepted on the same base; this one had no effect.
-    LostTo {
+    ConflictedWith {
         /// Who asked for the other.
         author: String,
         /// The other change.
@@ -29,28 +29,32 @@
 
 /// Settles a change that was sent with a compare on `base`, from the head read back afterwards.
 #[must_use]
-pub fn settle(change: ChangeId, base: Revision, head: Option<&StoredHead>) -> ChangeOutcome {
-    let Some(stored) = head else {
+pub fn determine_outcome(
+    change: ChangeId,
+    base: Revision,
+    latest: Option<&StoredLatestChange>,
+) -> ChangeOutcome {
+    let Some(stored) = latest else {
         return ChangeOutcome::NotWritten;
     };
-    if stored.head.change == change {
-        return ChangeOutcome::Won {
+    if stored.latest.change == change {
+        return ChangeOutcome::Accepted {
             revision: stored.revision,
         };
     }
     if stored.revision <= base {
         return ChangeOutcome::NotWritten;
     }
-    let recent = &stored.head.recent;
+    let recent = &stored.latest.recent;
     if let Some(own) = recent.iter().find(|recent| recent.change == change) {
-        return ChangeOutcome::Won {
+        return ChangeOutcome::Accepted {
             revision: own.revision,
         };
     }
-    if stored.head.previous == base {
-        return ChangeOutcome::LostTo {
-            author: stored.head.author.clone(),
-            change: stored.head.change,
+    if stored.latest.previous == base {
+        return ChangeOutcome::ConflictedWith {
+            author: stored.latest.author.clone(),
+            change: stored.latest.change,
             revision: stored.revision,
         };
     }
@@ -61,7 +65,7 @@
         .filter(|recent| recent.revision > base)
         .min_by_key(|recent| recent.revision);
     match winner {
-        Some(winner) if reaches_base => ChangeOutcome::LostTo {
+        Some(winner) if reaches_base => ChangeOutcome::ConflictedWith {
             author: winner.author.clone(),
             change: winner.change,
             revision: winner.revision,
--- a/crates/core/src/configuration/state.rs
+++ b/crates/core/src/configuration/state.rs
@@ -67,7 +67,7 @@
     }
 
     /// Takes a whole configuration.
-    pub fn take_snapshot(&mut self, snapshot: Configuration) -> SnapshotOutcome {
+    pub fn apply_snapshot(&mut self, snapshot: Configuration) -> SnapshotOutcome {
         if snapshot.revision <= self.in_force.revision {
             return SnapshotOutcome::NotNewer;
         }
@@ -78,7 +78,7 @@
     }
 
     /// Takes one accepted change.
-    pub fn take_delta(&mut self, delta: Delta) -> DeltaOutcome {
+    pub fn apply_delta(&mut self, delta: Delta) -> DeltaOutcome {
         let in_force = self.in_force.revision;
         if delta.to_revision <= in_force {
             return DeltaOutcome::NotNewer;
@@ -114,16 +114,16 @@
     }
 
     /// Takes the answer of a peer to a pull. Returns whether something newer is in force now.
-    pub fn take_pull_answer(&mut self, answer: PullAnswer) -> bool {
+    pub fn apply_pull_answer(&mut self, answer: PullAnswer) -> bool {
         let before = self.revision();
         match answer {
             PullAnswer::NothingNewer => {}
             PullAnswer::Snapshot(snapshot) => {
-                self.take_snapshot(*snapshot);
+                self.apply_snapshot(*snapshot);
             }
             PullAnswer::Deltas(deltas) => {
                 for delta in deltas {
-                    self.take_delta(delta);
+                    self.apply_delta(delta);
                 }
             }
         }
@@ -131,7 +131,7 @@
     }
 
     /// Notes the revision in force at a peer, from its membership facts or its own notice.
-    pub fn note_peer(&mut self, peer: MachineId, revision: Revision) {
+    pub fn record_peer_revision(&mut self, peer: MachineId, revision: Revision) {
         let known = self.peers.entry(peer).or_default();
         *known = revision.max(*known);
     }
--- a/crates/core/src/orders/event.rs
+++ b/crates/core/src/orders/event.rs
@@ -80,7 +80,7 @@
 /// What the shell must do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrdersAction {
-    /// Claim an engine, if `LeaseHolder::may_order` still allows it.
+    /// Claim an engine, if `ControllerElection::may_order` still allows it.
     Claim {
         /// The engine.
         engine: MachineId,
@@ -106,7 +106,7 @@
         /// The engine.
         engine: MachineId,
     },
-    /// Send an order, if `LeaseHolder::may_order` still allows it; else report `NotSent`.
+    /// Send an order, if `ControllerElection::may_order` still allows it; else report `NotSent`.
     SendOrder {
         /// The engine.
         engine: MachineId,
--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -4,7 +4,7 @@
 
 use ponddrift_core::authority::{
     AuthorityAction, AuthorityEvent, AuthoritySettings, AuthorityState, CallFailure, CallNumber,
-    KeyHolder, LeaseHolder, LeaseNumber, StoreAnswer, StoreCall,
+    ControllerElection, KeyHolder, LeaseNumber, StoreAnswer, StoreCall,
 };
 use ponddrift_core::random::{SeededRandom, seeded};
 use ponddrift_core::{CellName, FencingToken, Incarnation, MachineId, Timestamp};
@@ -31,7 +31,7 @@
         self.revision += 1;
         let end = now + AuthoritySettings::default().time_to_live;
         match call {
-            StoreCall::Read => StoreAnswer::WasRead(self.key),
+            StoreCall::Read => StoreAnswer::KeyRead(self.key),
             StoreCall::Grant { .. } => {
                 let lease = LeaseNumber(self.revision as i64);
                 self.leases.push((lease, end));
@@ -82,7 +82,7 @@
 struct World {
     now: Timestamp,
     store: Store,
-    holders: Vec<LeaseHolder>,
+    holders: Vec<ControllerElection>,
     frozen: Vec<bool>,
     travelling: Vec<Travelling>,
     slowest_ms: u64,
@@ -97,7 +97,7 @@
         let holder = |number: usize| {
             let machine = MachineId(number as u32);
             let settings = AuthoritySettings::default();
-            LeaseHolder::new(settings, cell.clone(), machine, Incarnation(1), seed)
+            ControllerElection::new(settings, cell.clone(), machine, Incarnation(1), seed)
         };
         let mut world = Self {
             now: Timestamp::from_millis(1),
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -2,9 +2,10 @@
 
 use ponddrift_core::configuration::{
     ChangeOutcome, ChangeStep, Configuration, ConfigurationChange, ConfigurationItem,
-    ConfigurationState, Delta, FleetFacts, HEAD_KEY, ItemKey, ItemWrite, KeyError, KeyWrite,
-    ModelSettings, PrioritySettings, ServiceKind, ServiceSettings, StoredEntry, StoredHead,
-    ValidationError, accept, delta_from_writes, key_writes, settle, snapshot_from_entries,
+    ConfigurationState, Delta, FleetFacts, ItemKey, ItemWrite, KeyError, KeyWrite,
+    LATEST_CHANGE_KEY, ModelSettings, PrioritySettings, ServiceKind, ServiceSettings, StoredEntry,
+    StoredLatestChange, ValidationError, accept, delta_from_writes, determine_outcome, key_writes,
+    snapshot_from_entries,
 };
 use ponddrift_core::{ChangeId, MachineId, Revision};
 
@@ -176,7 +177,11 @@
     writes.iter().filter_map(entry).collect()
 }
 
-fn head_after(change: &ConfigurationChange, base: Option<&StoredHead>, at: u64) -> StoredHead {
+fn latest_change_after(
+    change: &ConfigurationChange,
+    base: Option<&StoredLatestChange>,
+    at: u64,
+) -> StoredLatestChange {
     let entries = stored(&key_writes(change, base), at);
     snapshot_from_entries(&entries).unwrap().1.unwrap()
 }
@@ -189,11 +194,11 @@
         ChangeStep::Insert(service_item("reconcile", service("ledger"))),
     ];
     let writes = key_writes(&change(1, steps), None);
-    assert_eq!(writes.last().unwrap().key(), HEAD_KEY);
+    assert_eq!(writes.last().unwrap().key(), LATEST_CHANGE_KEY);
     let (snapshot, _) = snapshot_from_entries(&stored(&writes, 5)).unwrap();
     assert_eq!(snapshot, base());
     let mut state = ConfigurationState::default();
-    state.take_delta(delta_from_writes(Revision(5), &writes).unwrap());
+    state.apply_delta(delta_from_writes(Revision(5), &writes).unwrap());
     assert_eq!(*state.in_force(), base());
     let without_head = &writes[..writes.len() - 1];
     let error = delta_from_writes(Revision(5), without_head).unwrap_err();
@@ -202,42 +207,45 @@
 
 #[test]
 fn racing_and_lost_changes_are_settled_from_the_head() {
-    let first = head_after(&change(1, vec![]), None, 5);
-    let second = head_after(&change(2, vec![]), Some(&first), 7);
-    let third = head_after(&change(3, vec![]), Some(&second), 9);
-    let won = |revision| ChangeOutcome::Won {
+    let first = latest_change_after(&change(1, vec![]), None, 5);
+    let second = latest_change_after(&change(2, vec![]), Some(&first), 7);
+    let third = latest_change_after(&change(3, vec![]), Some(&second), 9);
+    let won = |revision| ChangeOutcome::Accepted {
         revision: Revision(revision),
     };
-    let lost = ChangeOutcome::LostTo {
+    let lost = ChangeOutcome::ConflictedWith {
         author: "operator-2".to_owned(),
         change: ChangeId(2),
         revision: Revision(7),
     };
     let base = Revision(5);
-    assert_eq!(settle(ChangeId(2), base, Some(&second)), won(7));
-    assert_eq!(settle(ChangeId(2), base, Some(&third)), won(7));
-    assert_eq!(settle(ChangeId(8), base, Some(&second)), lost);
-    assert_eq!(settle(ChangeId(8), base, Some(&third)), lost);
-    assert_eq!(settle(ChangeId(8), Revision(0), Some(&first)), {
-        ChangeOutcome::LostTo {
+    assert_eq!(determine_outcome(ChangeId(2), base, Some(&second)), won(7));
+    assert_eq!(determine_outcome(ChangeId(2), base, Some(&third)), won(7));
+    assert_eq!(determine_outcome(ChangeId(8), base, Some(&second)), lost);
+    assert_eq!(determine_outcome(ChangeId(8), base, Some(&third)), lost);
+    assert_eq!(determine_outcome(ChangeId(8), Revision(0), Some(&first)), {
+        ChangeOutcome::ConflictedWith {
             author: "operator-1".to_owned(),
             change: ChangeId(1),
             revision: Revision(5),
         }
     });
     let unwritten = ChangeOutcome::NotWritten;
-    assert_eq!(settle(ChangeId(8), base, Some(&first)), unwritten);
-    assert_eq!(settle(ChangeId(8), Revision(0), None), unwritten);
+    assert_eq!(
+        determine_outcome(ChangeId(8), base, Some(&first)),
+        unwritten
+    );
+    assert_eq!(determine_outcome(ChangeId(8), Revision(0), None), unwritten);
 }
 
 #[test]
 fn a_long_chain_of_later_changes_leaves_a_lost_change_undetermined_not_wrong() {
-    let mut head = head_after(&change(1, vec![]), None, 5);
+    let mut latest = latest_change_after(&change(1, vec![]), None, 5);
     for number in 2..60u128 {
-        let revision = head.revision.0 + 1;
-        head = head_after(&change(number, vec![]), Some(&head), revision);
+        let revision = latest.revision.0 + 1;
+        latest = latest_change_after(&change(number, vec![]), Some(&latest), revision);
     }
-    let outcome = settle(ChangeId(2), Revision(5), Some(&head));
+    let outcome = determine_outcome(ChangeId(2), Revision(5), Some(&latest));
     assert_eq!(outcome, ChangeOutcome::Undetermined);
 }
 
@@ -262,7 +270,7 @@
     let mut state = ConfigurationState::default();
     let mut all = vec![state.in_force().clone()];
     for from in 0..20 {
-        state.take_delta(numbered_delta(from));
+        state.apply_delta(numbered_delta(from));
         all.push(state.in_force().clone());
     }
     all
@@ -279,15 +287,15 @@
                 let number = usize::from(*number) % 20;
                 let before = state.revision();
                 if *is_snapshot {
-                    state.take_snapshot(history[number].clone());
+                    state.apply_snapshot(history[number].clone());
                 } else {
-                    state.take_delta(numbered_delta(number as u64));
+                    state.apply_delta(numbered_delta(number as u64));
                 }
                 assert!(state.revision() >= before);
                 assert_eq!(*state.in_force(), history[state.revision().0 as usize]);
                 let mut peer = ConfigurationState::default();
-                peer.take_snapshot(history[number].clone());
-                peer.take_pull_answer(state.since(peer.revision()));
+                peer.apply_snapshot(history[number].clone());
+                peer.apply_pull_answer(state.since(peer.revision()));
                 assert!(peer.revision() >= state.revision());
             }
         });
@@ -296,9 +304,9 @@
 #[test]
 fn peers_without_the_revision_are_named() {
     let mut state = ConfigurationState::default();
-    state.note_peer(MachineId(1), Revision(4));
-    state.note_peer(MachineId(1), Revision(3));
-    state.note_peer(MachineId(2), Revision(3));
+    state.record_peer_revision(MachineId(1), Revision(4));
+    state.record_peer_revision(MachineId(1), Revision(3));
+    state.record_peer_revision(MachineId(2), Revision(3));
     let live = [1, 2, 3].map(MachineId);
     let behind = state.not_yet_in_force(Revision(4), live);
     assert_eq!(behind, [2, 3].map(MachineId));
--- a/crates/core/tests/request_claim_groups.rs
+++ b/crates/core/tests/request_claim_groups.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 
 use ponddrift_core::claims::{
-    CarriedState, ClaimCandidate, ClaimGroup, ClaimKey, ClaimMember, ClaimMessage, ClaimReplica,
-    ClaimReply, ClaimSettings, ClaimantId, EpochChange, EpochChangeAction, EpochChangeProgress,
-    FleetForClaims, GroupEpoch, GroupOrigin, Obstacle, PreviousGroup, ShardMap, ShardNumber, Vote,
-    plan_shard_map,
+    CarriedState, ClaimCandidate, ClaimGroup, ClaimKey, ClaimMember, ClaimMessage,
+    ClaimPlanningInput, ClaimReplica, ClaimReply, ClaimSettings, ClaimantId, EpochChange,
+    EpochChangeAction, EpochChangeProgress, GroupEpoch, GroupOrigin, Obstacle, PreviousGroup,
+    ShardMap, ShardNumber, Vote, plan_shard_map,
 };
 use ponddrift_core::{
     Incarnation, MachineId, RequestId, ServiceName, TenantName, Timestamp, ZoneName,
@@ -125,13 +125,13 @@
     assert_eq!(change.pending(), [EpochChangeAction::Settle]);
 }
 
-fn fleet(machines: impl IntoIterator<Item = u32>) -> FleetForClaims {
+fn fleet(machines: impl IntoIterator<Item = u32>) -> ClaimPlanningInput {
     let zones = ["a", "b", "c", "d"];
     let live = machines.into_iter().map(|machine| ClaimCandidate {
         member: member(machine),
         zone: ZoneName::new(zones[machine as usize % 4]).unwrap(),
     });
-    FleetForClaims {
+    ClaimPlanningInput {
         live: live.collect(),
         ended: BTreeSet::new(),
     }
--- a/crates/core/tests/request_claims.rs
+++ b/crates/core/tests/request_claims.rs
@@ -306,9 +306,9 @@
     let mut replicas = replicas(settings);
     claim(&mut replicas, 1, 5);
     let almost = Timestamp(NOW.0 + settings.retention.as_micros() as u64 - 1);
-    replicas[0].forget_old(almost);
+    replicas[0].remove_expired(almost);
     assert_eq!(replicas[0].record_count(), 1);
-    replicas[0].forget_old(NOW + settings.retention);
+    replicas[0].remove_expired(NOW + settings.retention);
     assert_eq!(replicas[0].record_count(), 0);
     assert!(settings.check().is_ok());
     let short = ClaimSettings {
--- a/crates/core/tests/request_claims_model.rs
+++ b/crates/core/tests/request_claims_model.rs
@@ -10,8 +10,8 @@
 use bolero::check;
 use ponddrift_core::claims::{
     ClaimAction, ClaimCandidate, ClaimCoordinator, ClaimFailure, ClaimKey, ClaimMember,
-    ClaimMessage, ClaimOutcome, ClaimReplica, ClaimReply, ClaimSettings, EpochChange,
-    EpochChangeAction, FleetForClaims, GroupOrigin, ShardMap, ShardNumber, plan_shard_map,
+    ClaimMessage, ClaimOutcome, ClaimPlanningInput, ClaimReplica, ClaimReply, ClaimSettings,
+    EpochChange, EpochChangeAction, GroupOrigin, ShardMap, ShardNumber, plan_shard_map,
 };
 use ponddrift_core::random::{SeededRandom, seeded};
 use ponddrift_core::{Incarnation, MachineId, RequestId, Timestamp, ZoneName};
@@ -371,7 +371,7 @@
     /// Someone plans on what it knows: it may take awake daemons for dead, and miss that lives ended.
     fn plan(&mut self) {
         let zones = ["a", "b", "c"];
-        let mut fleet = FleetForClaims::default();
+        let mut fleet = ClaimPlanningInput::default();
         for machine in 0..DAEMONS as usize {
             let daemon = &self.daemons[machine];
             let member = daemon.member;
--- a/crates/daemon/src/actors/claims.rs
+++ b/crates/daemon/src/actors/claims.rs
@@ -51,7 +51,7 @@
         let now = self.clock.now();
         if now >= self.next_forget {
             self.next_forget = now + FORGET_PERIOD;
-            self.replica.forget_old(now);
+            self.replica.remove_expired(now);
         }
         self.replica.handle(now, message.0)
     }
--- a/crates/daemon/src/actors/configuration.rs
+++ b/crates/daemon/src/actors/configuration.rs
@@ -83,7 +83,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: TakeSnapshot, _context: &mut Context<Self>) {
-        if self.state.take_snapshot(message.0) == SnapshotOutcome::Applied {
+        if self.state.apply_snapshot(message.0) == SnapshotOutcome::Applied {
             self.publish("read from the store");
         }
     }
@@ -93,7 +93,7 @@
     type Return = DeltaOutcome;
 
     async fn handle(&mut self, message: TakeDelta, _context: &mut Context<Self>) -> DeltaOutcome {
-        let outcome = self.state.take_delta(message.0);
+        let outcome = self.state.apply_delta(message.0);
         if outcome == DeltaOutcome::Applied {
             self.publish("change seen in the store");
         }
@@ -105,7 +105,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: TakePullAnswer, _context: &mut Context<Self>) {
-        if self.state.take_pull_answer(message.0) {
+        if self.state.apply_pull_answer(message.0) {
             self.publish("pulled from a peer");
         }
     }
@@ -137,7 +137,7 @@
             Some(known) if known < incarnation => self.state.forget_peer(peer),
             Some(_) | None => {}
         }
-        self.state.note_peer(peer, revision);
+        self.state.record_peer_revision(peer, revision);
     }
 }
 
--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use ponddrift_core::authority::{
-    AuthorityAction, AuthorityEvent, AuthoritySettings, CallNumber, LeaseHolder, StoreAnswer,
+    AuthorityAction, AuthorityEvent, AuthoritySettings, CallNumber, ControllerElection, StoreAnswer,
 };
 use ponddrift_core::configuration::Configuration;
 use ponddrift_core::machine::{Machine, MachineKind, MachineList};
@@ -58,7 +58,7 @@
 pub(crate) struct ControllerActor {
     cell: CellName,
     links: ControllerLinks,
-    holder: LeaseHolder,
+    holder: ControllerElection,
     office: Option<Office>,
     /// End of authority, on this daemon's clock, as the calls under way see it.
     authority: watch::Sender<Option<Authority>>,
@@ -79,11 +79,11 @@
         let authority_settings = AuthoritySettings {
             time_to_live: links.settings.control.lease_time,
             keep_alive_period: links.settings.control.lease_time / 4,
-            look_period: links.settings.control.lease_time,
+            key_read_period: links.settings.control.lease_time,
             clock_margin: links.settings.control.lease_time / 20,
             ..AuthoritySettings::default()
         };
-        let holder = LeaseHolder::new(
+        let holder = ControllerElection::new(
             authority_settings,
             cell.clone(),
             links.identity.machine,
@@ -301,7 +301,7 @@
         let is_news = self.hinted.0 != message.0;
         if is_news || now >= self.hinted.1 {
             self.hinted = (message.0, now + self.links.settings.control.lease_time / 2);
-            self.authority_event(AuthorityEvent::KeyGone);
+            self.authority_event(AuthorityEvent::KeyRemoved);
         }
     }
 }
--- a/crates/daemon/src/actors/controller/calls.rs
+++ b/crates/daemon/src/actors/controller/calls.rs
@@ -49,7 +49,7 @@
     match call {
         StoreCall::Read => {
             let stored = store.get(&key).await?;
-            Ok(StoreAnswer::WasRead(
+            Ok(StoreAnswer::KeyRead(
                 stored.as_ref().map(key_holder).transpose()?,
             ))
         }
--- a/crates/daemon/src/daemon/claim_groups.rs
+++ b/crates/daemon/src/daemon/claim_groups.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use ponddrift_core::claims::{
-    ClaimCandidate, ClaimMember, ClaimMessage, EpochChange, EpochChangeAction, FleetForClaims,
+    ClaimCandidate, ClaimMember, ClaimMessage, ClaimPlanningInput, EpochChange, EpochChangeAction,
     GroupEpoch, ShardMap, ShardNumber, plan_shard_map,
 };
 use ponddrift_core::membership::MemberRecord;
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    fn fleet_for(&self, map: &ShardMap, listed: &BTreeSet<MachineId>) -> FleetForClaims {
+    fn fleet_for(&self, map: &ShardMap, listed: &BTreeSet<MachineId>) -> ClaimPlanningInput {
         let view = Arc::clone(&self.members.borrow());
         let live = view.serving().map(|record| ClaimCandidate {
             member: member_of(record),
@@ -173,7 +173,7 @@
             has_newer_life || was_removed
         };
         let ended = members_of(map).into_iter().filter(is_over).collect();
-        FleetForClaims {
+        ClaimPlanningInput {
             live: live.collect(),
             ended,
         }
--- a/crates/daemon/src/operator/apply.rs
+++ b/crates/daemon/src/operator/apply.rs
@@ -165,7 +165,7 @@
             return Err(conflict::problem(order, &stored, row));
         }
         let change = judge(context, order, &stored.configuration)?;
-        match send::send(context, &order.key, &change, stored.head.as_ref()).await? {
+        match send::send(context, &order.key, &change, stored.latest.as_ref()).await? {
             Sent::Accepted(revision) => {
                 return Ok(Accepted {
                     change,
@@ -219,11 +219,11 @@
 impl StoredConfiguration {
     /// Who led to `revision`, as far as the head tells.
     fn author_of(&self, revision: Revision) -> Option<&str> {
-        let stored = self.head.as_ref()?;
+        let stored = self.latest.as_ref()?;
         if stored.revision == revision {
-            return Some(&stored.head.author);
+            return Some(&stored.latest.author);
         }
-        let mut recent = stored.head.recent.iter();
+        let mut recent = stored.latest.recent.iter();
         let found = recent.find(|recent| recent.revision == revision)?;
         Some(&found.author)
     }
--- a/crates/daemon/src/operator/apply/conflict.rs
+++ b/crates/daemon/src/operator/apply/conflict.rs
@@ -28,7 +28,7 @@
             )
         }
         None => {
-            let last = stored.head.as_ref().map(|stored| &stored.head.author);
+            let last = stored.latest.as_ref().map(|stored| &stored.latest.author);
             let last = last.map_or("nobody", String::as_str);
             format!(
                 "{key} was deleted meanwhile (the last change of the configuration is by {last}); nothing was changed by you: look with {question}, then use INSERT if you still want it"
--- a/crates/daemon/src/operator/apply/read.rs
+++ b/crates/daemon/src/operator/apply/read.rs
@@ -1,7 +1,8 @@
 //! Reading the configuration from the key-value service, which alone decides.
 
 use ponddrift_core::configuration::{
-    CONFIGURATION_PREFIX, Configuration, HEAD_KEY, StoredEntry, StoredHead, snapshot_from_entries,
+    CONFIGURATION_PREFIX, Configuration, LATEST_CHANGE_KEY, StoredEntry, StoredLatestChange,
+    snapshot_from_entries,
 };
 use ponddrift_http::{Problem, ProblemKind};
 use ponddrift_platform::store::{RangeResult, StoreError};
@@ -13,23 +14,25 @@
 /// The configuration as it is stored, with its head.
 pub(super) struct StoredConfiguration {
     pub(super) configuration: Configuration,
-    pub(super) head: Option<StoredHead>,
+    pub(super) latest: Option<StoredLatestChange>,
 }
 
 /// Reads everything.
 pub(super) async fn read(context: &OperatorContext) -> Result<StoredConfiguration, Problem> {
     let range = context.store.range(CONFIGURATION_PREFIX).await;
     let range = range.map_err(|error| nothing_written(&error))?;
-    let (configuration, head) = snapshot(&range).map_err(|error| unreadable(&error))?;
+    let (configuration, latest) = snapshot(&range).map_err(|error| unreadable(&error))?;
     Ok(StoredConfiguration {
         configuration,
-        head,
+        latest,
     })
 }
 
 /// Reads the head alone.
-pub(super) async fn read_head(context: &OperatorContext) -> Result<Option<StoredHead>, String> {
-    let value = context.store.get(HEAD_KEY).await;
+pub(super) async fn read_head(
+    context: &OperatorContext,
+) -> Result<Option<StoredLatestChange>, String> {
+    let value = context.store.get(LATEST_CHANGE_KEY).await;
     let Some(value) = value.map_err(|error| error.to_string())? else {
         return Ok(None);
     };
@@ -38,11 +41,13 @@
         key: value.key,
         mod_revision: value.mod_revision,
     };
-    let (_empty, head) = snapshot_from_entries(&[entry]).map_err(|error| error.to_string())?;
-    Ok(head)
+    let (_empty, latest) = snapshot_from_entries(&[entry]).map_err(|error| error.to_string())?;
+    Ok(latest)
 }
 
-fn snapshot(range: &RangeResult) -> Result<(Configuration, Option<StoredHead>), FollowError> {
+fn snapshot(
+    range: &RangeResult,
+) -> Result<(Configuration, Option<StoredLatestChange>), FollowError> {
     Ok(snapshot_from_entries(&entries(range)?)?)
 }
 
--- a/crates/daemon/src/operator/apply/send.rs
+++ b/crates/daemon/src/operator/apply/send.rs
@@ -4,7 +4,8 @@
 
 use bytes::Bytes;
 use ponddrift_core::configuration::{
-    ChangeOutcome, ConfigurationChange, HEAD_KEY, ItemKey, KeyWrite, StoredHead, key_writes, settle,
+    ChangeOutcome, ConfigurationChange, ItemKey, KeyWrite, LATEST_CHANGE_KEY, StoredLatestChange,
+    determine_outcome, key_writes,
 };
 use ponddrift_core::{Execution, Revision, Timestamp};
 use ponddrift_http::{Problem, ProblemKind};
@@ -34,7 +35,7 @@
     context: &OperatorContext,
     key: &ItemKey,
     change: &ConfigurationChange,
-    base: Option<&StoredHead>,
+    base: Option<&StoredLatestChange>,
 ) -> Result<Sent, Problem> {
     let base_revision = base.map_or(Revision(0), |base| base.revision);
     let mut may_be_written = false;
@@ -56,10 +57,10 @@
                 may_be_written = true;
             }
         }
-        let head = read_back(context, key, change, may_be_written).await?;
-        match settle(change.id, base_revision, head.as_ref()) {
-            ChangeOutcome::Won { revision } => return Ok(Sent::Accepted(revision)),
-            ChangeOutcome::LostTo {
+        let latest = read_back(context, key, change, may_be_written).await?;
+        match determine_outcome(change.id, base_revision, latest.as_ref()) {
+            ChangeOutcome::Accepted { revision } => return Ok(Sent::Accepted(revision)),
+            ChangeOutcome::ConflictedWith {
                 author, revision, ..
             } => {
                 tracing::info!(author, %revision, "another change came first");
@@ -85,12 +86,12 @@
     key: &ItemKey,
     change: &ConfigurationChange,
     may_be_written: bool,
-) -> Result<Option<StoredHead>, Problem> {
+) -> Result<Option<StoredLatestChange>, Problem> {
     let now = || -> Timestamp { context.gateway.now() };
     let until = now() + SETTLE_LIMIT;
     loop {
         match read_head(context).await {
-            Ok(head) => return Ok(head),
+            Ok(latest) => return Ok(latest),
             Err(reason) if now() >= until => {
                 return Err(undetermined(key, change, &reason, may_be_written));
             }
@@ -118,8 +119,8 @@
     Problem::new(ProblemKind::StoreUnavailable, detail, execution).retry_after(SETTLE_LIMIT)
 }
 
-fn compares(base: Option<&StoredHead>) -> Vec<Compare> {
-    let key = HEAD_KEY.to_owned();
+fn compares(base: Option<&StoredLatestChange>) -> Vec<Compare> {
+    let key = LATEST_CHANGE_KEY.to_owned();
     vec![match base {
         Some(base) => Compare::ModRevision {
             key,
@@ -129,7 +130,7 @@
     }]
 }
 
-fn writes(change: &ConfigurationChange, base: Option<&StoredHead>) -> Vec<Write> {
+fn writes(change: &ConfigurationChange, base: Option<&StoredLatestChange>) -> Vec<Write> {
     let write = |write| match write {
         KeyWrite::Put { key, value_json } => Write::Put {
             key,
--- a/crates/process-tests/src/fleet.rs
+++ b/crates/process-tests/src/fleet.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use ponddrift_core::authority::controller_key;
 use ponddrift_core::configuration::{
-    ChangeStep, ConfigurationChange, ConfigurationItem, HEAD_KEY, KeyWrite, ModelSettings,
-    PrioritySettings, ServiceKind, ServiceSettings, StoredHead, key_writes,
+    ChangeStep, ConfigurationChange, ConfigurationItem, KeyWrite, LATEST_CHANGE_KEY, ModelSettings,
+    PrioritySettings, ServiceKind, ServiceSettings, StoredLatestChange, key_writes,
 };
 use ponddrift_core::machine::{Machine, MachineKind, MachineList, MachineState};
 use ponddrift_core::{ChangeId, MachineId};
@@ -149,11 +149,11 @@
     /// When the store refuses it.
     pub async fn change(&self, steps: Vec<ChangeStep>) -> Result<()> {
         let store = self.store()?;
-        let stored = store.get(HEAD_KEY).await?;
+        let stored = store.get(LATEST_CHANGE_KEY).await?;
         let base = stored
-            .map(|stored| -> Result<StoredHead> {
-                Ok(StoredHead {
-                    head: serde_json::from_slice(&stored.value)?,
+            .map(|stored| -> Result<StoredLatestChange> {
+                Ok(StoredLatestChange {
+                    latest: serde_json::from_slice(&stored.value)?,
                     revision: stored.mod_revision,
                 })
             })
@@ -170,11 +170,11 @@
         let writes = key_writes(&change, base.as_ref());
         let compare = match &base {
             Some(base) => Compare::ModRevision {
-                key: HEAD_KEY.to_owned(),
+                key: LATEST_CHANGE_KEY.to_owned(),
                 revision: base.revision,
             },
             None => Compare::Absent {
-                key: HEAD_KEY.to_owned(),
+                key: LATEST_CHANGE_KEY.to_owned(),
             },
         };
         let writes = writes.into_iter().map(store_write).collect();
--- a/crates/process-tests/tests/operators.rs
+++ b/crates/process-tests/tests/operators.rs
@@ -5,7 +5,7 @@
 
 use eyre::{ContextCompat, Result, bail, ensure};
 use ponddrift_core::configuration::{
-    CONFIGURATION_PREFIX, StoredEntry, StoredHead, snapshot_from_entries,
+    CONFIGURATION_PREFIX, StoredEntry, StoredLatestChange, snapshot_from_entries,
 };
 use ponddrift_core::{Execution, MachineId, Revision};
 use ponddrift_engine::wire::headers::REQUEST_ID;
@@ -39,7 +39,7 @@
     Ok(fleet)
 }
 
-async fn stored_head(fleet: &Fleet) -> Result<StoredHead> {
+async fn stored_head(fleet: &Fleet) -> Result<StoredLatestChange> {
     let range = fleet.store()?.range(CONFIGURATION_PREFIX).await?;
     let mut entries = Vec::new();
     for value in range.values {
@@ -49,8 +49,8 @@
             mod_revision: value.mod_revision,
         });
     }
-    let (_configuration, head) = snapshot_from_entries(&entries)?;
-    head.wrap_err("a head")
+    let (_configuration, latest) = snapshot_from_entries(&entries)?;
+    latest.wrap_err("a head")
 }
 
 async fn number(fleet: &Fleet, index: usize, question: &str) -> Result<i64> {
@@ -343,10 +343,10 @@
         let after = stored_head(&fleet).await?;
         // Exactly one change followed the one before, and it is this one.
         ensure!(
-            after.head.previous == before.revision,
+            after.latest.previous == before.revision,
             "more than one change"
         );
-        assert_eq!(after.head.change, answer.change);
+        assert_eq!(after.latest.change, answer.change);
         assert_eq!(after.revision, answer.revision);
         let row = u64::try_from(number(&fleet, 1, ROW_REVISION).await?)?;
         assert_eq!(Revision(row), answer.revision);
