--- a/crates/core/src/authority.rs
+++ b/crates/core/src/authority.rs
@@ -1,8 +1,8 @@
-//! Authority over a cell: which daemon is its controller, and until when by its own clock.
+//! Election of a cell's controller, the daemon that may send orders to the cell's engines.
 //!
-//! The controller holds the cell's key in the key-value service under a lease. The key's
-//! `create_revision` is the fencing token of its orders. `docs/design/authority-and-orders.md` gives
-//! the reasons.
+//! The controller holds the cell's key in the key-value service under a lease, whose end it
+//! computes by its own clock. The key's `create_revision` is the fencing token of its orders. See
+//! `docs/design/authority-and-orders.md` for the rationale.
 
 mod answers;
 mod election;
@@ -18,7 +18,7 @@
 
 use crate::CellName;
 
-/// Key of a cell's controller.
+/// Key in the key-value service that the controller of `cell` holds under its lease.
 #[must_use]
 pub fn controller_key(cell: &CellName) -> String {
     format!("ponddrift/cells/{cell}/controller")
--- a/crates/core/src/authority/election.rs
+++ b/crates/core/src/authority/election.rs
@@ -1,4 +1,8 @@
-//! Election of a cell's controller, and its lease by the holder's own clock.
+//! State machine of a daemon in the election of a cell's controller.
+//!
+//! The controller computes the end of its lease by its own clock, from the time at which it sent
+//! the last answered renewal, so that it never assumes a longer lease than the key-value service
+//! does.
 
 use std::time::Duration;
 
@@ -12,44 +16,45 @@
 use crate::random::{SeededRandom, seeded};
 use crate::{CellName, FencingToken, Incarnation, MachineId, Timestamp};
 
-/// How long a call may stay without an answer before it counts as lost.
+/// Time after which a call without an answer is handled as [`CallFailure::AnswerLost`].
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where a daemon is on its way to authority.
+/// State of a daemon in the election.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AuthorityState {
-    /// It does not stand, or another daemon is the controller.
+    /// The daemon is not eligible, or another daemon is the controller.
     Follower,
-    /// It reads the key to see whether the place is free.
+    /// The daemon reads the key to learn whether there is a controller.
     Candidate,
-    /// It takes a lease and tries to create the key.
+    /// The daemon requests a lease and tries to create the key.
     Claiming {
         /// The lease, once granted.
         lease: Option<LeaseNumber>,
-        /// When the call that started the lease was made.
+        /// Time at which the call that granted the lease was sent.
         lease_from: Timestamp,
     },
-    /// It is the controller.
+    /// The daemon is the controller.
     Holding {
-        /// Its token.
+        /// Fencing token for its orders.
         token: FencingToken,
-        /// Its lease.
+        /// Lease that its key is attached to.
         lease: LeaseNumber,
-        /// End of the lease by its own clock, counted from before the last answered keep-alive.
+        /// End of the lease by this daemon's clock, counted from the time at which the last
+        /// answered renewal was sent.
         lease_until: Timestamp,
     },
-    /// It gives its lease back.
+    /// The daemon revokes its lease.
     SteppingDown {
-        /// The lease.
+        /// Lease to revoke.
         lease: LeaseNumber,
     },
 }
 
 #[derive(Debug, Clone, Copy)]
-pub(super) struct UnderWay {
+pub(super) struct PendingCall {
     pub number: CallNumber,
     pub call: StoreCall,
-    pub since: Timestamp,
+    pub sent_at: Timestamp,
 }
 
 /// One daemon's part in the election of one cell's controller.
@@ -57,15 +62,15 @@
 pub struct ControllerElection {
     pub(super) settings: AuthoritySettings,
     cell: CellName,
-    pub(super) own: MachineId,
+    pub(super) own_machine: MachineId,
     pub(super) incarnation: Incarnation,
     pub(super) state: AuthorityState,
     rank: Option<u32>,
-    pub(super) under_way: Option<UnderWay>,
-    calls: CallNumber,
+    pub(super) pending_call: Option<PendingCall>,
+    last_call_number: CallNumber,
     pub(super) next_call: Timestamp,
     pub(super) failures: u32,
-    stopped: bool,
+    stopping: bool,
     random: SeededRandom,
 }
 
@@ -75,35 +80,35 @@
     pub fn new(
         settings: AuthoritySettings,
         cell: CellName,
-        own: MachineId,
+        own_machine: MachineId,
         incarnation: Incarnation,
         seed: u64,
     ) -> Self {
-        let random = seeded(seed, &format!("authority-{cell}-{own}"));
+        let random = seeded(seed, &format!("authority-{cell}-{own_machine}"));
         Self {
             settings,
             cell,
-            own,
+            own_machine,
             incarnation,
             state: AuthorityState::Follower,
             rank: None,
-            under_way: None,
-            calls: CallNumber::default(),
+            pending_call: None,
+            last_call_number: CallNumber::default(),
             next_call: Timestamp::ZERO,
             failures: 0,
-            stopped: false,
+            stopping: false,
             random,
         }
     }
 
-    /// Where this daemon is.
+    /// Current state of this daemon.
     #[must_use]
     pub const fn state(&self) -> AuthorityState {
         self.state
     }
 
-    /// Whether an order that may take `order_timeout` can be sent now: by this daemon's own clock
-    /// the lease outlasts it. Ask again after every await.
+    /// Returns the token if an order that takes at most `order_timeout` may be sent now, that is,
+    /// if the lease lasts longer by this daemon's clock. Must be called again after every await.
     #[must_use]
     pub fn may_order(&self, now: Timestamp, order_timeout: Duration) -> Option<FencingToken> {
         match self.state {
@@ -114,7 +119,7 @@
         }
     }
 
-    /// End of this daemon's authority by its own clock; `None` while it has none.
+    /// End of the lease by this daemon's clock; `None` while this daemon is not the controller.
     #[must_use]
     pub const fn authority_ends(&self) -> Option<Timestamp> {
         match self.state {
@@ -123,25 +128,27 @@
         }
     }
 
-    /// Takes an event.
+    /// Handles an event. A lease that has expired by the local clock is given up first.
     pub fn handle(&mut self, now: Timestamp, event: AuthorityEvent) -> Vec<AuthorityAction> {
         let mut actions = Vec::new();
-        self.expire(now, &mut actions);
+        self.expire_lease_and_call(now, &mut actions);
         match event {
             AuthorityEvent::Tick => self.tick(now, &mut actions),
-            AuthorityEvent::RankChanged(rank) => self.take_rank(now, rank),
-            AuthorityEvent::KeyRemoved => self.key_gone(now),
+            AuthorityEvent::RankChanged(rank) => self.set_rank(now, rank),
+            AuthorityEvent::KeyRemoved => self.handle_key_removed(now),
             AuthorityEvent::Answered { number, answer } => {
-                self.take_answer(now, number, answer, &mut actions);
+                self.handle_answer(now, number, answer, &mut actions);
+            }
+            AuthorityEvent::TokenRefused { newest } => {
+                self.handle_token_refused(now, newest, &mut actions)
             }
-            AuthorityEvent::TokenRefused { newest } => self.refused(now, newest, &mut actions),
             AuthorityEvent::WokeAfterFreeze => self.next_call = now,
             AuthorityEvent::StepDown => self.step_down(now, &mut actions),
         }
         actions
     }
 
-    fn take_answer(
+    fn handle_answer(
         &mut self,
         now: Timestamp,
         number: CallNumber,
@@ -149,42 +156,42 @@
         actions: &mut Vec<AuthorityAction>,
     ) {
         if self
-            .under_way
-            .is_none_or(|under_way| under_way.number != number)
+            .pending_call
+            .is_none_or(|pending_call| pending_call.number != number)
         {
             return;
         }
         match answer {
-            StoreAnswer::KeyRead(holder) => self.was_read(now, holder, actions),
-            StoreAnswer::Granted(lease) => self.granted(now, lease, actions),
-            StoreAnswer::Created { succeeded } => self.created(now, succeeded, actions),
-            StoreAnswer::KeptAlive => self.kept_alive(now),
-            StoreAnswer::Revoked => self.revoked(now),
-            StoreAnswer::Failed(failure) => self.failed(now, failure, actions),
+            StoreAnswer::KeyRead(holder) => self.handle_key_read(now, holder, actions),
+            StoreAnswer::Granted(lease) => self.handle_lease_granted(now, lease, actions),
+            StoreAnswer::Created { succeeded } => self.handle_key_created(now, succeeded, actions),
+            StoreAnswer::KeptAlive => self.handle_kept_alive(now),
+            StoreAnswer::Revoked => self.handle_lease_revoked(now),
+            StoreAnswer::Failed(failure) => self.handle_call_failure(now, failure, actions),
         }
     }
 
-    /// Ends what the clock has ended, before anything else is done.
-    fn expire(&mut self, now: Timestamp, actions: &mut Vec<AuthorityAction>) {
+    /// Gives up an expired lease and an unanswered call. Must run before any other handling.
+    fn expire_lease_and_call(&mut self, now: Timestamp, actions: &mut Vec<AuthorityAction>) {
         if let AuthorityState::Holding { lease_until, .. } = self.state
             && now >= lease_until
         {
-            self.lose(now, "its lease ran out by its own clock", actions);
+            self.lose_authority(now, "its lease ran out by its own clock", actions);
         }
         let is_lost = self
-            .under_way
-            .is_some_and(|under_way| now.since(under_way.since) >= CALL_TIMEOUT);
+            .pending_call
+            .is_some_and(|pending_call| now.since(pending_call.sent_at) >= CALL_TIMEOUT);
         if is_lost {
-            self.failed(now, CallFailure::AnswerLost, actions);
+            self.handle_call_failure(now, CallFailure::AnswerLost, actions);
         }
     }
 
     pub(super) fn tick(&mut self, now: Timestamp, actions: &mut Vec<AuthorityAction>) {
-        if self.under_way.is_some() || now < self.next_call {
+        if self.pending_call.is_some() || now < self.next_call {
             return;
         }
         let call = match self.state {
-            AuthorityState::Follower if self.stands() => {
+            AuthorityState::Follower if self.is_eligible() => {
                 self.state = AuthorityState::Candidate;
                 StoreCall::Read
             }
@@ -199,7 +206,7 @@
                     time_to_live: self.settings.time_to_live,
                 }
             }
-            // The create was sent, or its answer was lost: reading back tells who holds the key.
+            // The key may have been created without an answer: reading it tells who holds it.
             AuthorityState::Claiming { lease: Some(_), .. } => StoreCall::Read,
             AuthorityState::Holding { lease, .. } => StoreCall::KeepAlive { lease },
             AuthorityState::SteppingDown { lease } => StoreCall::Revoke { lease },
@@ -207,11 +214,11 @@
         self.call(now, call, actions);
     }
 
-    pub(super) fn stands(&self) -> bool {
+    pub(super) fn is_eligible(&self) -> bool {
         let is_ranked = self
             .rank
             .is_some_and(|rank| rank < self.settings.maximum_rank);
-        is_ranked && !self.stopped
+        is_ranked && !self.stopping
     }
 
     pub(super) fn call(
@@ -220,44 +227,43 @@
         call: StoreCall,
         actions: &mut Vec<AuthorityAction>,
     ) {
-        let number = CallNumber(self.calls.0 + 1);
-        self.calls = number;
-        self.under_way = Some(UnderWay {
+        let number = CallNumber(self.last_call_number.0 + 1);
+        self.last_call_number = number;
+        self.pending_call = Some(PendingCall {
             number,
             call,
-            since: now,
+            sent_at: now,
         });
         actions.push(AuthorityAction::Call { number, call });
     }
 
-    /// Takes the answer to the call under way, if it is the expected one, and gives its start.
-    pub(super) fn answered(
+    /// Completes the pending call if it is of the expected kind, and returns when it was sent.
+    pub(super) fn take_pending_call(
         &mut self,
         is_expected: impl Fn(StoreCall) -> bool,
     ) -> Option<Timestamp> {
-        let under_way = self.under_way?;
-        if !is_expected(under_way.call) {
+        let pending_call = self.pending_call?;
+        if !is_expected(pending_call.call) {
             return None;
         }
-        self.under_way = None;
+        self.pending_call = None;
         self.failures = 0;
-        Some(under_way.since)
+        Some(pending_call.sent_at)
     }
 
-    fn take_rank(&mut self, now: Timestamp, rank: Option<u32>) {
+    fn set_rank(&mut self, now: Timestamp, rank: Option<u32>) {
         if rank != self.rank {
             self.rank = rank;
-            self.wait_for_turn(now);
+            self.delay_by_rank(now);
         }
     }
 
-    /// The place may be free: stand after a wait that grows with the rank, so that the daemons do
-    /// not all call the service at once.
-    fn key_gone(&mut self, now: Timestamp) {
-        self.wait_for_turn(now);
+    /// The delay grows with the rank, so that the daemons do not all call the service at once.
+    fn handle_key_removed(&mut self, now: Timestamp) {
+        self.delay_by_rank(now);
     }
 
-    fn wait_for_turn(&mut self, now: Timestamp) {
+    fn delay_by_rank(&mut self, now: Timestamp) {
         let is_waiting = matches!(
             self.state,
             AuthorityState::Follower | AuthorityState::Candidate
@@ -274,7 +280,7 @@
         Duration::from_micros(self.random.random_range(0..=limit))
     }
 
-    fn refused(
+    fn handle_token_refused(
         &mut self,
         now: Timestamp,
         newest: FencingToken,
@@ -283,11 +289,11 @@
         if let AuthorityState::Holding { token, .. } = self.state
             && newest > token
         {
-            self.lose(now, "an engine has seen a newer token", actions);
+            self.lose_authority(now, "an engine has seen a newer token", actions);
         }
     }
 
-    pub(super) fn lose(
+    pub(super) fn lose_authority(
         &mut self,
         now: Timestamp,
         reason: &str,
@@ -296,7 +302,7 @@
         let AuthorityState::Holding { token, lease, .. } = self.state else {
             return;
         };
-        self.under_way = None;
+        self.pending_call = None;
         self.state = AuthorityState::SteppingDown { lease };
         self.next_call = now;
         actions.push(AuthorityAction::LostAuthority { token });
@@ -304,8 +310,8 @@
     }
 
     fn step_down(&mut self, now: Timestamp, actions: &mut Vec<AuthorityAction>) {
-        self.stopped = true;
-        self.lose(now, "this daemon stops", actions);
+        self.stopping = true;
+        self.lose_authority(now, "this daemon stops", actions);
         self.tick(now, actions);
     }
 
--- a/crates/core/src/authority/event.rs
+++ b/crates/core/src/authority/event.rs
@@ -1,141 +1,143 @@
-//! What authority takes and gives.
+//! Events that a controller election handles, and the actions that it returns.
 
 use std::time::Duration;
 
 use crate::decision::DecisionRecord;
 use crate::{FencingToken, Incarnation, MachineId};
 
-/// Number of a lease of the key-value service.
+/// Identifier that the key-value service gave to a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseNumber(pub i64);
 
-/// Who holds the key, as it was read. The value of the key names machine and incarnation.
+/// Holder of the key as read from the key-value service. The key's value names the machine and its
+/// incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyHolder {
-    /// The machine.
+    /// Machine that created the key.
     pub machine: MachineId,
-    /// Its incarnation.
+    /// Incarnation of the daemon that created the key.
     pub incarnation: Incarnation,
-    /// The lease that the key hangs on.
+    /// Lease that the key is attached to.
     pub lease: LeaseNumber,
     /// `create_revision` of the key.
     pub token: FencingToken,
 }
 
-/// Why a call of the key-value service failed.
+/// Why a call to the key-value service failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// It was certainly not carried out.
+    /// The service was not reached; the call was certainly not executed.
     Unreachable,
-    /// It was refused for its rate; not carried out.
+    /// Refused by a rate limit; the call was not executed.
     RateLimited,
-    /// It may have been carried out.
+    /// No answer arrived; the call may have been executed.
     AnswerLost,
-    /// The lease has ended.
+    /// The lease has expired or was revoked.
     LeaseNotFound,
 }
 
-/// Number of a call. The answer to an earlier call must not count for a later one: a lease is
-/// counted from before the very call that was answered.
+/// Number of a call. The answer to an earlier call must not be taken for that to a later one: the
+/// lifetime of a lease is counted from the time at which the answered call was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct CallNumber(pub u64);
 
-/// A call of the key-value service. One is under way at a time.
+/// A call to the key-value service. At most one is pending at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Read the key.
+    /// Read the controller key.
     Read,
     /// Grant a lease.
     Grant {
-        /// Its time to live.
+        /// Time to live of the lease.
         time_to_live: Duration,
     },
     /// Create the key under the lease if it is absent.
     Create {
-        /// The lease.
+        /// Lease to attach the key to.
         lease: LeaseNumber,
     },
-    /// Prolong the lease.
+    /// Renew the lease.
     KeepAlive {
-        /// The lease.
+        /// Lease to renew.
         lease: LeaseNumber,
     },
-    /// End the lease, and the key with it.
+    /// Revoke the lease, which also removes the key.
     Revoke {
-        /// The lease.
+        /// Lease to revoke.
         lease: LeaseNumber,
     },
 }
 
-/// Answer to a call.
+/// Answer to a [`StoreCall`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreAnswer {
-    /// Answer to [`StoreCall::Read`], also after a lost [`StoreCall::Create`].
+    /// Answer to [`StoreCall::Read`], also when it follows an unanswered [`StoreCall::Create`].
     KeyRead(Option<KeyHolder>),
     /// Answer to [`StoreCall::Grant`].
     Granted(LeaseNumber),
-    /// Answer to [`StoreCall::Create`]: whether the key was absent. The token is read back next.
+    /// Answer to [`StoreCall::Create`]. The key is read next to get its token.
     Created {
-        /// Whether it is ours.
+        /// Whether the key was absent and now belongs to this daemon.
         succeeded: bool,
     },
     /// Answer to [`StoreCall::KeepAlive`].
     KeptAlive,
     /// Answer to [`StoreCall::Revoke`].
     Revoked,
-    /// A call failed.
+    /// The call failed.
     Failed(CallFailure),
 }
 
-/// What happened.
+/// Input of [`ControllerElection::handle`](super::ControllerElection::handle).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AuthorityEvent {
-    /// Time passed; expected every 100 ms.
+    /// Periodic timer; expected every 100 ms.
     Tick,
-    /// This daemon's place among the candidates, by rendezvous over the live daemons.
+    /// This daemon's rank among the candidates, by rendezvous hashing over the live daemons. `None`
+    /// when it is no candidate.
     RankChanged(Option<u32>),
-    /// The key is known to be gone: a watch or gossip said so. Only a hint.
+    /// A watch or gossip reported that the key was removed. This is only a hint.
     KeyRemoved,
     /// A call was answered, or failed.
     Answered {
         /// Number of the call.
         number: CallNumber,
-        /// Its answer.
+        /// Answer to the call.
         answer: StoreAnswer,
     },
-    /// An engine refused the token as stale: another controller is newer.
+    /// An engine refused the token as stale: there is a newer controller.
     TokenRefused {
-        /// The newer token.
+        /// Newest token that the engine has seen.
         newest: FencingToken,
     },
-    /// This process was frozen.
+    /// This process resumed after it had been suspended.
     WokeAfterFreeze,
-    /// This daemon stops by plan.
+    /// This daemon is shutting down.
     StepDown,
 }
 
-/// What the shell must do.
+/// Action that the caller must perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AuthorityAction {
-    /// Make a call and give its answer back as an event.
+    /// Make a call and pass its answer back as [`AuthorityEvent::Answered`].
     Call {
-        /// Number of the call, to be given back with the answer.
+        /// Number of the call, to be returned with the answer.
         number: CallNumber,
-        /// The call.
+        /// The call to make.
         call: StoreCall,
     },
-    /// This daemon is the controller now.
+    /// This daemon became the controller.
     BecameController {
-        /// Its token.
+        /// Fencing token for its orders.
         token: FencingToken,
     },
-    /// This daemon is no longer the controller: drop every order that is not sent yet.
+    /// This daemon is no longer the controller: drop every order that was not sent yet.
     LostAuthority {
-        /// The token that was lost.
+        /// Token that must not be used any more.
         token: FencingToken,
     },
     /// Another daemon is the controller.
     ControllerSeen(KeyHolder),
-    /// Keep a decision.
+    /// Store a record of a decision.
     Record(DecisionRecord),
 }
--- a/crates/core/src/authority/settings.rs
+++ b/crates/core/src/authority/settings.rs
@@ -1,25 +1,26 @@
-//! Settings of elections and leases.
+//! Settings of controller elections.
 
 use std::time::Duration;
 
-/// Times of elections and leases.
+/// Timing and limits of controller elections and their leases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AuthoritySettings {
     /// Time to live of the lease, in whole seconds.
     pub time_to_live: Duration,
-    /// Time between two keep-alives.
+    /// Time between two renewals of the lease.
     pub keep_alive_period: Duration,
-    /// Taken off the lease for clocks that run at different speeds.
+    /// Subtracted from the lease's time to live, since clocks may run at different speeds.
     pub clock_margin: Duration,
-    /// The candidate of rank `n` waits `n` times this long before it stands.
+    /// The candidate of rank `n` waits `n` times this long before it calls the service.
     pub rank_delay: Duration,
-    /// Candidates of this rank and above do not stand at all.
+    /// Daemons of this rank and above do not take part in the election.
     pub maximum_rank: u32,
-    /// A candidate looks again at the key this often, if no watch tells it sooner.
+    /// Time between two reads of the key by a follower, if no watch reports a change sooner. A
+    /// random part of up to the same length is added.
     pub key_read_period: Duration,
-    /// First wait after a failed call.
+    /// Delay after the first failed call.
     pub backoff_minimum: Duration,
-    /// Longest wait after failed calls.
+    /// Longest delay after failed calls.
     pub backoff_maximum: Duration,
 }
 
