--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,9 +1,10 @@
-//! Claims of idempotency keys by majority, so that a request runs at most once.
+//! Claims of idempotency keys by majority vote, so that a request runs at most once.
 //!
-//! The keys are split into shards. Each shard has a group of three daemons in three zones, out of a
-//! [`ShardMap`] that lives in the key-value store. A member gives each key to the first claimant that
-//! asks, and a claimant that two members give the key to may dispatch the request, once. Membership of a
-//! group changes only by [`EpochChange`]. The rules and why they hold: `docs/design/claims.md`.
+//! Keys are divided into shards. The [`ShardMap`] in the key-value store assigns to each shard a
+//! group of three daemons, in three zones where possible. Each member grants a key to the first
+//! claimant that asks for it. A claimant that gets the votes of two members may dispatch its
+//! request once. The members of a group change only by an [`EpochChange`]. See
+//! `docs/design/claims.md` for the rules and the proof.
 
 mod coordinator;
 mod epoch_change;
@@ -18,8 +19,8 @@
 pub use epoch_change::{EpochChange, EpochChangeAction, EpochChangeProgress};
 pub use identity::{ClaimKey, ClaimMember, ClaimantId, GroupEpoch, ShardNumber};
 pub use message::{
-    CarriedClaim, CarriedState, ClaimAnswer, ClaimMessage, ClaimReply, ClaimState, HeldClaim,
-    Obstacle, Vote,
+    ClaimAnswer, ClaimMessage, ClaimReply, ClaimState, HeldClaim, TransferredClaim,
+    TransferredState, Vote, VoteRefusal,
 };
 pub use planning::{ClaimCandidate, ClaimPlanningInput, plan_shard_map};
 pub use replica::ClaimReplica;
--- a/crates/core/src/claims/coordinator.rs
+++ b/crates/core/src/claims/coordinator.rs
@@ -1,4 +1,4 @@
-//! One request's claim of its key.
+//! Claim of a key by one request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,47 +7,48 @@
 
 use super::identity::{ClaimKey, ClaimMember, ClaimantId, GroupEpoch, ShardNumber};
 use super::message::{
-    ClaimAnswer, ClaimMessage, ClaimReply, ClaimState, HeldClaim, Obstacle, Vote,
+    ClaimAnswer, ClaimMessage, ClaimReply, ClaimState, HeldClaim, Vote, VoteRefusal,
 };
 use super::settings::ClaimSettings;
 use super::shard_map::{ClaimGroup, GROUP_SIZE, MAJORITY, ShardMap};
 use crate::random::{SeededRandom, seeded};
 use crate::{Execution, MachineId, RequestId, Timestamp};
 
-/// What a [`ClaimCoordinator`] asks for.
+/// Action that the caller of a [`ClaimCoordinator`] must perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Send this message to the daemon it is meant for.
+    /// Send the message to the member that it is addressed to.
     Send(ClaimMessage),
-    /// The claim is decided for this request.
+    /// The claim was decided with this outcome.
     Decided(ClaimOutcome),
 }
 
-/// How a claim ended.
+/// Outcome of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// This request may be dispatched: call [`ClaimCoordinator::begin_dispatch`] right before sending.
+    /// This request may be dispatched. Call [`ClaimCoordinator::begin_dispatch`] immediately before
+    /// sending it.
     Won,
-    /// A request with this key ran.
+    /// A request with this key has already run.
     AlreadyRan {
-        /// The daemon that ran it.
+        /// Machine of the daemon that dispatched it.
         by: MachineId,
-        /// Its answer, if it was small enough to keep.
+        /// Its answer, unless it was too large to keep.
         answer: Option<ClaimAnswer>,
     },
-    /// Another request holds the key. It may be running, or its daemon may have died with it.
+    /// Another request holds the key. It may be running, or its daemon may have failed.
     AlreadyClaimed {
-        /// The daemon that claimed it; `None` when that is not known any more.
+        /// Machine of the daemon that holds the key; `None` if the key is contested.
         by: Option<MachineId>,
     },
-    /// The key was used for a request with another body.
+    /// The key was already used for a request with another body.
     KeyReused,
-    /// Nobody could be found to hold the key, and this request does not hold it either.
+    /// No holder of the key was found, and this request did not get it either.
     Failed(ClaimFailure),
 }
 
 impl ClaimOutcome {
-    /// What may be stated of the execution of a request with this key.
+    /// What is known about the execution of any request with this key.
     #[must_use]
     pub const fn execution(&self) -> Execution {
         match self {
@@ -58,40 +59,40 @@
     }
 }
 
-/// Why a claim failed. This request was not started and will not be.
+/// Why a claim failed. This request was not dispatched and will not be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimFailure {
-    /// Fewer than two of the three members could be asked.
+    /// Fewer than two of the three members voted.
     #[error(
         "the daemons that keep this key cannot be asked now; send the request again with the same key"
     )]
     NoMajority {
-        /// Whether another request with the key was seen; it may have run.
+        /// Whether a member reported another request with the key, which may have run.
         other_seen: bool,
     },
-    /// Several requests with the key came at the same time and none won.
+    /// Concurrent requests with the key split the votes and none of them won.
     #[error(
-        "several requests with this key came at once and none was run by this daemon; send it again with the same key"
+        "several requests with this key arrived at once and none was run by this daemon; send the request again with the same key"
     )]
     Split,
-    /// The group lost what it knew, and waits until that cannot matter any more.
-    #[error("the daemons that keep this key have lost older claims; come back in {left:?}")]
+    /// The group has lost its claims and refuses new ones until the lost ones would have expired.
+    #[error("the daemons that keep this key have lost older claims; try again in {left:?}")]
     Quarantined {
-        /// How long still.
+        /// Remaining time of the quarantine.
         left: Duration,
     },
-    /// The members have moved on to another epoch.
+    /// The members are in another epoch than the one that this daemon knows.
     #[error(
         "the daemons that keep this key are changing; send the request again with the same key"
     )]
     OtherEpoch,
-    /// The members keep as many claims as they may.
-    #[error("the daemons that keep this key are full; come back later")]
+    /// The members keep the maximum number of claims.
+    #[error("the daemons that keep this key cannot store more claims; try again later")]
     Full,
 }
 
 impl ClaimFailure {
-    /// What may be stated: unknown as soon as another request with the key was seen.
+    /// What is known about the execution: nothing once another request with the key was seen.
     #[must_use]
     pub const fn execution(&self) -> Execution {
         match self {
@@ -104,24 +105,25 @@
     }
 }
 
-/// The dispatch must not begin: the claim is too old (the process was paused), was not won, or was used.
+/// The dispatch must not begin: the claim is too old (for example because the process was
+/// suspended), was not won, or was already used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("the claim is no longer valid for a dispatch; send the request again with the same key")]
 pub struct ValidityExpired {
-    /// Gives the key back; to be sent to the members.
+    /// Messages that withdraw the claim, to be sent to the members.
     pub withdrawals: Vec<ClaimMessage>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    Asking,
-    Pausing { until: Timestamp },
+    Voting,
+    WaitingForRound { until: Timestamp },
     Won,
     Dispatched,
     Ended,
 }
 
-/// Claims a key for one request, and guards its dispatch.
+/// Claims a key for one request and permits its dispatch at most once at a time.
 #[derive(Debug, Clone)]
 pub struct ClaimCoordinator {
     settings: ClaimSettings,
@@ -138,10 +140,11 @@
 }
 
 impl ClaimCoordinator {
-    /// Starts a claim and returns it with the messages of its first round; `None` without a shard map.
+    /// Starts a claim and returns it with the messages of its first round; `None` if the shard map
+    /// is empty.
     ///
-    /// `daemon` is the present life of this daemon, `request` an id that it drew for this submission alone
-    /// (see [`ClaimantId`]), `fingerprint` a hash of the request's body.
+    /// `daemon` is this daemon's current process, `request` an id that it generated for this
+    /// submission alone (see [`ClaimantId`]), and `fingerprint` a hash of the request's body.
     #[must_use]
     pub fn start(
         settings: ClaimSettings,
@@ -166,12 +169,12 @@
                 request,
                 round: 0,
             },
-            phase: Phase::Asking,
+            phase: Phase::Voting,
             round_started_at: now,
             votes: BTreeMap::new(),
             random: seeded(request.0 as u64, "claims"),
         };
-        let actions = coordinator.claims();
+        let actions = coordinator.claim_messages();
         Some((coordinator, actions))
     }
 
@@ -181,17 +184,17 @@
         self.shard
     }
 
-    /// When [`Self::tick`] is due.
+    /// Time at which [`Self::tick`] must be called; `None` if it need not be called any more.
     #[must_use]
     pub fn next_tick(&self) -> Option<Timestamp> {
         match self.phase {
-            Phase::Asking => Some(self.round_started_at + self.settings.answer_timeout),
-            Phase::Pausing { until } => Some(until),
+            Phase::Voting => Some(self.round_started_at + self.settings.answer_timeout),
+            Phase::WaitingForRound { until } => Some(until),
             Phase::Won | Phase::Dispatched | Phase::Ended => None,
         }
     }
 
-    /// Takes a reply. Only votes of this round and epoch from members of the group count.
+    /// Handles a reply. Only votes of this round and epoch from members of the group count.
     pub fn reply(&mut self, now: Timestamp, reply: ClaimReply) -> Vec<ClaimAction> {
         let ClaimReply::Voted {
             from,
@@ -207,28 +210,29 @@
             && key == self.key
             && claimant == self.claimant
             && self.members.contains(&from);
-        if self.phase != Phase::Asking || !expected {
+        if self.phase != Phase::Voting || !expected {
             return Vec::new();
         }
         self.votes.insert(from, vote);
         self.evaluate(now, false)
     }
 
-    /// The time of [`Self::next_tick`] has come.
+    /// Handles the timeout of the round or the end of the delay before the next one.
     pub fn tick(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         match self.phase {
-            Phase::Asking if now >= self.round_started_at + self.settings.answer_timeout => {
+            Phase::Voting if now >= self.round_started_at + self.settings.answer_timeout => {
                 self.evaluate(now, true)
             }
-            Phase::Pausing { until } if now >= until => self.next_round(now),
+            Phase::WaitingForRound { until } if now >= until => self.next_round(now),
             _ => Vec::new(),
         }
     }
 
-    /// Allows one dispatch. To be called right before the request is sent, after the last await.
+    /// Permits one dispatch. Must be called immediately before the request is sent, after the last
+    /// await.
     ///
     /// # Errors
-    /// [`ValidityExpired`] when the request must not be sent.
+    /// [`ValidityExpired`] if the request must not be sent.
     pub fn begin_dispatch(&mut self, now: Timestamp) -> Result<(), ValidityExpired> {
         let valid_until = self.round_started_at + self.settings.dispatch_validity;
         if self.phase == Phase::Won && now < valid_until {
@@ -244,15 +248,17 @@
         Err(ValidityExpired { withdrawals })
     }
 
-    /// The dispatch is known not to have run: another one may begin while the claim is valid.
+    /// Records that the dispatched request certainly did not run. Another dispatch may begin while
+    /// the claim is valid.
     pub fn dispatch_not_started(&mut self) {
         if self.phase == Phase::Dispatched {
             self.phase = Phase::Won;
         }
     }
 
-    /// Gives up a claim that was won but not dispatched, or whose dispatches are all known not to have run
-    /// ([`Self::dispatch_not_started`]). The caller may come again with the same key.
+    /// Withdraws a claim that was won but not dispatched, or whose dispatches certainly did not run
+    /// ([`Self::dispatch_not_started`]). The caller may then repeat the request with the same key.
+    /// Returns the messages to send; none if the claim is not held or the request may have run.
     pub fn release(&mut self) -> Vec<ClaimMessage> {
         if self.phase != Phase::Won {
             return Vec::new();
@@ -261,7 +267,7 @@
         self.withdrawals()
     }
 
-    /// The messages that tell the present members of the group that the request ran.
+    /// Returns the messages that tell the current members of the group that the request ran.
     #[must_use]
     pub fn completed(&self, group: &ClaimGroup, answer: Option<&ClaimAnswer>) -> Vec<ClaimMessage> {
         if self.phase != Phase::Dispatched {
@@ -280,7 +286,7 @@
         group.members.iter().map(message).collect()
     }
 
-    fn claims(&self) -> Vec<ClaimAction> {
+    fn claim_messages(&self) -> Vec<ClaimAction> {
         let claim = |to: &ClaimMember| {
             ClaimAction::Send(ClaimMessage::Claim {
                 shard: self.shard,
@@ -304,7 +310,7 @@
         self.members.iter().map(withdraw).collect()
     }
 
-    fn granted(&self) -> usize {
+    fn granted_count(&self) -> usize {
         self.votes
             .values()
             .filter(|vote| **vote == Vote::Granted)
@@ -319,11 +325,12 @@
     }
 
     fn evaluate(&mut self, now: Timestamp, timed_out: bool) -> Vec<ClaimAction> {
-        // Asked first: a member that remembers longer than the two others is believed.
+        // Must precede the check for a majority: a single member may still know a completed or
+        // contested claim that the two others have already removed.
         if let Some(outcome) = self.other_holder() {
-            return self.end(outcome);
+            return self.finish(outcome);
         }
-        if self.granted() >= MAJORITY {
+        if self.granted_count() >= MAJORITY {
             self.phase = Phase::Won;
             return vec![ClaimAction::Decided(ClaimOutcome::Won)];
         }
@@ -334,22 +341,24 @@
         let failure = self.failure();
         let may_try_again = self.claimant.round + 1 < self.settings.rounds;
         if failure == ClaimFailure::Split && may_try_again {
-            return self.pause(now);
+            return self.wait_for_next_round(now);
         }
-        self.end(ClaimOutcome::Failed(failure))
+        self.finish(ClaimOutcome::Failed(failure))
     }
 
-    /// Whether another claimant is known to hold the key for good.
+    /// Outcome if another claimant is known to hold the key for good.
     fn other_holder(&self) -> Option<ClaimOutcome> {
-        let decided = self.held().find(|held| {
+        let final_holder = self.held().find(|held| {
             let same = self.held().filter(|other| other.claimant == held.claimant);
             held.state != ClaimState::Claimed || same.count() >= MAJORITY
         })?;
-        if decided.fingerprint != self.fingerprint && decided.state != ClaimState::Contested {
+        if final_holder.fingerprint != self.fingerprint
+            && final_holder.state != ClaimState::Contested
+        {
             return Some(ClaimOutcome::KeyReused);
         }
-        let by = decided.claimant.daemon.machine;
-        let outcome = match &decided.state {
+        let by = final_holder.claimant.daemon.machine;
+        let outcome = match &final_holder.state {
             ClaimState::Completed { answer } => ClaimOutcome::AlreadyRan {
                 by,
                 answer: answer.clone(),
@@ -362,46 +371,46 @@
 
     fn failure(&self) -> ClaimFailure {
         let other_seen = self.held().next().is_some();
-        let obstacles = self.votes.values().filter_map(|vote| match vote {
-            Vote::None(obstacle) => Some(*obstacle),
+        let refusals = self.votes.values().filter_map(|vote| match vote {
+            Vote::None(refusal) => Some(*refusal),
             _ => None,
         });
-        let usable = self.granted() + self.held().count();
+        let usable = self.granted_count() + self.held().count();
         if usable >= MAJORITY && other_seen {
             return ClaimFailure::Split;
         }
         if other_seen {
             return ClaimFailure::NoMajority { other_seen };
         }
-        let worst = obstacles.max_by_key(|obstacle| match obstacle {
-            Obstacle::Quarantined { .. } => 4,
-            Obstacle::Full => 3,
-            Obstacle::OtherEpoch | Obstacle::Sealed => 2,
-            Obstacle::Withdrawn => 1,
+        let main_refusal = refusals.max_by_key(|refusal| match refusal {
+            VoteRefusal::Quarantined { .. } => 4,
+            VoteRefusal::Full => 3,
+            VoteRefusal::OtherEpoch | VoteRefusal::Sealed => 2,
+            VoteRefusal::Withdrawn => 1,
         });
-        match worst {
-            Some(Obstacle::Quarantined { left_us }) => ClaimFailure::Quarantined {
+        match main_refusal {
+            Some(VoteRefusal::Quarantined { left_us }) => ClaimFailure::Quarantined {
                 left: Duration::from_micros(left_us),
             },
-            Some(Obstacle::Full) => ClaimFailure::Full,
-            Some(Obstacle::OtherEpoch | Obstacle::Sealed) => ClaimFailure::OtherEpoch,
-            Some(Obstacle::Withdrawn) | None => ClaimFailure::NoMajority { other_seen },
+            Some(VoteRefusal::Full) => ClaimFailure::Full,
+            Some(VoteRefusal::OtherEpoch | VoteRefusal::Sealed) => ClaimFailure::OtherEpoch,
+            Some(VoteRefusal::Withdrawn) | None => ClaimFailure::NoMajority { other_seen },
         }
     }
 
-    fn end(&mut self, outcome: ClaimOutcome) -> Vec<ClaimAction> {
+    fn finish(&mut self, outcome: ClaimOutcome) -> Vec<ClaimAction> {
         self.phase = Phase::Ended;
         let withdrawals = self.withdrawals().into_iter().map(ClaimAction::Send);
         withdrawals.chain([ClaimAction::Decided(outcome)]).collect()
     }
 
-    /// Gives this round's votes back and waits for a random time.
-    fn pause(&mut self, now: Timestamp) -> Vec<ClaimAction> {
+    /// Withdraws the claims of this round and starts a random delay.
+    fn wait_for_next_round(&mut self, now: Timestamp) -> Vec<ClaimAction> {
         let wait = self
             .settings
             .round_delay
             .mul_f64(self.random.random::<f64>());
-        self.phase = Phase::Pausing { until: now + wait };
+        self.phase = Phase::WaitingForRound { until: now + wait };
         self.withdrawals()
             .into_iter()
             .map(ClaimAction::Send)
@@ -412,7 +421,7 @@
         self.claimant.round += 1;
         self.votes.clear();
         self.round_started_at = now;
-        self.phase = Phase::Asking;
-        self.claims()
+        self.phase = Phase::Voting;
+        self.claim_messages()
     }
 }
--- a/crates/core/src/claims/epoch_change.rs
+++ b/crates/core/src/claims/epoch_change.rs
@@ -1,49 +1,51 @@
-//! Carrying out a change of one group: seal, read, install.
+//! Change of a group's members: seals the previous groups, collects their claims and installs the
+//! new epoch.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use indexmap::IndexMap;
 
 use super::identity::{ClaimKey, ClaimMember, GroupEpoch, ShardNumber};
-use super::message::{CarriedClaim, CarriedState, ClaimMessage, ClaimReply, ClaimState};
+use super::message::{ClaimMessage, ClaimReply, ClaimState, TransferredClaim, TransferredState};
 use super::shard_map::{ClaimGroup, GROUP_SIZE, GroupOrigin, MAJORITY, PreviousGroup};
 
-/// What an [`EpochChange`] asks for.
+/// Action that the caller of an [`EpochChange`] must perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EpochChangeAction {
-    /// Send this message to the daemon it is meant for.
+    /// Send the message to the member that it is addressed to.
     Send(ClaimMessage),
     /// Mark the group as settled in the store (`ShardMap::with_settled`).
     Settle,
 }
 
-/// How far a change has come.
+/// Phase of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EpochChangeProgress {
-    /// The groups before are being sealed.
+    /// The previous groups are being sealed.
     Sealing,
-    /// The members begin.
+    /// The members of the new group are beginning the epoch.
     Installing,
-    /// A majority has begun, and the others have begun or ended.
+    /// A majority has begun the epoch, and the others have begun it or their processes have ended.
     Settled,
 }
 
-/// Carries out the change to a group that the store has accepted.
+/// Performs the change to a group that is recorded in the store.
 ///
-/// Any number of daemons may do so at the same time, and each may stop at any point: no step depends on
-/// which of them takes it. Answers are collected from replies; [`Self::pending`] repeats what is missing.
+/// Any number of daemons may perform the same change concurrently, and each may stop at any point:
+/// the result of a step does not depend on which daemon takes it. [`Self::pending`] repeats the
+/// messages that were not answered.
 #[derive(Debug, Clone)]
 pub struct EpochChange {
     shard: ShardNumber,
     group: ClaimGroup,
-    sealed: BTreeMap<(GroupEpoch, ClaimMember), Option<CarriedState>>,
+    sealed: BTreeMap<(GroupEpoch, ClaimMember), Option<TransferredState>>,
     ended: BTreeSet<ClaimMember>,
     installed: BTreeSet<ClaimMember>,
 }
 
 impl EpochChange {
-    /// A change to `group`, which must be read from the store's map. `ended` are lives that are over for
-    /// certain.
+    /// Starts the change to `group`, which must have been read from the map in the store. `ended`
+    /// lists members whose processes have certainly ended.
     #[must_use]
     pub const fn new(shard: ShardNumber, group: ClaimGroup, ended: BTreeSet<ClaimMember>) -> Self {
         Self {
@@ -55,13 +57,13 @@
         }
     }
 
-    /// The epoch that the change leads to.
+    /// Epoch that the change installs.
     #[must_use]
     pub const fn epoch(&self) -> GroupEpoch {
         self.group.epoch
     }
 
-    /// How far the change has come.
+    /// Current phase of the change.
     #[must_use]
     pub fn progress(&self) -> EpochChangeProgress {
         let members = &self.group.members;
@@ -69,20 +71,20 @@
             |member: &ClaimMember| self.installed.contains(member) || self.ended.contains(member);
         if self.installed.len() >= MAJORITY && members.iter().all(done) {
             EpochChangeProgress::Settled
-        } else if self.previous_are_over() {
+        } else if self.previous_groups_closed() {
             EpochChangeProgress::Installing
         } else {
             EpochChangeProgress::Sealing
         }
     }
 
-    /// A life is over for certain.
+    /// Records that the process of `member` has certainly ended.
     pub fn ended(&mut self, member: ClaimMember) -> Vec<EpochChangeAction> {
         self.ended.insert(member);
         self.pending()
     }
 
-    /// Takes a reply.
+    /// Handles a reply. Returns the next actions if the change has entered another phase.
     pub fn reply(&mut self, reply: ClaimReply) -> Vec<EpochChangeAction> {
         let before = self.progress();
         match reply {
@@ -109,43 +111,49 @@
         self.pending()
     }
 
-    /// What has to be sent (again) now. To be asked for at the start and at intervals.
+    /// Returns the actions that are still required. Must be called at the start and periodically,
+    /// to repeat unanswered messages.
     #[must_use]
     pub fn pending(&self) -> Vec<EpochChangeAction> {
         match self.progress() {
-            EpochChangeProgress::Sealing => self.seals(),
-            EpochChangeProgress::Installing => self.installs(),
+            EpochChangeProgress::Sealing => self.seal_messages(),
+            EpochChangeProgress::Installing => self.install_messages(),
             EpochChangeProgress::Settled => vec![EpochChangeAction::Settle],
         }
     }
 
-    fn previous_are_over(&self) -> bool {
+    fn previous_groups_closed(&self) -> bool {
         match self.group.origin {
             GroupOrigin::Transferred => {
                 let source = self.group.previous.last();
-                source.is_some_and(|source| self.reports(source).len() >= MAJORITY)
+                source.is_some_and(|source| self.transferable_states(source).len() >= MAJORITY)
             }
             GroupOrigin::First => true,
-            GroupOrigin::Fresh => self.group.previous.iter().all(|group| self.is_over(group)),
+            GroupOrigin::Fresh => self
+                .group
+                .previous
+                .iter()
+                .all(|group| self.is_closed(group)),
         }
     }
 
-    /// Whether nobody can win in a group any more: a majority was sealed or has ended.
-    fn is_over(&self, group: &PreviousGroup) -> bool {
-        let out = |member: &&ClaimMember| {
+    /// Whether no claimant can win in a group any more: a majority of its members was sealed or has
+    /// ended.
+    fn is_closed(&self, group: &PreviousGroup) -> bool {
+        let cannot_vote = |member: &&ClaimMember| {
             self.ended.contains(member) || self.sealed.contains_key(&(group.epoch, **member))
         };
-        group.members.iter().filter(out).count() >= MAJORITY
+        group.members.iter().filter(cannot_vote).count() >= MAJORITY
     }
 
-    /// What the sealed members keep that had begun the group's epoch.
-    fn reports(&self, group: &PreviousGroup) -> Vec<&CarriedState> {
+    /// States of the sealed members that had begun the group's epoch.
+    fn transferable_states(&self, group: &PreviousGroup) -> Vec<&TransferredState> {
         let of_member = |member: &ClaimMember| self.sealed.get(&(group.epoch, *member));
-        let reports = group.members.iter().filter_map(of_member);
-        reports.filter_map(Option::as_ref).collect()
+        let transferable_states = group.members.iter().filter_map(of_member);
+        transferable_states.filter_map(Option::as_ref).collect()
     }
 
-    fn seals(&self) -> Vec<EpochChangeAction> {
+    fn seal_messages(&self) -> Vec<EpochChangeAction> {
         let mut actions = Vec::new();
         for group in &self.group.previous {
             for &to in &group.members {
@@ -161,19 +169,19 @@
         actions
     }
 
-    fn installs(&self) -> Vec<EpochChangeAction> {
-        let state = self.carried();
+    fn install_messages(&self) -> Vec<EpochChangeAction> {
+        let state = self.transferred();
         let missing = self
             .group
             .members
             .iter()
             .filter(|to| !self.installed.contains(to));
         missing
-            .map(|&to| EpochChangeAction::Send(self.install(to, state.clone())))
+            .map(|&to| EpochChangeAction::Send(self.install_message(to, state.clone())))
             .collect()
     }
 
-    fn install(&self, to: ClaimMember, state: CarriedState) -> ClaimMessage {
+    fn install_message(&self, to: ClaimMember, state: TransferredState) -> ClaimMessage {
         let shard = self.shard;
         let epoch = self.group.epoch;
         match self.group.origin {
@@ -192,15 +200,16 @@
         }
     }
 
-    /// The union of what the sealed members keep. A winner has the key at two of three members, so at one
-    /// of any two that were sealed: it is in here, and nobody else can win.
-    fn carried(&self) -> CarriedState {
+    /// Union of the states of the sealed members. A winner holds its key at two of three members,
+    /// hence at one of any two sealed members. The union therefore contains every winner's claim,
+    /// and no other claimant can win its key.
+    fn transferred(&self) -> TransferredState {
         let Some(source) = self.group.previous.last() else {
-            return CarriedState::default();
+            return TransferredState::default();
         };
-        let mut merged: IndexMap<ClaimKey, CarriedClaim> = IndexMap::new();
+        let mut merged: IndexMap<ClaimKey, TransferredClaim> = IndexMap::new();
         let mut quarantine_left_us = 0;
-        for state in self.reports(source) {
+        for state in self.transferable_states(source) {
             quarantine_left_us = quarantine_left_us.max(state.quarantine_left_us);
             for claim in &state.claims {
                 match merged.get_mut(&claim.key) {
@@ -211,18 +220,18 @@
                 }
             }
         }
-        CarriedState {
+        TransferredState {
             claims: merged.into_values().collect(),
             quarantine_left_us,
         }
     }
 }
 
-/// Joins what two members hold for one key.
-fn merge(into: &mut CarriedClaim, other: &CarriedClaim) {
+/// Merges the claims of two members for the same key.
+fn merge(into: &mut TransferredClaim, other: &TransferredClaim) {
     into.remaining_us = into.remaining_us.max(other.remaining_us);
     let is_completed =
-        |claim: &CarriedClaim| matches!(claim.held.state, ClaimState::Completed { .. });
+        |claim: &TransferredClaim| matches!(claim.held.state, ClaimState::Completed { .. });
     if is_completed(into) {
         return;
     }
--- a/crates/core/src/claims/identity.rs
+++ b/crates/core/src/claims/identity.rs
@@ -1,4 +1,4 @@
-//! Identities that claims are made of.
+//! Identifiers used by claims.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
@@ -6,14 +6,15 @@
 
 use crate::{Incarnation, MachineId, RequestId, ServiceName, TenantName};
 
-/// An idempotency key of one tenant and service, as a hash.
+/// Hash of an idempotency key, its tenant and its service.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct ClaimKey(pub u128);
 
 impl ClaimKey {
-    /// The key of a caller's `Idempotency-Key`. Each part is followed by a byte that no name holds.
+    /// Hashes the value of a caller's `Idempotency-Key` header. The names are terminated by a zero
+    /// byte, which no name contains, so that different parts cannot give the same input.
     #[must_use]
     pub fn new(tenant: &TenantName, service: &ServiceName, idempotency_key: &[u8]) -> Self {
         let mut hash = Xxh3::new();
@@ -43,7 +44,7 @@
 )]
 pub struct ShardNumber(pub u32);
 
-/// Counts the changes of one group.
+/// Number of a group's epoch. It grows by one with each change of the group's members.
 #[derive(
     Debug,
     Clone,
@@ -69,7 +70,8 @@
     }
 }
 
-/// One life of a daemon as a member of a group. After a restart it is another one.
+/// A daemon process as a member of a group. After a restart the daemon is another member, since it
+/// has lost its claims.
 #[derive(
     Debug,
     Clone,
@@ -85,28 +87,28 @@
     Deserialize,
 )]
 pub struct ClaimMember {
-    /// The daemon.
+    /// Machine that the daemon runs on.
     pub machine: MachineId,
-    /// Its life.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
 }
 
-/// Who claims: one request at one life of a daemon, in one round.
+/// Identifies a claimant: a request at a daemon process, in one round.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct ClaimantId {
-    /// The daemon.
+    /// Daemon process that claims the key.
     pub daemon: ClaimMember,
-    /// The request. The daemon draws it anew for each submission. An id that a caller chose must never
-    /// stand here: two submissions with the same one would be taken for one claimant, and both win.
+    /// Request id that the daemon generates for each submission. It must never be an id chosen by a
+    /// caller: two submissions with the same id would count as one claimant, and both could win.
     pub request: RequestId,
-    /// The round; a later one takes the place of the earlier ones.
+    /// Round of the claim. A later round supersedes the earlier ones.
     pub round: u32,
 }
 
 impl ClaimantId {
-    /// Whether this is the same request in a later round. The earlier one will never dispatch.
+    /// Whether this is the same request in a later round than `earlier`, which will never dispatch.
     #[must_use]
     pub fn supersedes(&self, earlier: &Self) -> bool {
         self.daemon == earlier.daemon
--- a/crates/core/src/claims/message.rs
+++ b/crates/core/src/claims/message.rs
@@ -1,145 +1,145 @@
-//! Messages to the members of a group, and their replies.
+//! Messages to the members of a claim group, and their replies.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use super::identity::{ClaimKey, ClaimMember, ClaimantId, GroupEpoch, ShardNumber};
 
-/// A small answer that is kept for repeats of its request.
+/// An answer that is kept for repeated requests with the same key.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ClaimAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Value of `Content-Type`.
     pub content_type: String,
-    /// The body.
+    /// Body of the answer.
     pub body: Vec<u8>,
 }
 
-/// How far the request of a key has come, as a member knows it.
+/// State of a key's request, as known to a member.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ClaimState {
-    /// Claimed: it may have been run, or may be running.
+    /// A claimant holds the key. Its request may be running or may have run.
     Claimed,
-    /// Several claimants may have won in an earlier epoch: nobody may win any more.
+    /// Any of several claimants may have won in an earlier epoch, so no claimant may win any more.
     Contested,
-    /// It ran.
+    /// The request ran.
     Completed {
         /// Its answer, unless it was too large to keep.
         answer: Option<ClaimAnswer>,
     },
 }
 
-/// Who holds a key at a member.
+/// Holder of a key at a member.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct HeldClaim {
-    /// The claimant (one of them when contested).
+    /// Claimant that holds the key; one of several if the key is contested.
     pub claimant: ClaimantId,
-    /// Fingerprint of its request's body.
+    /// Hash of the request's body.
     pub fingerprint: u64,
-    /// How far it has come.
+    /// State of the request.
     pub state: ClaimState,
 }
 
-/// A claim that goes from one epoch to the next.
+/// A claim transferred from one epoch to the next.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct CarriedClaim {
-    /// The key.
+pub struct TransferredClaim {
+    /// Key of the claim.
     pub key: ClaimKey,
-    /// Who holds it.
+    /// Holder of the key.
     pub held: HeldClaim,
-    /// How long it is kept from now on, in microseconds.
+    /// Remaining retention, in microseconds.
     pub remaining_us: u64,
 }
 
-/// What goes from one epoch to the next.
+/// State of a shard transferred from one epoch to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
-pub struct CarriedState {
-    /// The claims.
-    pub claims: Vec<CarriedClaim>,
-    /// What is left of a quarantine, in microseconds: a group that takes over from one in quarantine has
-    /// forgotten as much.
+pub struct TransferredState {
+    /// All claims that have not expired.
+    pub claims: Vec<TransferredClaim>,
+    /// Remaining quarantine, in microseconds. The claims that a group in quarantine has lost are
+    /// also unknown to its successor.
     pub quarantine_left_us: u64,
 }
 
-/// A message to one member of a group.
+/// A message to a member of a claim group.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ClaimMessage {
-    /// Asks for a key.
+    /// Requests the member's vote for a key.
     Claim {
         /// Shard of the key.
         shard: ShardNumber,
-        /// Epoch of the group that the claimant knows.
+        /// Epoch of the group, as known to the claimant.
         epoch: GroupEpoch,
-        /// The member that is meant.
+        /// Addressed member.
         to: ClaimMember,
-        /// The key.
+        /// Key to claim.
         key: ClaimKey,
-        /// Who asks.
+        /// Claimant that requests the vote.
         claimant: ClaimantId,
-        /// Fingerprint of the request's body.
+        /// Hash of the request's body.
         fingerprint: u64,
     },
-    /// Gives a key back: the claimant will never dispatch.
+    /// Withdraws a claim. The claimant will never dispatch its request.
     Withdraw {
         /// Shard of the key.
         shard: ShardNumber,
-        /// The member that is meant.
+        /// Addressed member.
         to: ClaimMember,
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
-        /// Who gives it back.
+        /// Claimant that withdraws.
         claimant: ClaimantId,
     },
-    /// Tells that the winner's request ran. Only the winner sends it.
+    /// Reports that the winner's request ran. Only the winner sends it.
     Complete {
         /// Shard of the key.
         shard: ShardNumber,
-        /// The member that is meant.
+        /// Addressed member.
         to: ClaimMember,
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
-        /// The winner.
+        /// Claimant that won the key.
         claimant: ClaimantId,
-        /// Fingerprint of the request's body.
+        /// Hash of the request's body.
         fingerprint: u64,
-        /// The answer, if it is small.
+        /// Answer to keep, unless it is too large.
         answer: Option<ClaimAnswer>,
     },
-    /// Ends an epoch at a member, and asks for its claims.
+    /// Ends an epoch at a member and requests its claims.
     Seal {
-        /// The shard.
+        /// Shard whose group changes.
         shard: ShardNumber,
-        /// The epoch that ends.
+        /// Epoch that ends.
         epoch: GroupEpoch,
-        /// The member that is meant.
+        /// Addressed member.
         to: ClaimMember,
     },
-    /// Begins an epoch at a member with the claims of the one before.
+    /// Begins an epoch at a member with the claims of the previous epoch.
     Install {
-        /// The shard.
+        /// Shard whose group changes.
         shard: ShardNumber,
-        /// The epoch that begins.
+        /// Epoch that begins.
         epoch: GroupEpoch,
-        /// The member that is meant.
+        /// Addressed member.
         to: ClaimMember,
-        /// What is carried over.
-        state: CarriedState,
+        /// State of the previous epoch.
+        state: TransferredState,
     },
     /// Begins an epoch at a member without claims.
     InstallFresh {
-        /// The shard.
+        /// Shard whose group changes.
         shard: ShardNumber,
-        /// The epoch that begins.
+        /// Epoch that begins.
         epoch: GroupEpoch,
-        /// The member that is meant.
+        /// Addressed member.
         to: ClaimMember,
-        /// Whether it refuses everything until what was forgotten is out of date.
+        /// Whether the member must refuse all claims until the lost ones would have expired.
         quarantined: bool,
     },
 }
 
 impl ClaimMessage {
-    /// The member that the message is meant for.
+    /// Member that the message is addressed to.
     #[must_use]
     pub const fn to(&self) -> ClaimMember {
         match self {
@@ -153,69 +153,70 @@
     }
 }
 
-/// Why a member has no vote. It may give one later, or under another epoch.
+/// Why a member does not vote. It may vote later, or in another epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Obstacle {
-    /// The member is not, or not yet, in this epoch, or no longer.
+pub enum VoteRefusal {
+    /// The member is in another epoch, or in none.
     OtherEpoch,
-    /// The epoch is being ended.
+    /// The epoch has been sealed at the member.
     Sealed,
-    /// The group started without the claims of the one before, and waits until they are out of date.
+    /// The group started without the claims of its predecessor and waits until those would have
+    /// expired.
     Quarantined {
-        /// How long still, in microseconds.
+        /// Remaining time, in microseconds.
         left_us: u64,
     },
-    /// The member keeps as many claims as it may.
+    /// The member keeps the maximum number of claims.
     Full,
-    /// This claimant gave the key back before.
+    /// This claimant has already withdrawn its claim.
     Withdrawn,
 }
 
-/// A member's answer to a claim.
+/// Answer of a member to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Vote {
     /// The claimant holds the key at this member.
     Granted,
-    /// Another one does.
+    /// Another claimant holds the key at this member.
     Held(HeldClaim),
-    /// There is no vote.
-    None(Obstacle),
+    /// The member does not vote.
+    None(VoteRefusal),
 }
 
-/// A reply of a member.
+/// Reply of a member to a [`ClaimMessage`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum ClaimReply {
-    /// To [`ClaimMessage::Claim`].
+    /// Reply to [`ClaimMessage::Claim`].
     Voted {
-        /// The member.
+        /// Replying member.
         from: ClaimMember,
-        /// The epoch of the claim.
+        /// Epoch of the claim.
         epoch: GroupEpoch,
-        /// The key.
+        /// Key of the claim.
         key: ClaimKey,
-        /// The claimant.
+        /// Claimant that requested the vote.
         claimant: ClaimantId,
-        /// The vote.
+        /// Vote of the member.
         vote: Vote,
     },
-    /// To [`ClaimMessage::Seal`]: the member will not vote in this epoch any more.
+    /// Reply to [`ClaimMessage::Seal`]. The member will never vote in this epoch again.
     Sealed {
-        /// The member.
+        /// Replying member.
         from: ClaimMember,
-        /// The shard.
+        /// Shard whose group changes.
         shard: ShardNumber,
-        /// The epoch.
+        /// Sealed epoch.
         epoch: GroupEpoch,
-        /// What it keeps; `None` when it had not begun the epoch, and now never will.
-        state: Option<CarriedState>,
+        /// Claims of the member; `None` if it had not begun the epoch, which it now never will.
+        state: Option<TransferredState>,
     },
-    /// To [`ClaimMessage::Install`] and [`ClaimMessage::InstallFresh`].
+    /// Reply to [`ClaimMessage::Install`] and [`ClaimMessage::InstallFresh`].
     Installed {
-        /// The member.
+        /// Replying member.
         from: ClaimMember,
-        /// The shard.
+        /// Shard whose group changes.
         shard: ShardNumber,
-        /// The epoch.
+        /// Epoch that the member has begun.
         epoch: GroupEpoch,
     },
 }
--- a/crates/core/src/claims/planning.rs
+++ b/crates/core/src/claims/planning.rs
@@ -1,4 +1,5 @@
-//! Planning the groups: rendezvous hashing over the live daemons, three zones, few moves.
+//! Planning of claim groups: rendezvous hashing over the live daemons, in three zones, with as few
+//! changes of members as possible.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,29 +9,31 @@
 use super::shard_map::{ClaimGroup, GROUP_SIZE, GroupOrigin, MAJORITY, PreviousGroup, ShardMap};
 use crate::ZoneName;
 
-/// A live daemon that may be a member.
+/// A live daemon that may be a member of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimCandidate {
-    /// The daemon's present life.
+    /// The daemon's current process.
     pub member: ClaimMember,
-    /// Its zone.
+    /// Zone of the daemon.
     pub zone: ZoneName,
 }
 
-/// What a plan is made from.
+/// Input of [`plan_shard_map`].
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ClaimPlanningInput {
-    /// Live daemons that are not about to leave.
+    /// Live daemons that are not leaving.
     pub live: Vec<ClaimCandidate>,
-    /// Lives that are over for certain: the machine has a later incarnation, or the platform took it off
-    /// its list. Silence alone never counts: the member may be cut off and still voting.
+    /// Members whose processes have certainly ended: the machine has a later incarnation, or was
+    /// removed from the platform's machine list. A member must not be listed just because it does
+    /// not answer: it may be partitioned and still voting.
     pub ended: BTreeSet<ClaimMember>,
 }
 
-/// Plans the next map. Returns `None` when nothing changes, or fewer than three daemons are live.
+/// Plans the next map. Returns `None` if nothing changes or fewer than three daemons are live.
 ///
-/// A group changes when one of its members is not live. It keeps its live members. While a change is
-/// under way the group is left alone, unless the change can never end: then it starts without claims.
+/// A group changes when one of its members is not live, and keeps its live members. While a change
+/// is in progress, no other is planned unless the first can never complete. In that case the group
+/// starts without claims.
 #[must_use]
 pub fn plan_shard_map(
     current: &ShardMap,
@@ -45,7 +48,7 @@
     if zones.len() < GROUP_SIZE {
         return None;
     }
-    // The number of shards is fixed with the first map: a key never moves to another shard.
+    // The first map fixes the number of shards, so that a key never moves to another shard.
     let count = match u32::try_from(current.shards.len()) {
         Ok(held) if held > 0 => held,
         _ => shard_count,
@@ -73,7 +76,7 @@
 fn first_group(shard: ShardNumber, zones: &BTreeMap<ClaimMember, &ZoneName>) -> Option<ClaimGroup> {
     Some(ClaimGroup {
         epoch: GroupEpoch(1),
-        members: fill(shard, Vec::new(), zones)?,
+        members: fill_group(shard, Vec::new(), zones)?,
         origin: GroupOrigin::First,
         previous: Vec::new(),
         settled: false,
@@ -92,8 +95,8 @@
         .copied()
         .filter(|member| zones.contains_key(member))
         .collect();
-    let is_whole = kept.len() == GROUP_SIZE;
-    let origin = if group.settled && is_whole {
+    let is_complete = kept.len() == GROUP_SIZE;
+    let origin = if group.settled && is_complete {
         return None;
     } else if group.settled {
         origin_after_settled(group, ended)
@@ -107,7 +110,7 @@
     });
     Some(ClaimGroup {
         epoch: group.epoch.next(),
-        members: fill(shard, kept, zones)?,
+        members: fill_group(shard, kept, zones)?,
         origin,
         previous,
         settled: false,
@@ -115,27 +118,27 @@
 }
 
 fn origin_after_settled(group: &ClaimGroup, ended: &BTreeSet<ClaimMember>) -> GroupOrigin {
-    if is_lost(&group.members, ended) {
+    if majority_ended(&group.members, ended) {
         GroupOrigin::Fresh
     } else {
         GroupOrigin::Transferred
     }
 }
 
-/// A change under way is given up only when it can never end: the claims to be carried over are lost, or
-/// so many of the new members that they might forget claims made since.
+/// A change in progress is replaced only if the claims to transfer are lost, or if a majority of
+/// the new members has ended, which may have granted claims in the meantime.
 fn origin_after_unsettled(
     group: &ClaimGroup,
     ended: &BTreeSet<ClaimMember>,
 ) -> Option<GroupOrigin> {
     let source = group.previous.last();
     let source_lost = group.origin == GroupOrigin::Transferred
-        && source.is_some_and(|source| is_lost(&source.members, ended));
-    let lost = source_lost || is_lost(&group.members, ended);
+        && source.is_some_and(|source| majority_ended(&source.members, ended));
+    let lost = source_lost || majority_ended(&group.members, ended);
     lost.then_some(GroupOrigin::Fresh)
 }
 
-fn is_lost(members: &[ClaimMember; GROUP_SIZE], ended: &BTreeSet<ClaimMember>) -> bool {
+fn majority_ended(members: &[ClaimMember; GROUP_SIZE], ended: &BTreeSet<ClaimMember>) -> bool {
     members
         .iter()
         .filter(|member| ended.contains(member))
@@ -143,14 +146,14 @@
         >= MAJORITY
 }
 
-/// Fills a group up to three, from zones that it does not have yet where possible.
-fn fill(
+/// Adds members up to [`GROUP_SIZE`], from zones that the group does not have yet where possible.
+fn fill_group(
     shard: ShardNumber,
     mut members: Vec<ClaimMember>,
     zones: &BTreeMap<ClaimMember, &ZoneName>,
 ) -> Option<[ClaimMember; GROUP_SIZE]> {
     let mut ranked: Vec<ClaimMember> = zones.keys().copied().collect();
-    ranked.sort_by_key(|member| std::cmp::Reverse(weight(shard, *member)));
+    ranked.sort_by_key(|member| std::cmp::Reverse(rendezvous_weight(shard, *member)));
     while members.len() < GROUP_SIZE {
         let taken: BTreeSet<&ZoneName> = members
             .iter()
@@ -164,8 +167,9 @@
     members.try_into().ok()
 }
 
-/// Rendezvous weight. It goes by the machine, so that a restart moves as little as possible.
-fn weight(shard: ShardNumber, member: ClaimMember) -> u64 {
+/// Weight for rendezvous hashing. It depends on the machine and not on the incarnation, so that a
+/// restart changes as few groups as possible.
+fn rendezvous_weight(shard: ShardNumber, member: ClaimMember) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(&shard.0.to_le_bytes());
     hash.update(&member.machine.0.to_le_bytes());
--- a/crates/core/src/claims/replica.rs
+++ b/crates/core/src/claims/replica.rs
@@ -1,4 +1,4 @@
-//! One member: it keeps the claims of the shards whose groups it belongs to.
+//! Member of claim groups, which keeps the claims of its shards.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,18 +6,19 @@
 
 use super::identity::{ClaimKey, ClaimMember, ClaimantId, GroupEpoch, ShardNumber};
 use super::message::{
-    CarriedClaim, CarriedState, ClaimAnswer, ClaimMessage, ClaimReply, ClaimState, HeldClaim,
-    Obstacle, Vote,
+    ClaimAnswer, ClaimMessage, ClaimReply, ClaimState, HeldClaim, TransferredClaim,
+    TransferredState, Vote, VoteRefusal,
 };
 use super::settings::ClaimSettings;
 use crate::Timestamp;
 
-/// Withdrawals remembered of one key, against claims that arrive after them.
-const WITHDRAWALS_OF_A_KEY: usize = 4;
+/// Latest withdrawals kept for a key. A claim that arrives after its withdrawal must not be
+/// granted.
+const MAXIMUM_WITHDRAWALS_PER_KEY: usize = 4;
 
 #[derive(Debug, Clone)]
 struct Record {
-    /// `None` after the holder gave the key back.
+    /// `None` after the holder withdrew its claim.
     held: Option<HeldClaim>,
     withdrawn: VecDeque<ClaimantId>,
     expires_at: Timestamp,
@@ -25,28 +26,27 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum Status {
-    /// Began no epoch yet.
+    /// No epoch has begun at this member.
     #[default]
-    NotBegun,
-    /// Votes, once it is out of quarantine.
+    NotInstalled,
+    /// The member votes, once the quarantine has ended.
     Open,
-    /// Votes no more in this epoch.
+    /// The member does not vote in this epoch any more.
     Sealed,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Shard {
-    /// The last epoch that was begun here.
+    /// Latest epoch that has begun at this member.
     epoch: GroupEpoch,
     status: Status,
-    /// End of the quarantine.
-    opens_at: Timestamp,
-    /// Epochs up to this one were sealed: they are not begun any more.
-    sealed_through: GroupEpoch,
+    quarantine_ends_at: Timestamp,
+    /// Epochs up to this one were sealed and must not begin any more.
+    sealed_up_to: GroupEpoch,
     records: IndexMap<ClaimKey, Record>,
 }
 
-/// The claims that one life of a daemon keeps. Nothing of it outlives the process.
+/// Claims kept by a daemon process, in memory only.
 #[derive(Debug, Clone)]
 pub struct ClaimReplica {
     settings: ClaimSettings,
@@ -56,7 +56,7 @@
 }
 
 impl ClaimReplica {
-    /// A member that keeps nothing and votes nowhere yet.
+    /// Creates a member without claims, which does not vote until an epoch is installed.
     #[must_use]
     pub const fn new(settings: ClaimSettings, own: ClaimMember) -> Self {
         Self {
@@ -67,14 +67,14 @@
         }
     }
 
-    /// Claims kept.
+    /// Number of claims kept, including withdrawn ones.
     #[must_use]
     pub const fn record_count(&self) -> usize {
         self.records
     }
 
-    /// Takes a message. One that is meant for another daemon or life is dropped: its sender must not
-    /// take this life for a member.
+    /// Handles a message. A message to another daemon or incarnation is ignored, since its sender
+    /// must not count this process as that member.
     pub fn handle(&mut self, now: Timestamp, message: ClaimMessage) -> Option<ClaimReply> {
         if message.to() != self.own {
             return None;
@@ -140,7 +140,7 @@
             } => {
                 let quarantine = self.settings.quarantine().as_micros();
                 let quarantine = u64::try_from(quarantine).unwrap_or(u64::MAX);
-                let state = CarriedState {
+                let state = TransferredState {
                     claims: Vec::new(),
                     quarantine_left_us: if quarantined { quarantine } else { 0 },
                 };
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Forgets what is older than the retention. To be called now and then.
+    /// Removes claims whose retention has ended. Must be called periodically.
     pub fn remove_expired(&mut self, now: Timestamp) {
         for shard in self.shards.values_mut() {
             shard.records.retain(|_, record| record.expires_at > now);
@@ -173,14 +173,14 @@
             .get_mut(&shard)
             .filter(|state| state.epoch == epoch)
         else {
-            return Vote::None(Obstacle::OtherEpoch);
+            return Vote::None(VoteRefusal::OtherEpoch);
         };
         if state.status != Status::Open {
-            return Vote::None(Obstacle::Sealed);
+            return Vote::None(VoteRefusal::Sealed);
         }
-        if now < state.opens_at {
-            let left_us = state.opens_at.0 - now.0;
-            return Vote::None(Obstacle::Quarantined { left_us });
+        if now < state.quarantine_ends_at {
+            let left_us = state.quarantine_ends_at.0 - now.0;
+            return Vote::None(VoteRefusal::Quarantined { left_us });
         }
         let record = state
             .records
@@ -193,7 +193,7 @@
         };
         let Some(record) = record else {
             if is_full {
-                return Vote::None(Obstacle::Full);
+                return Vote::None(VoteRefusal::Full);
             }
             let record = Record {
                 held: Some(claimed),
@@ -205,8 +205,12 @@
             }
             return Vote::Granted;
         };
-        if record.withdrawn.iter().any(|gone| *gone == claimant) {
-            return Vote::None(Obstacle::Withdrawn);
+        if record
+            .withdrawn
+            .iter()
+            .any(|withdrawn_claimant| *withdrawn_claimant == claimant)
+        {
+            return Vote::None(VoteRefusal::Withdrawn);
         }
         match &record.held {
             Some(held) if !may_replace(held, &claimant) => Vote::Held(held.clone()),
@@ -243,20 +247,21 @@
             self.records += 1;
         }
         let record = &mut state.records[&key];
-        let gives_back = record
+        let withdraws_held = record
             .held
             .as_ref()
             .is_some_and(|held| held.claimant == claimant && held.state == ClaimState::Claimed);
-        if gives_back {
+        if withdraws_held {
             record.held = None;
         }
         record.withdrawn.push_back(claimant);
-        if record.withdrawn.len() > WITHDRAWALS_OF_A_KEY {
+        if record.withdrawn.len() > MAXIMUM_WITHDRAWALS_PER_KEY {
             record.withdrawn.pop_front();
         }
     }
 
-    /// Only a winner completes, so whatever else is held here cannot have won.
+    /// Only a winner sends a completion, so any other claimant that holds the key here cannot have
+    /// won.
     fn complete(
         &mut self,
         now: Timestamp,
@@ -298,25 +303,25 @@
         }
     }
 
-    /// Ends an epoch here. A member that is in a later one has left this one already; what it keeps now
-    /// includes what had to be carried over. One that has not begun it never will.
+    /// Seals an epoch. A member in a later epoch has already left this one, and its claims include
+    /// those transferred from it. A member that has not begun the epoch never will.
     fn seal(
         &mut self,
         now: Timestamp,
         shard: ShardNumber,
         epoch: GroupEpoch,
-    ) -> Option<CarriedState> {
+    ) -> Option<TransferredState> {
         let state = self.shards.entry(shard).or_default();
-        state.sealed_through = state.sealed_through.max(epoch);
+        state.sealed_up_to = state.sealed_up_to.max(epoch);
         if state.epoch < epoch {
             return None;
         }
         if state.epoch == epoch && state.status == Status::Open {
             state.status = Status::Sealed;
         }
-        Some(CarriedState {
-            claims: carried(now, &state.records),
-            quarantine_left_us: state.opens_at.0.saturating_sub(now.0),
+        Some(TransferredState {
+            claims: transferred(now, &state.records),
+            quarantine_left_us: state.quarantine_ends_at.0.saturating_sub(now.0),
         })
     }
 
@@ -325,7 +330,7 @@
         now: Timestamp,
         shard: ShardNumber,
         epoch: GroupEpoch,
-        carried: CarriedState,
+        transferred: TransferredState,
     ) -> Option<ClaimReply> {
         let installed = ClaimReply::Installed {
             from: self.own,
@@ -333,13 +338,13 @@
             epoch,
         };
         let state = self.shards.entry(shard).or_default();
-        if state.epoch == epoch && state.status != Status::NotBegun {
+        if state.epoch == epoch && state.status != Status::NotInstalled {
             return Some(installed);
         }
-        if epoch <= state.epoch || epoch <= state.sealed_through {
+        if epoch <= state.epoch || epoch <= state.sealed_up_to {
             return None;
         }
-        let records = carried.claims.into_iter().map(|claim| {
+        let records = transferred.claims.into_iter().map(|claim| {
             let record = Record {
                 held: Some(claim.held),
                 withdrawn: VecDeque::new(),
@@ -349,13 +354,14 @@
         });
         state.epoch = epoch;
         state.status = Status::Open;
-        state.opens_at = Timestamp(now.0.saturating_add(carried.quarantine_left_us));
+        state.quarantine_ends_at = Timestamp(now.0.saturating_add(transferred.quarantine_left_us));
         state.records = records.collect();
         self.recount();
         Some(installed)
     }
 
-    /// Whether no further claim may be kept. What is in force is never dropped to make room.
+    /// Whether no further claim can be kept. Claims that have not expired must never be dropped to
+    /// make room.
     fn is_full(&mut self, now: Timestamp) -> bool {
         if self.records >= self.settings.maximum_claims {
             self.remove_expired(now);
@@ -368,18 +374,18 @@
     }
 }
 
-/// A key changes hands only to the same claimant, or to a later round of the same request.
+/// A claim may be replaced only by the same claimant, or by a later round of the same request.
 fn may_replace(held: &HeldClaim, claimant: &ClaimantId) -> bool {
     held.state == ClaimState::Claimed
         && (held.claimant == *claimant || claimant.supersedes(&held.claimant))
 }
 
-fn carried(now: Timestamp, records: &IndexMap<ClaimKey, Record>) -> Vec<CarriedClaim> {
+fn transferred(now: Timestamp, records: &IndexMap<ClaimKey, Record>) -> Vec<TransferredClaim> {
     let in_force = records.iter().filter(|(_, record)| record.expires_at > now);
     in_force
         .filter_map(|(key, record)| {
             let remaining = record.expires_at.since(now).as_micros();
-            Some(CarriedClaim {
+            Some(TransferredClaim {
                 key: *key,
                 held: record.held.clone()?,
                 remaining_us: u64::try_from(remaining).unwrap_or(u64::MAX),
--- a/crates/core/src/claims/settings.rs
+++ b/crates/core/src/claims/settings.rs
@@ -2,26 +2,28 @@
 
 use std::time::Duration;
 
-/// Settings of claims. They have to be the same at all daemons.
+/// Settings of claims. They must be the same on all daemons.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClaimSettings {
-    /// Time from the start of a claim in which a winner must begin its dispatch, by its own clock.
+    /// Time from the start of a claim within which the winner must begin its dispatch, by its own
+    /// clock.
     pub dispatch_validity: Duration,
-    /// Longest time that a dispatched request may run; the back end gets it as the deadline.
+    /// Longest time that a dispatched request may run; passed to the back end as the deadline.
     pub longest_deadline: Duration,
-    /// How long a member keeps a claim after it was made or completed. Callers may repeat a key as long.
+    /// How long a member keeps a claim after it was granted or completed. Within this time,
+    /// repeated requests with the same key are recognized.
     pub retention: Duration,
-    /// How far the clocks of two machines may run apart, as a share of the elapsed time.
+    /// Largest drift between the clocks of two machines, as a share of the elapsed time.
     pub clock_drift: f64,
-    /// Time in which the members have to answer.
+    /// Time within which the members must answer a claim.
     pub answer_timeout: Duration,
-    /// Rounds when claimants split the votes.
+    /// Number of rounds to try when the votes are split between claimants.
     pub rounds: u32,
-    /// Longest wait before a further round; the wait is drawn at random.
+    /// Longest delay before another round; the delay is random.
     pub round_delay: Duration,
-    /// Claims that one member keeps in all; a full one refuses.
+    /// Most claims that a member keeps over all shards. A full member refuses new claims.
     pub maximum_claims: usize,
-    /// Largest answer that is kept, in bytes.
+    /// Largest answer body that is kept for repeated requests, in bytes.
     pub maximum_answer_bytes: usize,
 }
 
@@ -41,21 +43,21 @@
     }
 }
 
-/// The retention is too short for the other settings.
+/// The retention is too short: a claim could be removed while its request is still running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the retention of claims is {retention:?}; set it to more than {needed:?}")]
 pub struct InvalidClaimSettings {
-    /// The retention that was set.
+    /// Configured retention.
     pub retention: Duration,
-    /// Dispatch validity and longest deadline, with the clock drift.
+    /// Sum of the dispatch validity and the longest deadline, extended by the clock drift.
     pub needed: Duration,
 }
 
 impl ClaimSettings {
-    /// Checks that a claim is kept longer than its request can start and run.
+    /// Checks that a claim is kept until its request can no longer start or run.
     ///
     /// # Errors
-    /// [`InvalidClaimSettings`] when it is not.
+    /// [`InvalidClaimSettings`] if the retention is too short.
     pub fn check(&self) -> Result<(), InvalidClaimSettings> {
         let active = self.dispatch_validity + self.longest_deadline;
         let needed = active.mul_f64(1.0 + self.clock_drift);
@@ -68,8 +70,8 @@
         })
     }
 
-    /// How long a group that starts without the claims of the one before refuses everything: as long as
-    /// those would have been kept, with the clock drift.
+    /// How long a group that starts without the claims of its predecessor refuses all claims: the
+    /// retention, extended by the clock drift, after which the lost claims would have expired.
     #[must_use]
     pub fn quarantine(&self) -> Duration {
         self.retention.mul_f64(1.0 + self.clock_drift)
--- a/crates/core/src/claims/shard_map.rs
+++ b/crates/core/src/claims/shard_map.rs
@@ -1,68 +1,71 @@
-//! Which daemons keep the claims of which keys.
+//! Assignment of keys to shards, and of shards to the daemons that keep their claims.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
 use super::identity::{ClaimKey, ClaimMember, GroupEpoch, ShardNumber};
 
-/// Members of a group.
+/// Number of members of a group.
 pub const GROUP_SIZE: usize = 3;
-/// Members that make a majority.
+/// Number of members that form a majority. Any two majorities have a member in common.
 pub const MAJORITY: usize = 2;
 
-/// Where the claims of a group's epoch come from.
+/// Origin of the claims with which a group begins its epoch.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum GroupOrigin {
-    /// There are none: it is the first group of the shard.
+    /// The group is the first of its shard and begins without claims.
     First,
-    /// From a majority of the group before.
+    /// The claims are transferred from a majority of the previous group.
     Transferred,
-    /// They are lost with the majority of a group before. It starts with a quarantine.
+    /// The claims were lost with the majority of a previous group. The group begins without claims
+    /// and in quarantine.
     Fresh,
 }
 
-/// A group before, kept in the map until the new one has begun.
+/// A previous group, kept in the map until the new group is settled.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize, Serialize, Deserialize,
 )]
 pub struct PreviousGroup {
-    /// Its epoch.
+    /// Epoch of the group.
     pub epoch: GroupEpoch,
-    /// Its members.
+    /// Members of the group.
     pub members: [ClaimMember; GROUP_SIZE],
 }
 
-/// The group of one shard.
+/// Group that keeps the claims of a shard.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize, Serialize, Deserialize)]
 pub struct ClaimGroup {
     /// Grows by one with each change of this group.
     pub epoch: GroupEpoch,
-    /// Its members.
+    /// Members of the group.
     pub members: [ClaimMember; GROUP_SIZE],
-    /// Where its claims come from.
+    /// Origin of the claims with which the group begins.
     pub origin: GroupOrigin,
-    /// The groups before that must be over before this one begins, the latest last. Empty once settled.
+    /// Previous groups that must be closed before this one begins, the latest last. Empty once the
+    /// group is settled.
     pub previous: Vec<PreviousGroup>,
-    /// Whether every member has begun or ended, and a majority has begun. Set in the map by the daemon that carried out the change.
+    /// Whether a majority of the members has begun the epoch, and each other member has begun it or
+    /// its process has ended. Set in the map by the daemon that performed the change.
     pub settled: bool,
 }
 
-/// The groups of all shards. It is changed in the store by compare-and-swap only.
+/// Groups of all shards. The map in the store must be changed only by compare-and-swap.
 #[derive(
     Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize, Serialize, Deserialize,
 )]
 pub struct ShardMap {
-    /// Grows with each change of the map.
+    /// Version of the map; grows with each change.
     pub epoch: u64,
-    /// Group of each shard, by its number.
+    /// Group of each shard, indexed by shard number.
     pub shards: Vec<ClaimGroup>,
 }
 
 impl ShardMap {
-    /// Shard of a key; `None` in an empty map.
+    /// Shard of a key; `None` if the map is empty.
     #[must_use]
     pub fn shard_of(&self, key: ClaimKey) -> Option<ShardNumber> {
         let count = u128::try_from(self.shards.len())
@@ -71,22 +74,23 @@
         u32::try_from(key.0 % count).ok().map(ShardNumber)
     }
 
-    /// Group of a shard.
+    /// Group of a shard; `None` if the map does not have the shard.
     #[must_use]
     pub fn group(&self, shard: ShardNumber) -> Option<&ClaimGroup> {
         self.shards.get(usize::try_from(shard.0).ok()?)
     }
 
-    /// Whether a daemon's life keeps claims in a group of the map, or in one that is not over yet.
+    /// Whether `member` belongs to a current group, or to a previous group that is not closed yet.
     #[must_use]
     pub fn involves(&self, member: ClaimMember) -> bool {
         self.shards.iter().any(|group| {
-            let is_before = |previous: &PreviousGroup| previous.members.contains(&member);
-            group.members.contains(&member) || group.previous.iter().any(is_before)
+            let was_member = |previous: &PreviousGroup| previous.members.contains(&member);
+            group.members.contains(&member) || group.previous.iter().any(was_member)
         })
     }
 
-    /// The map after a change of one group was carried out; `None` when the group has changed since.
+    /// Returns the map with the group marked as settled; `None` if the group is no longer in
+    /// `epoch`.
     #[must_use]
     pub fn with_settled(&self, shard: ShardNumber, epoch: GroupEpoch) -> Option<Self> {
         let mut map = self.clone();
--- a/crates/core/tests/request_claim_groups.rs
+++ b/crates/core/tests/request_claim_groups.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 
 use ponddrift_core::claims::{
-    CarriedState, ClaimCandidate, ClaimGroup, ClaimKey, ClaimMember, ClaimMessage,
-    ClaimPlanningInput, ClaimReplica, ClaimReply, ClaimSettings, ClaimantId, EpochChange,
-    EpochChangeAction, EpochChangeProgress, GroupEpoch, GroupOrigin, Obstacle, PreviousGroup,
-    ShardMap, ShardNumber, Vote, plan_shard_map,
+    ClaimCandidate, ClaimGroup, ClaimKey, ClaimMember, ClaimMessage, ClaimPlanningInput,
+    ClaimReplica, ClaimReply, ClaimSettings, ClaimantId, EpochChange, EpochChangeAction,
+    EpochChangeProgress, GroupEpoch, GroupOrigin, PreviousGroup, ShardMap, ShardNumber,
+    TransferredState, Vote, VoteRefusal, plan_shard_map,
 };
 use ponddrift_core::{
     Incarnation, MachineId, RequestId, ServiceName, TenantName, Timestamp, ZoneName,
@@ -32,7 +32,7 @@
         sealed,
         Some(ClaimReply::Sealed { state: None, .. })
     ));
-    let state = CarriedState::default();
+    let state = TransferredState::default();
     let late = ClaimMessage::Install {
         shard,
         epoch,
@@ -65,7 +65,7 @@
     };
     let reply = replica.handle(NOW, claim);
     let Some(ClaimReply::Voted {
-        vote: Vote::None(Obstacle::Quarantined { left_us }),
+        vote: Vote::None(VoteRefusal::Quarantined { left_us }),
         ..
     }) = reply
     else {
