--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,7 +1,7 @@
-//! Membership of daemons by gossip (SWIM with suspicion, incarnations and anti-entropy).
+//! Membership of daemons by gossip: SWIM with suspicion, incarnations and anti-entropy.
 //!
-//! [`Membership`] takes events and returns actions; the daemon's shell owns the socket and the clock.
-//! `docs/design/membership-and-load.md` gives the reasons and the cost.
+//! [`Membership`] handles events and returns actions; its caller owns the socket and the clock. See
+//! `docs/design/membership-and-load.md` for the rationale and the cost.
 
 pub mod assignment;
 mod contact;
--- a/crates/core/src/membership/assignment.rs
+++ b/crates/core/src/membership/assignment.rs
@@ -1,5 +1,5 @@
-//! Who does what, by rendezvous hashing over the live daemons: no agreement is needed, and a daemon
-//! that comes or goes moves only its own share.
+//! Assignment of tasks to daemons by rendezvous hashing over the live daemons. It needs no
+//! agreement, and a daemon that joins or leaves changes only its own share of the tasks.
 
 use std::collections::BTreeMap;
 
@@ -8,22 +8,22 @@
 use super::record::{MemberRecord, MemberState, Readiness};
 use crate::{CellName, MachineId, ZoneName};
 
-/// Whether the chosen should be spread over zones.
+/// Whether the selected daemons should be spread over zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneSpread {
-    /// The best scores win, wherever they are.
+    /// Select the best scores regardless of zones.
     Ignore,
-    /// A zone gets a second place only after each zone with a candidate has one.
+    /// Select a second daemon of a zone only after one of each zone that has candidates.
     Spread,
 }
 
-/// Score of a daemon for a key; the same on every daemon and in every run.
+/// Score of a daemon for a key. All daemons must compute the same score.
 #[must_use]
 pub fn score(key: &str, machine: MachineId) -> u64 {
     xxh3_64_with_seed(key.as_bytes(), u64::from(machine.0))
 }
 
-/// The `count` best daemons for `key`, best first.
+/// Returns the `count` daemons with the best scores for `key`, best first.
 #[must_use]
 pub fn rendezvous<'a>(
     key: &str,
@@ -32,7 +32,7 @@
     zone_spread: ZoneSpread,
 ) -> Vec<&'a MemberRecord> {
     let mut ranked = members.to_vec();
-    // Cached: a plain sort by key works the score out at each comparison.
+    // A sort without a cache would compute the score at each comparison.
     ranked.sort_by_cached_key(|member| (u64::MAX - score(key, member.machine), member.machine));
     if zone_spread == ZoneSpread::Spread {
         ranked = spread_over_zones(ranked);
@@ -41,7 +41,7 @@
     ranked
 }
 
-/// Reorders so that the best of each zone come first, then the second of each, and so on.
+/// Reorders so that the best daemon of each zone comes first, then the second of each, and so on.
 fn spread_over_zones(ranked: Vec<&MemberRecord>) -> Vec<&MemberRecord> {
     let mut seen: Vec<(&ZoneName, usize)> = Vec::new();
     let mut rounds: Vec<(usize, &MemberRecord)> = Vec::with_capacity(ranked.len());
@@ -62,7 +62,7 @@
     rounds.into_iter().map(|(_, member)| member).collect()
 }
 
-/// Daemons that are given work: alive and not leaving.
+/// Returns the daemons that can be assigned tasks: those that are alive and not leaving.
 #[must_use]
 pub fn workers<'a>(members: &[&'a MemberRecord]) -> Vec<&'a MemberRecord> {
     members
@@ -73,7 +73,8 @@
         .collect()
 }
 
-/// Daemons that poll an engine: up to `count` of its own zone, else of any zone.
+/// Returns up to `count` daemons that poll an engine: of its zone, or of any zone if its zone has
+/// none.
 #[must_use]
 pub fn pollers<'a>(
     engine: MachineId,
@@ -82,18 +83,18 @@
     count: usize,
 ) -> Vec<&'a MemberRecord> {
     let workers = workers(members);
-    let near: Vec<_> = workers
+    let in_zone: Vec<_> = workers
         .iter()
         .copied()
         .filter(|member| member.zone == *zone)
         .collect();
-    let candidates = if near.is_empty() { workers } else { near };
+    let candidates = if in_zone.is_empty() { workers } else { in_zone };
     let key = format!("poll/{engine}");
     rendezvous(&key, &candidates, count, ZoneSpread::Ignore)
 }
 
-/// The live daemons prepared for the question which engines one of them polls. It gives the same answer as
-/// [`pollers`] without sorting all daemons for each engine.
+/// Determines which engines a daemon polls. It gives the same result as [`pollers`] without sorting
+/// all daemons for each engine.
 #[derive(Debug)]
 pub struct PollerAssignment {
     own: MachineId,
@@ -102,7 +103,7 @@
 }
 
 impl PollerAssignment {
-    /// Prepares the assignment of `own` among the workers of `members`.
+    /// Prepares the assignment of the daemon `own` among the workers of `members`.
     #[must_use]
     pub fn new(own: MachineId, members: &[&MemberRecord]) -> Self {
         let mut assignment = Self {
@@ -116,8 +117,8 @@
         assignment
     }
 
-    /// Counts a daemon in that is expected but was not heard of yet. Without this a daemon that has just
-    /// started, and knows nobody, would poll every engine.
+    /// Adds a daemon that is expected but not known by gossip yet. Otherwise a daemon that has just
+    /// started, and knows no others, would poll every engine.
     pub fn expect(&mut self, machine: MachineId, zone: &ZoneName) {
         if !self.all.contains(&machine) {
             self.add(machine, zone);
@@ -129,8 +130,8 @@
         self.all.push(machine);
     }
 
-    /// Place of the own daemon among the pollers of an engine, 0 for the first; `None` when it is no
-    /// candidate. Whoever knows of no worker at all polls everything.
+    /// Rank of this daemon among the pollers of an engine, 0 for the first; `None` if it is no
+    /// candidate. A daemon that knows no worker at all polls every engine.
     #[must_use]
     pub fn rank(&self, engine: MachineId, zone: &ZoneName) -> Option<usize> {
         if self.all.is_empty() {
@@ -152,7 +153,7 @@
     }
 }
 
-/// Daemons of a zone that watch the store.
+/// Returns up to `count` daemons of a zone that watch the store.
 #[must_use]
 pub fn store_watchers<'a>(
     zone: &ZoneName,
@@ -166,7 +167,8 @@
     rendezvous("watch", &candidates, count, ZoneSpread::Ignore)
 }
 
-/// Order in which daemons of a cell's zones stand for its controller, best first.
+/// Returns the candidates for the controller of a cell in the order of their rank. They are of the
+/// cell's zones, or of any zone if those have none.
 #[must_use]
 pub fn controller_candidates<'a>(
     cell: &CellName,
@@ -175,18 +177,18 @@
     count: usize,
 ) -> Vec<&'a MemberRecord> {
     let workers = workers(members);
-    let near: Vec<_> = workers
+    let in_zone: Vec<_> = workers
         .iter()
         .copied()
         .filter(|member| zones.contains(&member.zone))
         .collect();
-    let candidates = if near.is_empty() { workers } else { near };
+    let candidates = if in_zone.is_empty() { workers } else { in_zone };
     let key = format!("controller/{cell}");
     rendezvous(&key, &candidates, count, ZoneSpread::Spread)
 }
 
-/// Daemons that route to a cell and so share its load digests: those of its zones, and `remote`
-/// others that serve its models while their own cells are full or away.
+/// Returns the daemons that route to a cell and therefore exchange its load digests: those of its
+/// zones, and `remote` others that use its models while their own cells are full or unreachable.
 #[must_use]
 pub fn cell_subscribers<'a>(
     cell: &CellName,
@@ -194,17 +196,17 @@
     members: &[&'a MemberRecord],
     remote: usize,
 ) -> Vec<&'a MemberRecord> {
-    let (mut near, far): (Vec<_>, Vec<_>) = members
+    let (mut in_zone, other_zones): (Vec<_>, Vec<_>) = members
         .iter()
         .copied()
         .filter(|member| member.state.is_live())
         .partition(|member| zones.contains(&member.zone));
     let key = format!("subscribe/{cell}");
-    near.extend(rendezvous(&key, &far, remote, ZoneSpread::Spread));
-    near
+    in_zone.extend(rendezvous(&key, &other_zones, remote, ZoneSpread::Spread));
+    in_zone
 }
 
-/// Place of `machine` in a ranked list, 0 for the first.
+/// Position of `machine` in a ranked list, 0 for the first.
 #[must_use]
 pub fn rank_of(machine: MachineId, ranked: &[&MemberRecord]) -> Option<usize> {
     ranked.iter().position(|member| member.machine == machine)
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -1,48 +1,50 @@
-//! Whether this daemon is in touch with its peers, judged by its latest probes.
+//! Detection of isolation from peers, by the outcomes of this daemon's latest probes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Number of latest probes that are judged.
-const JUDGED_PROBES: usize = 8;
-/// Older outcomes do not count.
+/// Number of latest probe outcomes that are evaluated.
+const MAXIMUM_OUTCOMES: usize = 8;
+/// Age after which an outcome is ignored.
 const OUTCOME_LIFETIME: Duration = Duration::from_secs(10);
 
-/// Whether this daemon reaches most of its peers.
+/// Whether this daemon reaches its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Contact {
-    /// No other daemon was ever known.
+    /// No other daemon has ever been known.
     Alone,
     /// More than half of the latest probes were answered.
     InContact,
-    /// It was cut off, or just woke: its view of the others is not to be trusted.
+    /// At most half of the latest probes were answered, or there were none since the start or since
+    /// the process was suspended. Its view of other daemons must not be trusted.
     Isolated,
 }
 
 /// Outcomes of the latest probes.
 #[derive(Debug, Default)]
-pub(super) struct ContactLog {
+pub(super) struct ProbeHistory {
     outcomes: VecDeque<(Timestamp, bool)>,
 }
 
-impl ContactLog {
-    /// Records the outcome of a probe that was *sent* at `sent`.
+impl ProbeHistory {
+    /// Records the outcome of a probe that was sent (not answered) at `sent`.
     pub fn record(&mut self, sent: Timestamp, answered: bool) {
         self.outcomes.push_back((sent, answered));
-        if self.outcomes.len() > JUDGED_PROBES {
+        if self.outcomes.len() > MAXIMUM_OUTCOMES {
             self.outcomes.pop_front();
         }
     }
 
-    /// Forgets all outcomes: after a freeze they say nothing.
+    /// Discards all outcomes, which say nothing about the present after a suspension of the
+    /// process.
     pub fn clear(&mut self) {
         self.outcomes.clear();
     }
 
-    /// Judges the outcomes.
-    pub fn judge(&self, now: Timestamp) -> Contact {
+    /// Evaluates the outcomes that are not too old.
+    pub fn evaluate(&self, now: Timestamp) -> Contact {
         let recent = self
             .outcomes
             .iter()
--- a/crates/core/src/membership/dissemination.rs
+++ b/crates/core/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Queue of updates that ride on other messages, each a bounded number of times.
+//! Queue of updates that are piggybacked on other messages, each a limited number of times.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use super::settings::MembershipSettings;
 use crate::MachineId;
 
-/// Bytes that the encoding of a list of updates takes besides the updates.
+/// Encoded size of a list of updates in addition to the updates, in bytes.
 const LIST_OVERHEAD_BYTES: usize = 16;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -16,43 +16,44 @@
 }
 
 #[derive(Debug, Clone)]
-struct Queued {
+struct QueuedUpdate {
     update: Update,
     bytes: usize,
     sent: u32,
-    arrival: u64,
+    push_number: u64,
 }
 
-/// At most one status and one facts update for each daemon; a newer one takes the older one's place.
+/// Queue with at most one status update and one facts update for each daemon. A newer update
+/// replaces the older one.
 #[derive(Debug, Default)]
 pub(super) struct UpdateQueue {
-    queued: BTreeMap<(MachineId, UpdateKind), Queued>,
-    arrivals: u64,
+    queued: BTreeMap<(MachineId, UpdateKind), QueuedUpdate>,
+    push_count: u64,
 }
 
 impl UpdateQueue {
-    /// Adds an update, to be sent from the beginning.
+    /// Adds an update and resets its number of transmissions.
     pub fn push(&mut self, update: Update) {
         let kind = match update {
             Update::Record(_) | Update::Claim { .. } => UpdateKind::Status,
             Update::Facts { .. } => UpdateKind::Facts,
         };
-        self.arrivals += 1;
-        let queued = Queued {
+        self.push_count += 1;
+        let queued = QueuedUpdate {
             bytes: borsh::object_length(&update).unwrap_or(usize::MAX),
             sent: 0,
-            arrival: self.arrivals,
+            push_number: self.push_count,
             update,
         };
         self.queued.insert((queued.update.member(), kind), queued);
     }
 
-    /// Whether nothing is left to tell.
+    /// Whether no update is left to send.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty()
     }
 
-    /// Takes updates for one message: least sent first, then newest, as many as fit.
+    /// Takes as many updates as fit in a message: those sent least often first, then the newest.
     pub fn take(
         &mut self,
         byte_limit: usize,
@@ -62,7 +63,14 @@
         let mut order: Vec<_> = self
             .queued
             .iter()
-            .map(|(key, queued)| (queued.sent, u64::MAX - queued.arrival, *key, queued.bytes))
+            .map(|(key, queued)| {
+                (
+                    queued.sent,
+                    u64::MAX - queued.push_number,
+                    *key,
+                    queued.bytes,
+                )
+            })
             .collect();
         order.sort_unstable();
         let mut room = byte_limit.saturating_sub(LIST_OVERHEAD_BYTES);
--- a/crates/core/src/membership/event.rs
+++ b/crates/core/src/membership/event.rs
@@ -1,4 +1,4 @@
-//! What membership takes and gives.
+//! Events that membership handles, and the actions that it returns.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,65 +7,67 @@
 use super::record::{DaemonFacts, Life, MemberRecord};
 use crate::{Incarnation, MachineId, Revision};
 
-/// A daemon that the machine list names.
+/// A daemon in the machine list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Seed {
-    /// Its machine.
+    /// Machine of the daemon.
     pub machine: MachineId,
-    /// Its peer address.
+    /// Address for messages of peers.
     pub address: SocketAddr,
 }
 
-/// What happened.
+/// Input of [`Membership::handle`](super::Membership::handle).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// Time passed; expected every 100 ms.
+    /// Periodic timer; expected every 100 ms.
     Tick,
-    /// A message came.
+    /// A message was received.
     Received {
-        /// Address it came from.
+        /// Address that the datagram came from.
         from: SocketAddr,
-        /// The sender that its datagram names.
+        /// Sender named by the datagram.
         sender: MachineId,
-        /// The sender's incarnation.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// The message.
+        /// Received message.
         message: MembershipMessage,
     },
-    /// The machine list was read. Only a hint: nobody becomes a member or stops being one by it.
+    /// The machine list was read. It is only a hint: no daemon becomes or ceases to be a member by
+    /// it.
     SeedsRead(Vec<Seed>),
-    /// Another configuration is in force here.
+    /// Another configuration is in force at this daemon.
     ConfigurationInForce(Revision),
-    /// This daemon became ready, or not ready.
+    /// The readiness of this daemon changed.
     ReadinessChanged(super::Readiness),
-    /// This daemon stops by plan: others are told.
+    /// This daemon is shutting down and must tell its peers.
     Leave,
 }
 
-/// What the shell must do.
+/// Action that the caller must perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Send a message.
     Send {
-        /// Whereto.
+        /// Address of the receiver.
         address: SocketAddr,
-        /// The message.
+        /// Message to send.
         message: MembershipMessage,
     },
-    /// A daemon's state changed or became known.
+    /// The state of a daemon changed or became known.
     MemberChanged(MemberRecord),
-    /// A daemon's facts changed.
+    /// The facts of a daemon changed.
     FactsChanged {
-        /// Which.
+        /// Machine of the daemon.
         member: MachineId,
-        /// Its facts.
+        /// New facts.
         facts: DaemonFacts,
     },
-    /// Others held this daemon for suspect or dead; it told them better.
+    /// Peers regarded this daemon as suspect, dead or left, and it sends a refutation.
     Refuted(Life),
-    /// A newer incarnation of this machine is known: this process must stop, or start again with a
+    /// A newer incarnation of this machine is known. This process must stop, or restart with a
     /// larger incarnation.
     Superseded(Incarnation),
-    /// This process was frozen: the shell is not ready until it has caught up.
+    /// This process was suspended for the given time. The daemon must not be ready until it has
+    /// caught up.
     WokeAfterFreeze(Duration),
 }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! The membership protocol as a state machine.
+//! State machine of the membership protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,23 +6,23 @@
 
 use rand::seq::SliceRandom;
 
-use super::contact::{Contact, ContactLog};
+use super::contact::{Contact, ProbeHistory};
 use super::dissemination::UpdateQueue;
 use super::event::{MembershipAction, MembershipEvent};
 use super::message::{MembershipMessage, Update};
-use super::prober::{Distance, Probe, ProbeStep, Prober};
+use super::prober::{Probe, ProbeStep, Prober, RegionScope};
 use super::record::{MemberRecord, MemberState, Readiness};
 use super::settings::MembershipSettings;
 use super::table::MemberTable;
 use crate::random::{SeededRandom, seeded};
 use crate::{MachineId, Revision, Timestamp};
 
-/// Seconds of the byte allowance that may be saved up.
-const ALLOWANCE_BURST_SECONDS: i64 = 6;
-/// Peers that are told at once when this daemon leaves.
+/// Largest byte budget, in seconds of [`MembershipSettings::bytes_per_second`].
+const BYTE_BUDGET_BURST_SECONDS: i64 = 6;
+/// Number of peers that are told immediately when this daemon leaves.
 const LEAVE_FANOUT: usize = 6;
 
-/// Membership as one daemon sees it.
+/// Membership as seen by one daemon.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) settings: MembershipSettings,
@@ -30,25 +30,25 @@
     pub(super) table: MemberTable,
     pub(super) queue: UpdateQueue,
     pub(super) prober: Prober,
-    pub(super) contact: ContactLog,
+    pub(super) contact: ProbeHistory,
     pub(super) seeds: BTreeMap<MachineId, SocketAddr>,
     pub(super) joining: bool,
-    pub(super) pass_brought_news: bool,
+    pub(super) pass_found_new_members: bool,
     pub(super) pull_after: Option<MachineId>,
     pub(super) random: SeededRandom,
     last_event: Option<Timestamp>,
     next_gossip: Timestamp,
     next_probe: Timestamp,
     next_pull: Timestamp,
-    pub(super) next_contact: Timestamp,
+    pub(super) next_reconnect: Timestamp,
     next_facts: Timestamp,
-    has_untold_facts: bool,
-    allowance: i64,
-    allowance_at: Timestamp,
+    has_unsent_facts: bool,
+    byte_budget: i64,
+    byte_budget_updated_at: Timestamp,
 }
 
 impl Membership {
-    /// Starts with no known peer. `own` carries the new incarnation; its state must be alive.
+    /// Starts without known peers. `own` must have a new incarnation and be alive.
     #[must_use]
     pub fn new(settings: MembershipSettings, own: MemberRecord, seed: u64) -> Self {
         let stream = format!("membership-{}", own.machine);
@@ -60,28 +60,28 @@
             table: MemberTable::default(),
             queue,
             prober: Prober::default(),
-            contact: ContactLog::default(),
+            contact: ProbeHistory::default(),
             seeds: BTreeMap::new(),
             joining: true,
-            pass_brought_news: false,
+            pass_found_new_members: false,
             pull_after: None,
             random: seeded(seed, &stream),
             last_event: None,
             next_gossip: Timestamp::ZERO,
             next_probe: Timestamp::ZERO,
             next_pull: Timestamp::ZERO,
-            next_contact: Timestamp::ZERO,
+            next_reconnect: Timestamp::ZERO,
             next_facts: Timestamp::ZERO,
-            has_untold_facts: false,
-            allowance: 0,
-            allowance_at: Timestamp::ZERO,
+            has_unsent_facts: false,
+            byte_budget: 0,
+            byte_budget_updated_at: Timestamp::ZERO,
         }
     }
 
-    /// Takes an event.
+    /// Handles an event. Suspension of the process is detected from the time since the last event.
     pub fn handle(&mut self, now: Timestamp, event: MembershipEvent) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        self.notice_freeze(now, &mut actions);
+        self.detect_freeze(now, &mut actions);
         match event {
             MembershipEvent::Tick => self.tick(now, &mut actions),
             MembershipEvent::Received {
@@ -90,7 +90,7 @@
                 incarnation,
                 message,
             } => self.receive(now, from, (sender, incarnation), message, &mut actions),
-            MembershipEvent::SeedsRead(seeds) => self.read_seeds(now, &seeds),
+            MembershipEvent::SeedsRead(seeds) => self.set_seeds(now, &seeds),
             MembershipEvent::ConfigurationInForce(revision) => self.set_configuration(revision),
             MembershipEvent::ReadinessChanged(readiness) => self.set_readiness(readiness),
             MembershipEvent::Leave => self.leave(now, &mut actions),
@@ -98,13 +98,13 @@
         actions
     }
 
-    /// This daemon's own record.
+    /// Record of this daemon.
     #[must_use]
     pub const fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// The record of a daemon, this one included.
+    /// Record of a daemon, which may be this one.
     #[must_use]
     pub fn member(&self, machine: MachineId) -> Option<&MemberRecord> {
         if machine == self.own.machine {
@@ -113,12 +113,12 @@
         self.table.get(machine).map(|member| &member.record)
     }
 
-    /// All other daemons ever heard of, ordered by machine.
+    /// All other known daemons, ordered by machine.
     pub fn others(&self) -> impl Iterator<Item = &MemberRecord> {
         self.table.iter().map(|member| &member.record)
     }
 
-    /// All live daemons, ordered by machine, this one included unless it left.
+    /// All live daemons, ordered by machine, including this one unless it has left.
     #[must_use]
     pub fn live(&self) -> Vec<&MemberRecord> {
         let mut live: Vec<_> = self
@@ -130,30 +130,31 @@
         live
     }
 
-    /// Number of live daemons, this one included.
+    /// Number of live daemons, including this one.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.table.live_count() + 1
     }
 
-    /// Whether the table was read from a peer since the start (or nobody else is there to ask).
+    /// Whether the member table was read completely from a peer since the start or since the
+    /// process was suspended, or there are no other daemons in the machine list.
     #[must_use]
     pub const fn has_joined(&self) -> bool {
         !self.joining
     }
 
-    /// Whether this daemon is in touch with its peers.
+    /// Whether this daemon reaches its peers.
     #[must_use]
     pub fn contact(&self, now: Timestamp) -> Contact {
         let knows_nobody = self.table.iter().next().is_none() && self.seeds.is_empty();
         if knows_nobody {
             Contact::Alone
         } else {
-            self.contact.judge(now)
+            self.contact.evaluate(now)
         }
     }
 
-    /// Draws live peers, for parts of datagrams that are gossiped beside membership.
+    /// Returns up to `count` random live peers. Also used for gossip of other parts of datagrams.
     pub fn random_peers(&mut self, count: usize) -> Vec<MemberRecord> {
         let mut live: Vec<_> = self
             .table
@@ -165,7 +166,7 @@
         drawn.iter().map(|record| (*record).clone()).collect()
     }
 
-    fn notice_freeze(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+    fn detect_freeze(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         let Some(last) = self.last_event.replace(now) else {
             return;
         };
@@ -187,25 +188,25 @@
     }
 
     fn tick(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        self.refill_allowance(now);
+        self.refill_byte_budget(now);
         self.expire_suspicions(now, actions);
         self.step_probe(now, actions);
-        self.tell_waiting_facts(now);
+        self.queue_pending_facts(now);
         self.gossip(now, actions);
         self.pull(now, actions);
-        self.contact_missing(now, actions);
+        self.probe_unreachable(now, actions);
     }
 
-    fn refill_allowance(&mut self, now: Timestamp) {
-        let elapsed = now.since(self.allowance_at).as_millis();
+    fn refill_byte_budget(&mut self, now: Timestamp) {
+        let elapsed = now.since(self.byte_budget_updated_at).as_millis();
         let elapsed = i64::try_from(elapsed).unwrap_or(i64::MAX);
         let rate = i64::from(self.settings.bytes_per_second);
         let earned = elapsed.saturating_mul(rate) / 1_000;
-        self.allowance = self
-            .allowance
+        self.byte_budget = self
+            .byte_budget
             .saturating_add(earned)
-            .min(rate * ALLOWANCE_BURST_SECONDS);
-        self.allowance_at = now;
+            .min(rate * BYTE_BUDGET_BURST_SECONDS);
+        self.byte_budget_updated_at = now;
     }
 
     pub(super) fn send(
@@ -215,7 +216,7 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         let length = i64::try_from(message.encoded_length()).unwrap_or(i64::MAX);
-        self.allowance = self.allowance.saturating_sub(length);
+        self.byte_budget = self.byte_budget.saturating_sub(length);
         actions.push(MembershipAction::Send { address, message });
     }
 
@@ -233,7 +234,7 @@
     fn step_probe(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         match self.prober.step(now, &self.settings) {
             ProbeStep::Wait => {}
-            ProbeStep::AskOthers(probe) => self.ask_others(probe, actions),
+            ProbeStep::RequestIndirect(probe) => self.request_indirect_probes(probe, actions),
             ProbeStep::Failed(probe) => self.probe_failed(now, probe, actions),
         }
         let is_due = now >= self.next_probe && !self.prober.is_busy();
@@ -246,11 +247,11 @@
     fn begin_probe(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         let table = &self.table;
         let region = &self.own.region;
-        let live = |distance| {
+        let live = |scope| {
             table
                 .iter()
                 .filter(|member| member.record.state.is_live())
-                .filter(|member| (member.record.region == *region) == (distance == Distance::Near))
+                .filter(|member| (member.record.region == *region) == (scope == RegionScope::Local))
                 .map(|member| member.record.machine)
                 .collect()
         };
@@ -284,7 +285,8 @@
         self.send(address, message, actions);
     }
 
-    /// Piggy-backed updates for one peer; what it must know of itself and of us comes first.
+    /// Updates to piggyback on a message to `peer`. A peer that is not alive here first gets its
+    /// own state, which it can refute, and the record of this daemon.
     pub(super) fn updates_for(&mut self, peer: MachineId) -> Vec<Update> {
         let mut updates = Vec::new();
         match self.table.get(peer).map(|member| &member.record) {
@@ -306,18 +308,18 @@
         updates
     }
 
-    fn ask_others(&mut self, probe: Probe, actions: &mut Vec<MembershipAction>) {
+    fn request_indirect_probes(&mut self, probe: Probe, actions: &mut Vec<MembershipAction>) {
         let count = self.settings.indirect_probes;
-        let helpers = self.random_peers(count + 1);
-        let helpers = helpers
+        let relays = self.random_peers(count + 1);
+        let relays = relays
             .into_iter()
-            .filter(|helper| helper.machine != probe.target);
-        for helper in helpers.take(count) {
+            .filter(|relay| relay.machine != probe.target);
+        for relay in relays.take(count) {
             let message = MembershipMessage::PingRequest {
                 sequence: probe.sequence,
                 target: probe.target,
             };
-            self.send(helper.peer_address, message, actions);
+            self.send(relay.peer_address, message, actions);
         }
     }
 
@@ -336,7 +338,7 @@
             life: record.life,
             state: MemberState::Suspect,
         });
-        // The suspected daemon hears of it at once, so that it can refute.
+        // The suspected daemon is told immediately, so that it can refute the suspicion.
         let address = record.peer_address;
         actions.push(MembershipAction::MemberChanged(record));
         let sequence = self.prober.next_sequence();
@@ -344,7 +346,7 @@
     }
 
     fn gossip(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        let has_news = !self.queue.is_empty() && self.allowance > 0;
+        let has_news = !self.queue.is_empty() && self.byte_budget > 0;
         if now < self.next_gossip || !has_news {
             return;
         }
@@ -384,27 +386,28 @@
     fn set_configuration(&mut self, revision: Revision) {
         if revision > self.own.facts.configuration {
             self.own.facts.configuration = revision;
-            self.has_untold_facts = true;
+            self.has_unsent_facts = true;
         }
     }
 
-    /// A configuration revision waits, since each daemon telling each other one is costly.
-    fn tell_waiting_facts(&mut self, now: Timestamp) {
-        if self.has_untold_facts && now >= self.next_facts {
+    /// New configuration revisions are announced at a limited rate, since every daemon announces
+    /// them to every other.
+    fn queue_pending_facts(&mut self, now: Timestamp) {
+        if self.has_unsent_facts && now >= self.next_facts {
             self.next_facts = now + self.settings.facts_period;
-            self.tell_facts();
+            self.queue_facts();
         }
     }
 
     fn set_readiness(&mut self, readiness: Readiness) {
         if readiness != self.own.facts.readiness {
             self.own.facts.readiness = readiness;
-            self.tell_facts();
+            self.queue_facts();
         }
     }
 
-    fn tell_facts(&mut self) {
-        self.has_untold_facts = false;
+    fn queue_facts(&mut self) {
+        self.has_unsent_facts = false;
         self.own.facts.version += 1;
         self.queue.push(Update::Facts {
             member: self.own.machine,
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -1,37 +1,37 @@
-//! Messages between daemons about membership.
+//! Messages of the membership protocol.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use super::record::{DaemonFacts, Life, MemberRecord, MemberState};
 use crate::{Incarnation, MachineId};
 
-/// One piggy-backed update.
+/// An update about a daemon, piggybacked on messages.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Update {
-    /// A whole record: a daemon that started, or that refuted a suspicion.
+    /// Whole record of a daemon that started or refuted a suspicion.
     Record(MemberRecord),
-    /// A daemon is suspected, dead or has left.
+    /// A daemon is suspected, is dead or has left.
     Claim {
-        /// Which daemon.
+        /// Machine of the daemon.
         member: MachineId,
-        /// The life that the claim is about.
+        /// Incarnation and refutation that the claim refers to.
         life: Life,
-        /// Its state.
+        /// Claimed state.
         state: MemberState,
     },
     /// New facts of a daemon.
     Facts {
-        /// Which daemon.
+        /// Machine of the daemon.
         member: MachineId,
-        /// Its incarnation.
+        /// Incarnation of the daemon.
         incarnation: Incarnation,
-        /// The facts.
+        /// New facts.
         facts: DaemonFacts,
     },
 }
 
 impl Update {
-    /// The daemon that the update is about.
+    /// Machine of the daemon that the update is about.
     #[must_use]
     pub const fn member(&self) -> MachineId {
         match self {
@@ -41,52 +41,53 @@
     }
 }
 
-/// A message of the membership protocol. The datagram around it names the sender and its incarnation.
+/// A message of the membership protocol. The enclosing datagram names the sender and its
+/// incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum MembershipMessage {
-    /// Asks for an [`MembershipMessage::Ack`].
+    /// Requests an [`MembershipMessage::Ack`].
     Ping {
-        /// Chosen by the sender.
+        /// Sequence number chosen by the sender.
         sequence: u32,
-        /// Piggy-backed updates; the first may be what the sender holds of the receiver.
+        /// Piggybacked updates. The first may be the receiver's state as known to the sender.
         updates: Vec<Update>,
     },
-    /// Answers a ping.
+    /// Answer to a [`MembershipMessage::Ping`].
     Ack {
-        /// The ping's number.
+        /// Sequence number of the ping.
         sequence: u32,
-        /// Piggy-backed updates.
+        /// Piggybacked updates.
         updates: Vec<Update>,
     },
-    /// Asks the receiver to probe `target` and to pass on the answer.
+    /// Asks the receiver to probe `target` and to forward the answer.
     PingRequest {
-        /// Chosen by the sender.
+        /// Sequence number chosen by the sender.
         sequence: u32,
-        /// Whom to probe.
+        /// Daemon to probe.
         target: MachineId,
     },
-    /// The target of a ping request answered.
+    /// The target of a [`MembershipMessage::PingRequest`] answered.
     RelayedAck {
-        /// The ping request's number.
+        /// Sequence number of the ping request.
         sequence: u32,
-        /// Who answered.
+        /// Daemon that answered.
         target: MachineId,
     },
-    /// Updates alone.
+    /// Updates without a probe.
     Gossip {
-        /// The updates.
+        /// Updates to apply.
         updates: Vec<Update>,
     },
-    /// Asks for a page of the member table.
+    /// Requests a page of the member table.
     Pull {
-        /// The page begins after this daemon; `None` asks for the first.
+        /// The page begins after this machine; `None` requests the first page.
         after: Option<MachineId>,
     },
     /// A page of the member table.
     Page {
         /// Records ordered by machine.
         records: Vec<MemberRecord>,
-        /// Where the next page begins; `None` at the end.
+        /// Machine after which the next page begins; `None` at the end of the table.
         next: Option<MachineId>,
     },
 }
--- a/crates/core/src/membership/prober.rs
+++ b/crates/core/src/membership/prober.rs
@@ -1,4 +1,4 @@
-//! Whom to probe, and the probe that is under way.
+//! Selection of probe targets, and tracking of the current probe and of relayed probes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 use crate::random::SeededRandom;
 use crate::{MachineId, Timestamp};
 
-/// Most probes made for others at a time.
+/// Most concurrent probes on behalf of other daemons.
 const MAXIMUM_RELAYS: usize = 64;
-/// How long a probe made for another is remembered.
+/// Time after which a relayed probe without an answer is discarded.
 const RELAY_LIFETIME: Duration = Duration::from_secs(2);
 
-/// The probe under way.
+/// A probe of another daemon.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Probe {
     pub target: MachineId,
     pub sequence: u32,
     pub sent: Timestamp,
-    pub asked_others: bool,
+    pub indirect_requested: bool,
 }
 
-/// A probe made for another daemon.
+/// A probe on behalf of another daemon.
 #[derive(Debug, Clone, Copy)]
 struct Relay {
     requester: SocketAddr,
@@ -32,123 +32,124 @@
     expires: Timestamp,
 }
 
-/// Probe order, probe under way and probes for others.
+/// Probe order, current probe and relayed probes.
 #[derive(Debug, Default)]
 pub(super) struct Prober {
-    near: Vec<MachineId>,
-    far: Vec<MachineId>,
+    local: Vec<MachineId>,
+    remote: Vec<MachineId>,
     count: u32,
     sequence: u32,
-    under_way: Option<Probe>,
+    current_probe: Option<Probe>,
     relays: BTreeMap<u32, Relay>,
 }
 
-/// What became of a probe at a tick.
+/// What to do about the current probe.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ProbeStep {
-    /// Nothing to do.
+    /// Nothing is due.
     Wait,
-    /// Ask others to probe the target.
-    AskOthers(Probe),
-    /// The target did not answer.
+    /// Ask other daemons to probe the target.
+    RequestIndirect(Probe),
+    /// The target did not answer in time.
     Failed(Probe),
 }
 
 impl Prober {
-    /// A number not used lately.
+    /// Returns a sequence number that was not used recently.
     pub fn next_sequence(&mut self) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sequence
     }
 
-    /// The next target. `near` and `far` list the live daemons of this and of other regions.
+    /// Returns the next target. `live` lists the live daemons of this region or of other regions.
     pub fn next_target(
         &mut self,
         settings: &MembershipSettings,
         random: &mut SeededRandom,
-        live: impl Fn(Distance) -> Vec<MachineId>,
+        live: impl Fn(RegionScope) -> Vec<MachineId>,
     ) -> Option<MachineId> {
         self.count = self.count.wrapping_add(1);
         let every = settings.cross_region_every.max(1);
-        let is_far_turn = self.count.is_multiple_of(every);
-        let (first, second) = if is_far_turn {
-            (Distance::Far, Distance::Near)
+        let is_remote_turn = self.count.is_multiple_of(every);
+        let (first, second) = if is_remote_turn {
+            (RegionScope::Remote, RegionScope::Local)
         } else {
-            (Distance::Near, Distance::Far)
+            (RegionScope::Local, RegionScope::Remote)
         };
         self.pop(first, random, &live)
             .or_else(|| self.pop(second, random, &live))
     }
 
-    /// Takes the next of a shuffled round; each daemon comes once a round.
+    /// Takes the next target of a shuffled round, in which each daemon occurs once.
     fn pop(
         &mut self,
-        distance: Distance,
+        scope: RegionScope,
         random: &mut SeededRandom,
-        live: &impl Fn(Distance) -> Vec<MachineId>,
+        live: &impl Fn(RegionScope) -> Vec<MachineId>,
     ) -> Option<MachineId> {
-        let round = match distance {
-            Distance::Near => &mut self.near,
-            Distance::Far => &mut self.far,
+        let round = match scope {
+            RegionScope::Local => &mut self.local,
+            RegionScope::Remote => &mut self.remote,
         };
         if round.is_empty() {
-            *round = live(distance);
+            *round = live(scope);
             round.shuffle(random);
         }
         round.pop()
     }
 
-    /// Notes that a probe was sent.
+    /// Records that a probe was sent.
     pub fn begin(&mut self, target: MachineId, sequence: u32, now: Timestamp) {
-        self.under_way = Some(Probe {
+        self.current_probe = Some(Probe {
             target,
             sequence,
             sent: now,
-            asked_others: false,
+            indirect_requested: false,
         });
     }
 
-    /// Whether a probe is under way.
+    /// Whether there is a current probe.
     pub fn is_busy(&self) -> bool {
-        self.under_way.is_some()
+        self.current_probe.is_some()
     }
 
-    /// Moves the probe under way on.
+    /// Checks the timeouts of the current probe and of relayed probes.
     pub fn step(&mut self, now: Timestamp, settings: &MembershipSettings) -> ProbeStep {
         self.relays.retain(|_, relay| relay.expires > now);
-        let Some(probe) = self.under_way.as_mut() else {
+        let Some(probe) = self.current_probe.as_mut() else {
             return ProbeStep::Wait;
         };
         let waited = now.since(probe.sent);
         if waited >= settings.probe_period {
             let failed = *probe;
-            self.under_way = None;
+            self.current_probe = None;
             return ProbeStep::Failed(failed);
         }
-        if waited >= settings.direct_timeout && !probe.asked_others {
-            probe.asked_others = true;
-            return ProbeStep::AskOthers(*probe);
+        if waited >= settings.direct_timeout && !probe.indirect_requested {
+            probe.indirect_requested = true;
+            return ProbeStep::RequestIndirect(*probe);
         }
         ProbeStep::Wait
     }
 
-    /// The probe under way was answered; returns it if the number is its own.
+    /// Completes and returns the current probe if the answer belongs to it.
     pub fn answered(&mut self, sequence: u32, by: MachineId) -> Option<Probe> {
-        let probe = self.under_way?;
+        let probe = self.current_probe?;
         if probe.sequence != sequence || probe.target != by {
             return None;
         }
-        self.under_way = None;
+        self.current_probe = None;
         Some(probe)
     }
 
-    /// Gives the probe under way up without a verdict.
+    /// Discards the current probe without an outcome, and all relayed probes.
     pub fn abandon(&mut self) {
-        self.under_way = None;
+        self.current_probe = None;
         self.relays.clear();
     }
 
-    /// Notes a probe made for another. Returns its number, or `None` when there are too many.
+    /// Records a probe on behalf of another daemon. Returns its sequence number, or `None` if there
+    /// are too many.
     pub fn begin_relay(
         &mut self,
         requester: SocketAddr,
@@ -168,16 +169,18 @@
         Some(sequence)
     }
 
-    /// The answer to a probe made for another: whom to tell, and its number there.
+    /// Completes a relayed probe. Returns the requester's address and sequence number.
     pub fn finish_relay(&mut self, sequence: u32) -> Option<(SocketAddr, u32)> {
         let relay = self.relays.remove(&sequence)?;
         Some((relay.requester, relay.requester_sequence))
     }
 }
 
-/// Whether a daemon is in this region.
+/// Region of a probe's target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Distance {
-    Near,
-    Far,
+pub(super) enum RegionScope {
+    /// The region of this daemon.
+    Local,
+    /// Any other region.
+    Remote,
 }
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! How membership takes messages of peers.
+//! Handling of messages from peers.
 
 use std::net::SocketAddr;
 
@@ -18,42 +18,43 @@
         message: MembershipMessage,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if sender == self.own.machine || self.is_old_life(sender, incarnation) {
+        if sender == self.own.machine || self.is_outdated_sender(sender, incarnation) {
             return;
         }
         match message {
             MembershipMessage::Ping { sequence, updates } => {
-                self.take_ping(now, from, sequence, (sender, updates), actions);
+                self.handle_ping(now, from, sequence, (sender, updates), actions);
             }
             MembershipMessage::Ack { sequence, updates } => {
-                self.take_updates(now, updates, actions);
-                self.take_ack(sequence, sender, actions);
+                self.apply_updates(now, updates, actions);
+                self.handle_ack(sequence, sender, actions);
             }
             MembershipMessage::PingRequest { sequence, target } => {
-                self.probe_for(now, from, sequence, target, actions);
+                self.relay_probe(now, from, sequence, target, actions);
             }
             MembershipMessage::RelayedAck { sequence, target } => {
                 if let Some(probe) = self.prober.answered(sequence, target) {
                     self.contact.record(probe.sent, true);
                 }
             }
-            MembershipMessage::Gossip { updates } => self.take_updates(now, updates, actions),
+            MembershipMessage::Gossip { updates } => self.apply_updates(now, updates, actions),
             MembershipMessage::Pull { after } => self.send_page(from, after, actions),
             MembershipMessage::Page { records, next } => {
-                self.take_page(now, records, actions);
-                self.turn_page(next);
+                self.handle_page(now, records, actions);
+                self.finish_page(next);
             }
         }
     }
 
-    /// Whether a newer incarnation of the sender is known: nothing an old life says is believed.
-    fn is_old_life(&self, sender: MachineId, incarnation: Incarnation) -> bool {
+    /// Whether a newer incarnation of the sender is known. Messages of older incarnations must be
+    /// ignored.
+    fn is_outdated_sender(&self, sender: MachineId, incarnation: Incarnation) -> bool {
         self.table
             .get(sender)
             .is_some_and(|member| incarnation < member.record.life.incarnation)
     }
 
-    fn take_ping(
+    fn handle_ping(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
@@ -61,11 +62,12 @@
         (sender, updates): (MachineId, Vec<Update>),
         actions: &mut Vec<MembershipAction>,
     ) {
-        // Who introduces itself does not hold this daemon live: it is told this record in turn.
+        // A sender that includes its own record does not regard this daemon as alive, so it needs
+        // this daemon's record.
         let introduces_itself = updates
             .iter()
             .any(|update| matches!(update, Update::Record(record) if record.machine == sender));
-        self.take_updates(now, updates, actions);
+        self.apply_updates(now, updates, actions);
         let mut updates = self.updates_for(sender);
         let own = Update::Record(self.own.clone());
         if introduces_itself && !updates.contains(&own) {
@@ -75,7 +77,12 @@
         self.send(from, answer, actions);
     }
 
-    fn take_ack(&mut self, sequence: u32, sender: MachineId, actions: &mut Vec<MembershipAction>) {
+    fn handle_ack(
+        &mut self,
+        sequence: u32,
+        sender: MachineId,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         if let Some(probe) = self.prober.answered(sequence, sender) {
             self.contact.record(probe.sent, true);
         } else if let Some((requester, sequence)) = self.prober.finish_relay(sequence) {
@@ -87,7 +94,7 @@
         }
     }
 
-    fn probe_for(
+    fn relay_probe(
         &mut self,
         now: Timestamp,
         requester: SocketAddr,
@@ -126,7 +133,7 @@
         self.send(to, MembershipMessage::Page { records, next }, actions);
     }
 
-    /// Records of this daemon and of the others in the order of their machines.
+    /// Records of this daemon and of all others, ordered by machine.
     fn records_after(&self, after: Option<MachineId>) -> impl Iterator<Item = MemberRecord> {
         let own = Some(&self.own).filter(|own| after.is_none_or(|after| own.machine > after));
         let mut own = own.cloned();
@@ -150,8 +157,9 @@
         })
     }
 
-    /// Takes the records of a page. What was unknown here is not passed on: others pull it too.
-    fn take_page(
+    /// Applies the records of a page. Records of unknown daemons are not gossiped further, since
+    /// other daemons pull them too.
+    fn handle_page(
         &mut self,
         now: Timestamp,
         records: Vec<MemberRecord>,
@@ -159,26 +167,26 @@
     ) {
         for record in records {
             let is_unknown = self.member(record.machine).is_none();
-            self.pass_brought_news |= is_unknown;
+            self.pass_found_new_members |= is_unknown;
             if is_unknown {
                 self.table
                     .merge(&Update::Record(record.clone()), now, self.suspicion());
                 actions.push(MembershipAction::MemberChanged(record));
             } else {
-                self.take_updates(now, vec![Update::Record(record)], actions);
+                self.apply_updates(now, vec![Update::Record(record)], actions);
             }
         }
     }
 
-    /// The table is complete once a whole pass over a peer's table brought nobody new.
-    fn turn_page(&mut self, next: Option<MachineId>) {
+    /// Joining is complete once a whole pass over peers' tables found no new member.
+    fn finish_page(&mut self, next: Option<MachineId>) {
         self.pull_after = next;
         if next.is_none() {
-            self.joining = std::mem::take(&mut self.pass_brought_news);
+            self.joining = std::mem::take(&mut self.pass_found_new_members);
         }
     }
 
-    fn take_updates(
+    fn apply_updates(
         &mut self,
         now: Timestamp,
         updates: Vec<Update>,
@@ -186,14 +194,14 @@
     ) {
         for update in updates {
             if update.member() == self.own.machine {
-                self.take_word_of_self(&update, actions);
+                self.refute_claims_about_self(&update, actions);
             } else {
-                self.take_update(now, &update, actions);
+                self.apply_update(now, &update, actions);
             }
         }
     }
 
-    fn take_update(
+    fn apply_update(
         &mut self,
         now: Timestamp,
         update: &Update,
@@ -225,7 +233,7 @@
         }
     }
 
-    fn take_word_of_self(&mut self, update: &Update, actions: &mut Vec<MembershipAction>) {
+    fn refute_claims_about_self(&mut self, update: &Update, actions: &mut Vec<MembershipAction>) {
         let (life, state) = match update {
             Update::Record(record) => (record.life, record.state),
             Update::Claim { life, state, .. } => (*life, *state),
@@ -251,7 +259,7 @@
     }
 }
 
-/// What is passed on of a record: the whole while it is alive, a short claim otherwise.
+/// Update that is gossiped for a record: the whole record if it is alive, else a short claim.
 fn status_update(record: &MemberRecord) -> Update {
     if record.state == MemberState::Alive {
         return Update::Record(record.clone());
--- a/crates/core/src/membership/reconnect.rs
+++ b/crates/core/src/membership/reconnect.rs
@@ -1,4 +1,5 @@
-//! Reaching daemons that are not held live: those of the machine list, and the dead.
+//! Probes of daemons that are not regarded as live: unknown ones of the machine list, and dead
+//! ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,27 +12,32 @@
 use crate::{MachineId, Timestamp};
 
 impl Membership {
-    /// Tries one daemon that is not held live here, so that halves cut apart find each other again.
-    pub(super) fn contact_missing(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        if now < self.next_contact || !self.own.state.is_live() {
+    /// Pings one daemon that is not regarded as live, so that the sides of a partition merge again
+    /// once it has healed.
+    pub(super) fn probe_unreachable(
+        &mut self,
+        now: Timestamp,
+        actions: &mut Vec<MembershipAction>,
+    ) {
+        if now < self.next_reconnect || !self.own.state.is_live() {
             return;
         }
-        let unknown = self.unknown_seeds();
-        let (period, missing) = if unknown.is_empty() {
-            (self.settings.contact_period, self.missing())
+        let unknown = self.uncontacted_seeds();
+        let (period, unreachable_daemons) = if unknown.is_empty() {
+            (self.settings.reconnect_period, self.unreachable_daemons())
         } else {
-            (self.settings.introduction_period, unknown)
+            (self.settings.seed_retry_period, unknown)
         };
-        self.next_contact = now + period;
-        let Some((machine, address)) = missing.choose(&mut self.random).copied() else {
+        self.next_reconnect = now + period;
+        let Some((machine, address)) = unreachable_daemons.choose(&mut self.random).copied() else {
             return;
         };
         let sequence = self.prober.next_sequence();
         self.ping(machine, address, sequence, actions);
     }
 
-    /// Daemons of the machine list of which nothing was ever heard.
-    fn unknown_seeds(&self) -> Vec<(MachineId, SocketAddr)> {
+    /// Daemons of the machine list that are not in the member table.
+    fn uncontacted_seeds(&self) -> Vec<(MachineId, SocketAddr)> {
         self.seeds
             .iter()
             .filter(|(machine, _)| self.table.get(**machine).is_none())
@@ -39,20 +45,20 @@
             .collect()
     }
 
-    fn missing(&self) -> Vec<(MachineId, SocketAddr)> {
+    fn unreachable_daemons(&self) -> Vec<(MachineId, SocketAddr)> {
         let is_live = |machine: &MachineId| self.live_address(*machine).is_some();
         let dead = self
             .table
             .iter()
             .filter(|member| member.record.state == MemberState::Dead)
             .map(|member| (member.record.machine, member.record.peer_address));
-        let mut missing: BTreeMap<_, _> = dead.collect();
+        let mut unreachable_daemons: BTreeMap<_, _> = dead.collect();
         let listed = self.seeds.iter().filter(|(machine, _)| !is_live(machine));
-        missing.extend(listed.map(|(machine, address)| (*machine, *address)));
-        missing.into_iter().collect()
+        unreachable_daemons.extend(listed.map(|(machine, address)| (*machine, *address)));
+        unreachable_daemons.into_iter().collect()
     }
 
-    pub(super) fn read_seeds(&mut self, now: Timestamp, seeds: &[Seed]) {
+    pub(super) fn set_seeds(&mut self, now: Timestamp, seeds: &[Seed]) {
         self.seeds = seeds
             .iter()
             .filter(|seed| seed.machine != self.own.machine)
--- a/crates/core/src/membership/record.rs
+++ b/crates/core/src/membership/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one daemon.
+//! Records about daemons.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 
 use crate::{Incarnation, MachineId, RegionName, Revision, ZoneName};
 
-/// One life of a daemon, with the number of times it refuted a suspicion in that life.
+/// Incarnation of a daemon, with the number of suspicions that it refuted in this incarnation.
 ///
-/// The incarnation is given by the caller at each start and never changes while the process runs.
-/// `refutation` is raised only by the daemon itself. Lives compare by incarnation first.
+/// The caller provides a larger incarnation at each start; it never changes while the process runs.
+/// Only the daemon itself may increase `refutation`. Values compare by incarnation first.
 #[derive(
     Debug,
     Clone,
@@ -24,9 +24,9 @@
     BorshDeserialize,
 )]
 pub struct Life {
-    /// Which start of the process.
+    /// Identifies the process; larger for a later start.
     pub incarnation: Incarnation,
-    /// Refutations within the incarnation.
+    /// Number of refutations within the incarnation.
     pub refutation: u32,
 }
 
@@ -35,24 +35,24 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub enum MemberState {
-    /// It answers.
+    /// The daemon answers probes.
     Alive,
-    /// It did not answer a probe and has not refuted that yet.
+    /// The daemon did not answer a probe and has not refuted the suspicion yet.
     Suspect,
-    /// It did not refute a suspicion in time.
+    /// The daemon did not refute a suspicion in time.
     Dead,
-    /// It said itself that it leaves. Final for the incarnation.
+    /// The daemon announced that it leaves. This is final for the incarnation.
     Left,
 }
 
 impl MemberState {
-    /// Whether the daemon takes part (alive or only suspected).
+    /// Whether the daemon is alive or only suspected.
     #[must_use]
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 
-    /// The state's name in the operators' language.
+    /// Name of the state in operators' queries.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -64,27 +64,28 @@
     }
 }
 
-/// Whether a daemon takes requests.
+/// Whether a daemon accepts requests.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub enum Readiness {
-    /// It starts, or catches up after it was frozen.
+    /// The daemon is starting, or catching up after its process was suspended.
     NotReady,
-    /// It takes requests.
+    /// The daemon accepts requests.
     Ready,
-    /// It finishes its requests and takes no new ones.
+    /// The daemon finishes its current requests and accepts no new ones.
     Leaving,
 }
 
-/// Small facts that a daemon tells of itself; the larger `version` wins within an incarnation.
+/// Facts that a daemon announces about itself. Within an incarnation, the larger `version` is
+/// newer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct DaemonFacts {
-    /// Raised by the daemon at each change.
+    /// Incremented by the daemon at each change.
     pub version: u32,
-    /// Revision of the configuration in force there.
+    /// Revision of the configuration in force at the daemon.
     pub configuration: Revision,
-    /// Whether it takes requests.
+    /// Whether the daemon accepts requests.
     pub readiness: Readiness,
 }
 
@@ -98,25 +99,25 @@
     }
 }
 
-/// One daemon as others know it; about 75 bytes when encoded.
+/// A daemon as known to others.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct MemberRecord {
-    /// Its machine.
+    /// Machine that the daemon runs on.
     pub machine: MachineId,
-    /// Its life.
+    /// Incarnation and refutations of the daemon.
     pub life: Life,
-    /// Its state.
+    /// State of the daemon.
     pub state: MemberState,
-    /// Where peers reach it (UDP datagrams and TCP streams).
+    /// Address for peers (UDP datagrams and TCP streams).
     pub peer_address: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub gateway_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operator_address: SocketAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the machine.
     pub region: RegionName,
-    /// What it tells of itself.
+    /// Facts that the daemon announces about itself.
     pub facts: DaemonFacts,
 }
--- a/crates/core/src/membership/settings.rs
+++ b/crates/core/src/membership/settings.rs
@@ -2,46 +2,48 @@
 
 use std::time::Duration;
 
-/// Times and limits. The defaults are made for 2 to 400 daemons.
+/// Timing and limits. The defaults are suitable for 2 to 400 daemons.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MembershipSettings {
-    /// One daemon is probed in each period.
+    /// Time between two probes; one daemon is probed in each period.
     pub probe_period: Duration,
-    /// Wait for a direct answer before others are asked to probe.
+    /// Time to wait for a direct answer before other daemons are asked to probe.
     pub direct_timeout: Duration,
-    /// How many others are asked to probe.
+    /// Number of other daemons that are asked to probe.
     pub indirect_probes: usize,
-    /// Every how many probes one goes to another region.
+    /// One of this many probes goes to another region.
     pub cross_region_every: u32,
-    /// Suspicion lasts `suspicion_factor * log10(members) * probe_period`, at least one factor.
+    /// A suspicion lasts `suspicion_factor * max(log10(members), 1) * probe_period`.
     pub suspicion_factor: f64,
-    /// Time between two rounds of gossip (only while there is something to tell).
+    /// Time between two rounds of gossip, which take place only while there are updates to send.
     pub gossip_period: Duration,
-    /// Peers told in one round.
+    /// Number of peers that receive gossip in a round.
     pub gossip_fanout: usize,
-    /// Status updates are sent `status_retransmits * log2(members)` times.
+    /// Status updates are sent about `status_retransmits * log2(members)` times.
     pub status_retransmits: u32,
-    /// Updates of facts are sent `facts_retransmits * log2(members)` times.
+    /// Updates of facts are sent about `facts_retransmits * log2(members)` times.
     pub facts_retransmits: u32,
-    /// A daemon tells a new configuration revision at most this often. Whoever needs it sooner asks.
+    /// Minimum time between two announcements of a new configuration revision. A daemon that needs
+    /// to know sooner asks.
     pub facts_period: Duration,
-    /// Largest encoded membership message in bytes; the rest of a datagram carries other parts.
+    /// Largest encoded membership message, in bytes. The rest of a datagram is used by other parts.
     pub message_limit: usize,
-    /// Largest page of the member table in bytes; a page travels alone.
+    /// Largest page of the member table, in bytes. A page is sent in a datagram of its own.
     pub page_limit: usize,
-    /// Rounds of gossip pause when more bytes a second than this were sent.
+    /// Rounds of gossip pause while more bytes per second than this were sent.
     pub bytes_per_second: u32,
-    /// Time between two pages pulled from a peer once the table is complete.
+    /// Time between two pulls of a page once joining is complete.
     pub pull_period: Duration,
-    /// Time between two pages pulled while joining.
+    /// Time between two pulls of a page while joining.
     pub join_pull_period: Duration,
-    /// Time between two attempts to reach a daemon of the machine list that was never heard of.
-    pub introduction_period: Duration,
+    /// Time between two attempts to reach an unknown daemon of the machine list.
+    pub seed_retry_period: Duration,
     /// Time between two attempts to reach a dead or left daemon.
-    pub contact_period: Duration,
-    /// Dead and left daemons are remembered this long after they leave the machine list.
+    pub reconnect_period: Duration,
+    /// Dead and left daemons that are not in the machine list are removed this long after their
+    /// last change of state.
     pub forget_after: Duration,
-    /// A longer gap between two events means that this process was frozen.
+    /// A longer gap between two events means that this process was suspended.
     pub freeze_threshold: Duration,
 }
 
@@ -63,8 +65,8 @@
             bytes_per_second: 3_500,
             pull_period: Duration::from_secs(10),
             join_pull_period: Duration::from_millis(200),
-            introduction_period: Duration::from_millis(500),
-            contact_period: Duration::from_secs(5),
+            seed_retry_period: Duration::from_millis(500),
+            reconnect_period: Duration::from_secs(5),
             forget_after: Duration::from_secs(6 * 3_600),
             freeze_threshold: Duration::from_secs(2),
         }
@@ -72,7 +74,7 @@
 }
 
 impl MembershipSettings {
-    /// How long a suspicion lasts among `members` daemons.
+    /// Duration of a suspicion among `members` daemons.
     #[must_use]
     pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let count = u32::try_from(members.max(1)).unwrap_or(u32::MAX);
@@ -80,7 +82,7 @@
         self.probe_period.mul_f64(self.suspicion_factor * scale)
     }
 
-    /// How often one update is sent among `members` daemons.
+    /// Number of times that an update is sent among `members` daemons.
     #[must_use]
     pub fn retransmit_limit(&self, factor: u32, members: usize) -> u32 {
         let bits = usize::BITS - members.leading_zeros();
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of known daemons and the rules by which news changes it.
+//! Table of known daemons, and the rules by which updates change it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,31 +7,31 @@
 use super::record::{DaemonFacts, Life, MemberRecord, MemberState};
 use crate::{Incarnation, MachineId, Timestamp};
 
-/// Most daemons that are remembered, dead ones included.
+/// Most daemons in the table, including dead ones.
 const MAXIMUM_MEMBERS: usize = 4_096;
 
-/// One other daemon.
+/// Another daemon.
 #[derive(Debug, Clone)]
 pub(super) struct Member {
     pub record: MemberRecord,
-    /// While suspected: when it is held for dead.
+    /// Time at which a suspected daemon is declared dead.
     pub suspicion_ends: Option<Timestamp>,
-    /// When its state last changed.
+    /// Time of the last change of state.
     pub changed: Timestamp,
 }
 
-/// What an update did.
+/// Effect of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Merge {
-    /// Nothing new.
+    /// The update was not newer.
     Nothing,
-    /// The state or life changed: pass it on.
+    /// The state, incarnation or refutation changed and must be gossiped.
     Status,
-    /// Only facts changed: pass them on.
+    /// Only the facts changed, and must be gossiped.
     Facts,
 }
 
-/// Other daemons by machine.
+/// All other known daemons by machine.
 #[derive(Debug, Default)]
 pub(super) struct MemberTable {
     members: BTreeMap<MachineId, Member>,
@@ -61,7 +61,7 @@
             .count()
     }
 
-    /// Applies one update about another daemon. `suspicion` is how long a new suspicion lasts.
+    /// Applies an update about another daemon. `suspicion` is the duration of a new suspicion.
     pub fn merge(&mut self, update: &Update, now: Timestamp, suspicion: Duration) -> Merge {
         match update {
             Update::Record(record) => self.merge_record(record, now, suspicion),
@@ -157,22 +157,23 @@
         if !overrides && state != MemberState::Left {
             return Merge::Nothing;
         }
-        // Death is not believed from hearsay: others may hold a daemon for dead after a partition.
-        // One that is live here is only suspected, and has the whole time-out to refute.
-        let is_death_of_living = state == MemberState::Dead && known.state.is_live();
-        let state = if is_death_of_living {
+        // After a partition, peers may report daemons as dead that are reachable from here. A
+        // daemon that is live here is therefore only suspected, and has the whole suspicion time to
+        // refute.
+        let is_death_of_live_member = state == MemberState::Dead && known.state.is_live();
+        let state = if is_death_of_live_member {
             MemberState::Suspect
         } else {
             state
         };
-        if is_death_of_living && is_same && known.state == MemberState::Suspect {
+        if is_death_of_live_member && is_same && known.state == MemberState::Suspect {
             return Merge::Nothing;
         }
         member.set(life, state, now, suspicion);
         Merge::Status
     }
 
-    /// Marks a live daemon as suspected. Returns whether that is new.
+    /// Marks an alive daemon as suspected. Returns whether its state changed.
     pub fn suspect(&mut self, machine: MachineId, now: Timestamp, suspicion: Duration) -> bool {
         let Some(member) = self.members.get_mut(&machine) else {
             return false;
@@ -184,7 +185,7 @@
         true
     }
 
-    /// Marks the daemons dead whose suspicion ran out, and returns them.
+    /// Marks daemons as dead whose suspicion has expired, and returns them.
     pub fn expire_suspicions(&mut self, now: Timestamp) -> Vec<MemberRecord> {
         let mut expired = Vec::new();
         for member in self.members.values_mut() {
@@ -197,7 +198,8 @@
         expired
     }
 
-    /// Lets every suspicion begin again: while this process was frozen nobody could refute to it.
+    /// Restarts all suspicions, since refutations could not be received while this process was
+    /// suspended.
     pub fn restart_suspicions(&mut self, now: Timestamp, suspicion: Duration) {
         for member in self.members.values_mut() {
             if member.suspicion_ends.is_some() {
@@ -206,7 +208,8 @@
         }
     }
 
-    /// Drops the dead and left that changed long ago and that `is_listed` does not name.
+    /// Removes dead and left daemons that changed at least `after` ago and are not in the machine
+    /// list.
     pub fn forget(
         &mut self,
         now: Timestamp,
