--- a/crates/core/tests/authority.rs
+++ b/crates/core/tests/authority.rs
@@ -1,4 +1,5 @@
-//! Election and lease of a cell's controller against a small key-value service with faults.
+//! Controller elections against a simulated key-value service with faults. Two daemons must never
+//! be permitted to send orders at the same time, and a controller must always be elected again.
 
 use std::time::Duration;
 
@@ -71,7 +72,7 @@
     }
 }
 
-struct Travelling {
+struct PendingMessage {
     machine: usize,
     number: CallNumber,
     call: StoreCall,
@@ -79,19 +80,19 @@
     answer: Option<StoreAnswer>,
 }
 
-struct World {
+struct Simulation {
     now: Timestamp,
     store: Store,
-    holders: Vec<ControllerElection>,
+    elections: Vec<ControllerElection>,
     frozen: Vec<bool>,
-    travelling: Vec<Travelling>,
-    slowest_ms: u64,
-    is_limited: bool,
+    in_transit: Vec<PendingMessage>,
+    maximum_delay_ms: u64,
+    is_rate_limited: bool,
     calls: u32,
     random: SeededRandom,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, size: usize) -> Self {
         let cell: CellName = "cell".parse().unwrap();
         let holder = |number: usize| {
@@ -99,34 +100,34 @@
             let settings = AuthoritySettings::default();
             ControllerElection::new(settings, cell.clone(), machine, Incarnation(1), seed)
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: Timestamp::from_millis(1),
             store: Store::default(),
-            holders: (0..size).map(holder).collect(),
+            elections: (0..size).map(holder).collect(),
             frozen: vec![false; size],
-            travelling: Vec::new(),
-            slowest_ms: 50,
-            is_limited: false,
+            in_transit: Vec::new(),
+            maximum_delay_ms: 50,
+            is_rate_limited: false,
             calls: 0,
             random: seeded(seed, "authority-world"),
         };
         for machine in 0..size {
             let rank = AuthorityEvent::RankChanged(Some(machine as u32));
-            world.handle(machine, rank);
+            simulation.handle(machine, rank);
         }
-        world
+        simulation
     }
 
     fn delay(&mut self) -> Duration {
-        Duration::from_millis(self.random.random_range(0..=self.slowest_ms))
+        Duration::from_millis(self.random.random_range(0..=self.maximum_delay_ms))
     }
 
     fn handle(&mut self, machine: usize, event: AuthorityEvent) {
-        for action in self.holders[machine].handle(self.now, event) {
+        for action in self.elections[machine].handle(self.now, event) {
             if let AuthorityAction::Call { number, call } = action {
                 self.calls += 1;
                 let arrives = self.now + self.delay();
-                self.travelling.push(Travelling {
+                self.in_transit.push(PendingMessage {
                     machine,
                     number,
                     call,
@@ -140,23 +141,23 @@
     fn step(&mut self) {
         self.now = self.now + TICK;
         self.store.expire(self.now);
-        for mut message in std::mem::take(&mut self.travelling) {
+        for mut message in std::mem::take(&mut self.in_transit) {
             let is_held = message.answer.is_some() && self.frozen[message.machine];
             if message.arrives > self.now || is_held {
-                self.travelling.push(message);
+                self.in_transit.push(message);
                 continue;
             }
             match message.answer {
                 None => {
                     let machine = MachineId(message.machine as u32);
-                    let answer = if self.is_limited {
+                    let answer = if self.is_rate_limited {
                         StoreAnswer::Failed(CallFailure::RateLimited)
                     } else {
                         self.store.serve(self.now, machine, message.call)
                     };
                     message.answer = Some(answer);
                     message.arrives = self.now + self.delay();
-                    self.travelling.push(message);
+                    self.in_transit.push(message);
                 }
                 Some(answer) => {
                     let number = message.number;
@@ -165,7 +166,7 @@
                 }
             }
         }
-        for machine in 0..self.holders.len() {
+        for machine in 0..self.elections.len() {
             if !self.frozen[machine] {
                 self.handle(machine, AuthorityEvent::Tick);
             }
@@ -173,11 +174,11 @@
         self.check();
     }
 
-    /// Whoever may order holds the key in the store at this moment.
+    /// A daemon that may send orders must hold the key in the store.
     fn check(&mut self) {
         self.store.expire(self.now);
         let key = self.store.key.map(|holder| holder.token);
-        for (machine, holder) in self.holders.iter().enumerate() {
+        for (machine, holder) in self.elections.iter().enumerate() {
             if let Some(token) = holder.may_order(self.now, Duration::ZERO) {
                 assert_eq!(Some(token), key, "daemon {machine} at {:?}", self.now);
             }
@@ -192,87 +193,93 @@
 
     fn controllers(&self) -> Vec<usize> {
         let may_order = |machine: &usize| {
-            let holder = &self.holders[*machine];
+            let holder = &self.elections[*machine];
             holder.may_order(self.now, Duration::from_secs(2)).is_some()
         };
-        (0..self.holders.len()).filter(may_order).collect()
+        (0..self.elections.len()).filter(may_order).collect()
     }
 }
 
 #[test]
-fn the_first_candidate_is_elected_and_keeps_the_place() {
-    let mut world = World::new(1, 5);
-    world.run(5);
-    assert_eq!(world.controllers(), vec![0]);
-    world.run(60);
-    assert_eq!(world.controllers(), vec![0]);
+fn the_first_candidate_is_elected_and_stays_controller() {
+    let mut simulation = Simulation::new(1, 5);
+    simulation.run(5);
+    assert_eq!(simulation.controllers(), vec![0]);
+    simulation.run(60);
+    assert_eq!(simulation.controllers(), vec![0]);
 }
 
 #[test]
-fn a_frozen_controller_may_not_order_when_it_wakes_and_is_replaced() {
-    let mut world = World::new(2, 3);
-    world.run(5);
-    world.frozen[0] = true;
-    world.run(60);
-    assert_eq!(world.controllers().len(), 1);
-    assert_ne!(world.controllers(), vec![0]);
-    world.frozen[0] = false;
-    assert_eq!(world.holders[0].may_order(world.now, Duration::ZERO), None);
-    world.run(30);
-    assert_eq!(world.controllers().len(), 1);
+fn a_suspended_controller_is_replaced_and_may_not_send_orders_when_it_resumes() {
+    let mut simulation = Simulation::new(2, 3);
+    simulation.run(5);
+    simulation.frozen[0] = true;
+    simulation.run(60);
+    assert_eq!(simulation.controllers().len(), 1);
+    assert_ne!(simulation.controllers(), vec![0]);
+    simulation.frozen[0] = false;
+    assert_eq!(
+        simulation.elections[0].may_order(simulation.now, Duration::ZERO),
+        None
+    );
+    simulation.run(30);
+    assert_eq!(simulation.controllers().len(), 1);
 }
 
 #[test]
-fn a_planned_stop_frees_the_place_at_once() {
-    let mut world = World::new(3, 1);
-    world.run(5);
-    world.handle(0, AuthorityEvent::StepDown);
-    world.run(1);
-    assert_eq!(world.store.key, None);
-    assert_eq!(world.holders[0].state(), AuthorityState::Follower);
+fn a_shutdown_removes_the_key_immediately() {
+    let mut simulation = Simulation::new(3, 1);
+    simulation.run(5);
+    simulation.handle(0, AuthorityEvent::StepDown);
+    simulation.run(1);
+    assert_eq!(simulation.store.key, None);
+    assert_eq!(simulation.elections[0].state(), AuthorityState::Follower);
 }
 
 #[test]
-fn many_candidates_do_not_stampede_a_service_that_limits_the_rate() {
-    let mut world = World::new(4, 370);
-    world.is_limited = true;
-    world.run(60);
-    assert!(world.calls < 100, "{} calls", world.calls);
-    world.is_limited = false;
-    world.run(60);
-    assert_eq!(world.controllers().len(), 1);
+fn many_candidates_make_few_calls_to_a_service_that_limits_the_rate() {
+    let mut simulation = Simulation::new(4, 370);
+    simulation.is_rate_limited = true;
+    simulation.run(60);
+    assert!(simulation.calls < 100, "{} calls", simulation.calls);
+    simulation.is_rate_limited = false;
+    simulation.run(60);
+    assert_eq!(simulation.controllers().len(), 1);
 }
 
 #[test]
-fn a_newer_token_at_an_engine_ends_authority() {
-    let mut world = World::new(5, 1);
-    world.run(5);
+fn a_newer_token_at_an_engine_revokes_authority() {
+    let mut simulation = Simulation::new(5, 1);
+    simulation.run(5);
     let newest = FencingToken(u64::MAX);
-    world.handle(0, AuthorityEvent::TokenRefused { newest });
-    assert_eq!(world.holders[0].may_order(world.now, Duration::ZERO), None);
+    simulation.handle(0, AuthorityEvent::TokenRefused { newest });
+    assert_eq!(
+        simulation.elections[0].may_order(simulation.now, Duration::ZERO),
+        None
+    );
 }
 
 #[test]
-fn whoever_may_order_holds_the_key_whatever_fails() {
+fn only_the_key_holder_may_send_orders_under_random_faults() {
     bolero::check!()
         .with_type::<(u64, Vec<(u8, u8)>)>()
         .with_iterations(300)
         .for_each(|(seed, faults)| {
-            let mut world = World::new(*seed, 3);
+            let mut simulation = Simulation::new(*seed, 3);
             for (kind, value) in faults.iter().take(40) {
                 let machine = usize::from(value % 3);
                 match kind % 4 {
-                    0 => world.frozen[machine] = !world.frozen[machine],
-                    1 => world.is_limited = !world.is_limited,
-                    2 => world.slowest_ms = u64::from(*value) * 60,
+                    0 => simulation.frozen[machine] = !simulation.frozen[machine],
+                    1 => simulation.is_rate_limited = !simulation.is_rate_limited,
+                    2 => simulation.maximum_delay_ms = u64::from(*value) * 60,
                     _ => {}
                 }
-                world.run(u64::from(value % 7));
+                simulation.run(u64::from(value % 7));
             }
-            world.frozen = vec![false; 3];
-            world.is_limited = false;
-            world.slowest_ms = 50;
-            world.run(120);
-            assert_eq!(world.controllers().len(), 1);
+            simulation.frozen = vec![false; 3];
+            simulation.is_rate_limited = false;
+            simulation.maximum_delay_ms = 50;
+            simulation.run(120);
+            assert_eq!(simulation.controllers().len(), 1);
         });
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership in small virtual networks.
+//! Membership in simulated networks. After any fault the live daemons must agree on the members
+//! again, and no live daemon may be declared dead because of stale gossip.
 
 #[path = "support/gossip_network.rs"]
 mod gossip_network;
@@ -22,14 +23,14 @@
 }
 
 #[test]
-fn daemons_of_both_sites_find_each_other() {
+fn daemons_of_both_sites_join_each_other() {
     for size in [1, 2, 5, 21] {
         joined(size, 7);
     }
 }
 
 #[test]
-fn a_killed_daemon_is_held_dead_everywhere_and_its_next_life_is_taken_in() {
+fn a_killed_daemon_is_declared_dead_everywhere_and_its_next_incarnation_joins() {
     let mut network = joined(20, 1);
     network.kill(3);
     assert!(network.run_until(MINUTE, Network::is_converged).is_some());
@@ -38,18 +39,18 @@
 }
 
 #[test]
-fn a_leaving_daemon_is_known_to_have_left_within_seconds_and_never_suspected() {
+fn a_leaving_daemon_is_known_to_have_left_within_three_seconds() {
     let mut network = joined(20, 2);
     network.handle(MachineId(4), MembershipEvent::Leave);
     network.step();
     network.kill(4);
-    let told = network.run_until(Duration::from_secs(3), |network| {
+    let spread = network.run_until(Duration::from_secs(3), |network| {
         network.nodes.values().all(|node| {
             let record = node.membership.member(MachineId(4)).unwrap();
             record.state == MemberState::Left
         })
     });
-    assert!(told.is_some());
+    assert!(spread.is_some());
 }
 
 #[test]
@@ -68,9 +69,9 @@
     assert!(healed.is_some(), "the halves did not find each other");
 }
 
-/// The halves are joined again when deaths have just been declared and still travel by gossip.
+/// The partition heals when deaths were declared recently and are still spread by gossip.
 #[test]
-fn after_a_partition_nobody_in_ones_own_half_is_held_dead() {
+fn after_a_partition_no_daemon_of_the_same_half_is_declared_dead() {
     for seconds in [4, 5, 6, 7, 8, 10, 120] {
         let mut network = joined(24, seconds);
         for machine in 0..24 {
@@ -81,11 +82,11 @@
         network.group.clear();
         network.run(MINUTE);
         for (machine, node) in &network.nodes {
-            let death_of_neighbour = node.actions.iter().find(|action| {
+            let wrong_death = node.actions.iter().find(|action| {
                 matches!(action, MembershipAction::MemberChanged(record)
                     if record.state == MemberState::Dead && record.machine.0 % 2 == machine.0 % 2)
             });
-            assert_eq!(death_of_neighbour, None, "at {machine} after {seconds} s");
+            assert_eq!(wrong_death, None, "at {machine} after {seconds} s");
         }
     }
 }
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_frozen_daemon_notices_is_isolated_at_first_and_is_taken_back() {
+fn a_suspended_daemon_detects_it_and_is_isolated_until_it_has_rejoined() {
     let mut network = joined(20, 6);
     network.nodes.get_mut(&MachineId(5)).unwrap().frozen = true;
     network.run(MINUTE);
@@ -109,13 +110,13 @@
     frozen.frozen = false;
     frozen.actions.clear();
     network.step();
-    let woken = &network.nodes[&MachineId(5)];
+    let resumed = &network.nodes[&MachineId(5)];
     assert!(
-        matches!(woken.actions[0], MembershipAction::WokeAfterFreeze(gap) if gap >= MINUTE),
+        matches!(resumed.actions[0], MembershipAction::WokeAfterFreeze(gap) if gap >= MINUTE),
         "{:?}",
-        woken.actions
+        resumed.actions
     );
-    assert_eq!(woken.membership.contact(network.now), Contact::Isolated);
+    assert_eq!(resumed.membership.contact(network.now), Contact::Isolated);
     assert!(network.run_until(MINUTE, Network::is_converged).is_some());
     assert_eq!(
         network.nodes[&MachineId(5)].membership.contact(network.now),
@@ -124,7 +125,7 @@
 }
 
 #[test]
-fn readiness_of_all_spreads_within_six_seconds() {
+fn readiness_and_configuration_of_all_daemons_spread_within_six_seconds() {
     let mut network = joined(60, 8);
     network.run(Duration::from_secs(20));
     for machine in 0..60 {
@@ -135,7 +136,7 @@
             MembershipEvent::ReadinessChanged(Readiness::Ready),
         );
     }
-    let told = network.run_until(Duration::from_secs(6), |network| {
+    let spread = network.run_until(Duration::from_secs(6), |network| {
         network.nodes.values().all(|node| {
             node.membership.others().all(|record| {
                 record.facts.configuration == Revision(9)
@@ -143,11 +144,11 @@
             })
         })
     });
-    assert!(told.is_some());
+    assert!(spread.is_some());
 }
 
 #[test]
-fn an_old_life_is_not_believed() {
+fn messages_of_an_older_incarnation_are_ignored() {
     let own = record(1, 5, 2);
     let mut membership = Membership::new(MembershipSettings::default(), own, 1);
     let newer = record(2, 7, 2);
@@ -215,10 +216,10 @@
         });
 }
 
-/// The cost at the size to design for: after a cold start of all, then with a configuration change.
-/// Prints what was measured.
+/// Network load at the largest supported size, after a cold start of all daemons and after a
+/// configuration change. Prints the measured rates.
 #[test]
-fn the_cost_for_370_daemons_stays_below_5000_bytes_a_second() {
+fn network_load_of_370_daemons_stays_below_5000_bytes_per_second() {
     const DAEMONS: u32 = 370;
     let mut network = Network::new(DAEMONS, 11);
     let joined = network.run_until(MINUTE, Network::is_converged);
--- a/crates/core/tests/request_claim_groups.rs
+++ b/crates/core/tests/request_claim_groups.rs
@@ -1,4 +1,5 @@
-//! Groups that keep claims: sealing, beginning without claims, and planning.
+//! Claim groups: sealing, beginning without claims, and planning. A group must not lose claims that
+//! could still be used for a second dispatch.
 
 use std::collections::BTreeSet;
 
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn a_member_sealed_before_it_began_never_begins() {
+fn a_member_sealed_before_installation_never_begins_the_epoch() {
     let mut replica = ClaimReplica::new(ClaimSettings::default(), member(0));
     let (shard, epoch, to) = (SHARD, GroupEpoch(2), member(0));
     let sealed = replica.handle(NOW, ClaimMessage::Seal { shard, epoch, to });
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_fresh_group_begins_only_when_all_groups_before_are_over() {
+fn a_fresh_group_begins_only_when_all_previous_groups_are_closed() {
     let previous = |epoch, members| PreviousGroup {
         epoch: GroupEpoch(epoch),
         members,
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn groups_span_three_zones_and_change_as_little_as_possible() {
+fn groups_span_three_zones_and_change_as_few_members_as_possible() {
     let map = plan_shard_map(&ShardMap::default(), 64, &fleet(0..20)).unwrap();
     for group in &map.shards {
         let zones: BTreeSet<u32> = group
@@ -162,7 +163,7 @@
     assert_eq!(
         plan_shard_map(&map, 64, &fleet(0..30)),
         None,
-        "a new daemon moves nothing"
+        "a new daemon changes no group"
     );
     let next = plan_shard_map(&map, 64, &fleet((0..20).filter(|&machine| machine != 3))).unwrap();
     for (old, new) in map.shards.iter().zip(&next.shards) {
@@ -180,22 +181,22 @@
 }
 
 #[test]
-fn silence_never_counts_as_an_end() {
+fn an_unreachable_member_is_not_regarded_as_ended() {
     let map = settled(plan_shard_map(&ShardMap::default(), 1, &fleet(0..3)).unwrap());
-    let silent = plan_shard_map(&map, 1, &fleet(2..8)).unwrap();
-    assert_eq!(silent.shards[0].origin, GroupOrigin::Transferred);
-    let mut certain = fleet(2..8);
-    certain.ended = BTreeSet::from([member(0), member(1)]);
-    let lost = plan_shard_map(&map, 1, &certain).unwrap();
+    let unreachable = plan_shard_map(&map, 1, &fleet(2..8)).unwrap();
+    assert_eq!(unreachable.shards[0].origin, GroupOrigin::Transferred);
+    let mut certainly_ended = fleet(2..8);
+    certainly_ended.ended = BTreeSet::from([member(0), member(1)]);
+    let lost = plan_shard_map(&map, 1, &certainly_ended).unwrap();
     assert_eq!(lost.shards[0].origin, GroupOrigin::Fresh);
     assert_eq!(
-        plan_shard_map(&silent, 1, &fleet(3..8)),
+        plan_shard_map(&unreachable, 1, &fleet(3..8)),
         None,
-        "a change under way is left alone"
+        "no change is planned while another is in progress"
     );
-    let given_up = plan_shard_map(&silent, 1, &certain).unwrap();
-    assert_eq!(given_up.shards[0].origin, GroupOrigin::Fresh);
-    assert_eq!(given_up.shards[0].previous.len(), 2);
+    let replaced = plan_shard_map(&unreachable, 1, &certainly_ended).unwrap();
+    assert_eq!(replaced.shards[0].origin, GroupOrigin::Fresh);
+    assert_eq!(replaced.shards[0].previous.len(), 2);
 }
 
 #[test]
--- a/crates/core/tests/request_claims.rs
+++ b/crates/core/tests/request_claims.rs
@@ -1,4 +1,5 @@
-//! Claims, case by case: what members and claimants do.
+//! Claims of single keys: behaviour of members and claimants. A request must not be dispatched
+//! without a majority, after its validity, or when another request holds the key.
 
 use std::time::Duration;
 
@@ -38,20 +39,20 @@
     }
 }
 
-/// The three members, with the first epoch begun.
+/// The three members of the group, in the first epoch.
 fn replicas(settings: ClaimSettings) -> Vec<ClaimReplica> {
-    let begun = |to| {
+    let installed = |to| {
         let mut replica = ClaimReplica::new(settings, to);
-        let begin = ClaimMessage::InstallFresh {
+        let install = ClaimMessage::InstallFresh {
             shard: SHARD,
             epoch: GroupEpoch(1),
             to,
             quarantined: false,
         };
-        replica.handle(NOW, begin);
+        replica.handle(NOW, install);
         replica
     };
-    members().into_iter().map(begun).collect()
+    members().into_iter().map(installed).collect()
 }
 
 fn start(serial: u128, fingerprint: u64) -> (ClaimCoordinator, Vec<ClaimAction>) {
@@ -60,7 +61,8 @@
     ClaimCoordinator::start(settings, NOW, &map(), member(7), request, KEY, fingerprint).unwrap()
 }
 
-/// Delivers to the members listed, in order, and the replies back; returns what was decided.
+/// Delivers messages to the members in `reached` and their replies to the coordinator. Returns the
+/// outcome of the claim, if it was decided.
 fn exchange(
     replicas: &mut [ClaimReplica],
     reached: &[usize],
@@ -110,7 +112,7 @@
 }
 
 #[test]
-fn the_first_wins_and_a_repeat_gets_the_first_answer() {
+fn the_first_request_wins_and_a_repeated_one_gets_its_answer() {
     let mut replicas = replicas(ClaimSettings::default());
     let (mut first, decided) = claim(&mut replicas, 1, 5);
     assert_eq!(decided, Some(ClaimOutcome::Won));
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn a_large_answer_is_not_kept_but_the_run_is_known() {
+fn a_large_answer_is_not_kept_but_the_execution_is() {
     let mut replicas = replicas(ClaimSettings::default());
     let (mut first, _) = claim(&mut replicas, 1, 5);
     first.begin_dispatch(NOW).unwrap();
@@ -157,7 +159,7 @@
 }
 
 #[test]
-fn without_a_majority_nothing_starts() {
+fn no_request_wins_without_a_majority() {
     let mut replicas = replicas(ClaimSettings::default());
     let (mut alone, actions) = start(1, 5);
     assert_eq!(exchange(&mut replicas, &[1], &mut alone, actions), None);
@@ -174,12 +176,12 @@
 }
 
 #[test]
-fn a_claimant_that_was_frozen_does_not_dispatch_and_gives_the_key_back() {
+fn a_suspended_claimant_does_not_dispatch_and_withdraws_its_claim() {
     let mut replicas = replicas(ClaimSettings::default());
     let (mut frozen, decided) = claim(&mut replicas, 1, 5);
     assert_eq!(decided, Some(ClaimOutcome::Won));
-    let woken = NOW + ClaimSettings::default().dispatch_validity;
-    let expired = frozen.begin_dispatch(woken).unwrap_err();
+    let resumed_at = NOW + ClaimSettings::default().dispatch_validity;
+    let expired = frozen.begin_dispatch(resumed_at).unwrap_err();
     assert_eq!(expired.withdrawals.len(), 3);
     for message in expired.withdrawals {
         replicas[message.to().machine.0 as usize].handle(NOW, message);
@@ -189,7 +191,7 @@
 }
 
 #[test]
-fn a_dispatch_known_not_to_have_run_may_be_repeated_or_released() {
+fn a_dispatch_that_did_not_run_may_be_repeated_or_released() {
     let mut replicas = replicas(ClaimSettings::default());
     let (mut first, _) = claim(&mut replicas, 1, 5);
     first.begin_dispatch(NOW).unwrap();
@@ -206,7 +208,7 @@
 }
 
 #[test]
-fn split_votes_are_given_back_and_a_later_round_decides() {
+fn split_votes_are_withdrawn_and_a_later_round_decides() {
     let mut replicas = replicas(ClaimSettings::default());
     let mut claims: Vec<_> = (0..3).map(|serial| start(serial, 5)).collect();
     for (reached, (coordinator, actions)) in claims.iter_mut().enumerate() {
@@ -230,12 +232,12 @@
     assert_eq!(
         later,
         Some(ClaimOutcome::Won),
-        "no vote of the split is left"
+        "no vote of the split round is left"
     );
 }
 
 #[test]
-fn votes_of_an_earlier_round_do_not_count() {
+fn votes_of_an_earlier_round_are_ignored() {
     let (mut coordinator, first_round) = start(1, 5);
     let granted = |message: &ClaimMessage| {
         let ClaimMessage::Claim {
@@ -277,7 +279,7 @@
 }
 
 #[test]
-fn a_restarted_member_and_a_full_one_give_no_vote() {
+fn restarted_and_full_members_do_not_vote() {
     let mut restarted = ClaimReplica::new(
         ClaimSettings::default(),
         ClaimMember {
@@ -301,7 +303,7 @@
 }
 
 #[test]
-fn claims_are_forgotten_after_the_retention_only() {
+fn claims_are_removed_only_after_the_retention() {
     let settings = ClaimSettings::default();
     let mut replicas = replicas(settings);
     claim(&mut replicas, 1, 5);
--- a/crates/core/tests/request_claims_model.rs
+++ b/crates/core/tests/request_claims_model.rs
@@ -1,8 +1,9 @@
-//! Model check of the claim protocol over random schedules.
+//! Randomized model test of the claim protocol: no key may be dispatched twice within the
+//! retention.
 //!
-//! Five daemons, one shard, two keys. Messages are lost, repeated and reordered; daemons restart without
-//! memory, freeze and wake; several daemons change the group at the same time, on stale knowledge. At no
-//! time may a key be dispatched twice within the retention.
+//! Messages to and from five daemons are lost, duplicated and reordered. Daemons restart without
+//! their claims or are suspended, and several daemons change the group concurrently with stale
+//! knowledge.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -79,13 +80,13 @@
     refused_dispatches: u32,
     already_claimed: u32,
     already_ran: u32,
-    further_rounds: u32,
+    later_rounds: u32,
     transfers_settled: u32,
     fresh_settled: u32,
     quarantined: u32,
 }
 
-struct World {
+struct Model {
     now: Timestamp,
     random: SeededRandom,
     daemons: Vec<Daemon>,
@@ -99,7 +100,7 @@
     coverage: Coverage,
 }
 
-impl World {
+impl Model {
     fn new(seed: u64) -> Self {
         let daemons = (0..DAEMONS).map(|machine| {
             let member = ClaimMember {
@@ -136,29 +137,29 @@
         self.coverage
     }
 
-    fn below(&mut self, bound: usize) -> usize {
+    fn random_below(&mut self, bound: usize) -> usize {
         self.random.random_range(0..bound)
     }
 
     fn step(&mut self) {
-        match self.below(1_000) {
+        match self.random_below(1_000) {
             0..600 => self.deliver_some(),
             600..670 => self.start_claim(),
-            670..690 => self.contend(),
+            670..690 => self.claim_concurrently(),
             690..760 => self.dispatch(),
             760..820 => self.complete(),
             820..880 => self.drive_change(),
-            880..905 => self.tell_map(),
+            880..905 => self.deliver_map(),
             905..930 => self.freeze_or_wake(),
             930..937 => self.restart(),
             937..970 => self.plan(),
-            970..975 => self.pass(Duration::from_millis(200)),
-            975..977 => self.pass(Duration::from_millis(450)),
-            _ => self.pass(Duration::from_millis(7)),
+            970..975 => self.advance_time(Duration::from_millis(200)),
+            975..977 => self.advance_time(Duration::from_millis(450)),
+            _ => self.advance_time(Duration::from_millis(7)),
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance_time(&mut self, time: Duration) {
         self.now = self.now + time;
         for claim in 0..self.claims.len() {
             if self.is_awake(self.claims[claim].daemon) {
@@ -173,7 +174,7 @@
         daemon.member == member && !daemon.frozen
     }
 
-    /// The more there is under way, the more is delivered, so that the network does not fill up.
+    /// Delivers a share of all packets, so that the number of packets in the network stays bounded.
     fn deliver_some(&mut self) {
         for _ in 0..=self.network.len() / 6 {
             self.deliver();
@@ -184,9 +185,9 @@
         if self.network.is_empty() {
             return;
         }
-        let chosen = self.below(self.network.len());
+        let chosen = self.random_below(self.network.len());
         let packet = self.network[chosen].clone();
-        let fate = self.below(20);
+        let fate = self.random_below(20);
         if fate > 0 {
             self.network.swap_remove(chosen);
         }
@@ -227,7 +228,7 @@
     }
 
     fn start_claim(&mut self) {
-        let machine = self.below(DAEMONS as usize);
+        let machine = self.random_below(DAEMONS as usize);
         let key = ClaimKey(self.random.random_range(0..KEYS));
         self.start_claim_at(machine, key);
     }
@@ -255,8 +256,8 @@
         self.perform(self.claims.len() - 1, actions);
     }
 
-    /// Three daemons with the present map claim one key at once.
-    fn contend(&mut self) {
+    /// Three daemons with the current map claim the same key concurrently.
+    fn claim_concurrently(&mut self) {
         let key = ClaimKey(self.random.random_range(0..KEYS));
         for machine in 0..3 {
             self.daemons[machine].map = self.store.clone();
@@ -268,7 +269,7 @@
         for action in actions {
             match action {
                 ClaimAction::Send(message) => {
-                    self.coverage.further_rounds += u32::from(is_of_further_round(&message));
+                    self.coverage.later_rounds += u32::from(is_of_later_round(&message));
                     let reply_to = ReplyTo::Claim(claim);
                     self.network.push(Packet::Message { message, reply_to });
                 }
@@ -299,7 +300,7 @@
         if fitting.is_empty() {
             return None;
         }
-        let chosen = self.below(fitting.len());
+        let chosen = self.random_below(fitting.len());
         Some(fitting[chosen])
     }
 
@@ -348,18 +349,18 @@
         }
     }
 
-    fn tell_map(&mut self) {
-        let machine = self.below(DAEMONS as usize);
+    fn deliver_map(&mut self) {
+        let machine = self.random_below(DAEMONS as usize);
         self.daemons[machine].map = self.store.clone();
     }
 
     fn freeze_or_wake(&mut self) {
-        let machine = self.below(DAEMONS as usize);
+        let machine = self.random_below(DAEMONS as usize);
         self.daemons[machine].frozen ^= true;
     }
 
     fn restart(&mut self) {
-        let machine = self.below(DAEMONS as usize);
+        let machine = self.random_below(DAEMONS as usize);
         let daemon = &mut self.daemons[machine];
         self.ended.insert(daemon.member);
         daemon.member.incarnation.0 += 1;
@@ -368,7 +369,8 @@
         daemon.frozen = false;
     }
 
-    /// Someone plans on what it knows: it may take awake daemons for dead, and miss that lives ended.
+    /// Plans with stale knowledge: running daemons may be regarded as dead, and ended processes may
+    /// be unknown.
     fn plan(&mut self) {
         let zones = ["a", "b", "c"];
         let mut fleet = ClaimPlanningInput::default();
@@ -449,27 +451,27 @@
     }
 }
 
-fn is_of_further_round(message: &ClaimMessage) -> bool {
+fn is_of_later_round(message: &ClaimMessage) -> bool {
     matches!(message, ClaimMessage::Claim { claimant, .. } if claimant.round > 0)
 }
 
 #[test]
-fn no_key_is_dispatched_twice_under_any_schedule() {
+fn no_key_is_dispatched_twice_under_random_schedules() {
     check!().with_type::<u64>().for_each(|seed| {
-        World::new(*seed).run();
+        Model::new(*seed).run();
     });
 }
 
 #[test]
-fn the_schedules_reach_what_they_are_meant_to_check() {
+fn random_schedules_reach_all_relevant_outcomes() {
     let mut sum = Coverage::default();
     for seed in 0..400 {
-        let run = World::new(seed).run();
+        let run = Model::new(seed).run();
         sum.dispatches += run.dispatches;
         sum.refused_dispatches += run.refused_dispatches;
         sum.already_claimed += run.already_claimed;
         sum.already_ran += run.already_ran;
-        sum.further_rounds += run.further_rounds;
+        sum.later_rounds += run.later_rounds;
         sum.transfers_settled += run.transfers_settled;
         sum.fresh_settled += run.fresh_settled;
         sum.quarantined += run.quarantined;
@@ -480,7 +482,7 @@
         sum.refused_dispatches,
         sum.already_claimed,
         sum.already_ran,
-        sum.further_rounds,
+        sum.later_rounds,
         sum.transfers_settled,
         sum.fresh_settled,
         sum.quarantined,
