--- a/crates/core/src/configuration/apply.rs
+++ b/crates/core/src/configuration/apply.rs
@@ -6,7 +6,7 @@
 use crate::Revision;
 
 /// Returns the configuration after `change`, at `revision`. The result is not validated; see
-/// [`super::validate`].
+/// [`super::validate()`].
 ///
 /// # Errors
 /// [`ValidationError::RevisionMismatch`] if the configuration is not at the expected revision, else
--- a/crates/core/src/membership/contact.rs
+++ b/crates/core/src/membership/contact.rs
@@ -29,7 +29,7 @@
 }
 
 impl ProbeHistory {
-    /// Records the outcome of a probe that was sent (not answered) at `sent`.
+    /// Records the outcome of a probe. `sent` is the time of the ping, not that of the answer.
     pub fn record(&mut self, sent: Timestamp, answered: bool) {
         self.outcomes.push_back((sent, answered));
         if self.outcomes.len() > MAXIMUM_OUTCOMES {
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -346,8 +346,8 @@
     }
 
     fn gossip(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        let has_news = !self.queue.is_empty() && self.byte_budget > 0;
-        if now < self.next_gossip || !has_news {
+        let has_updates = !self.queue.is_empty() && self.byte_budget > 0;
+        if now < self.next_gossip || !has_updates {
             return;
         }
         self.next_gossip = now + self.settings.gossip_period;
