--- a/crates/core/examples/costs.rs
+++ b/crates/core/examples/costs.rs
@@ -27,8 +27,8 @@
 };
 use ponddrift_core::load::LoadDigest;
 use ponddrift_core::orders::{
-    EngineReport, EngineWish, LoadedModel, OrdersAction, OrdersEvent, OrdersSettings, Reconciler,
-    RolloutLimit, TargetState, WantedState,
+    DesiredEngine, DesiredState, EngineReport, LoadedModel, OrdersAction, OrdersEvent,
+    OrdersSettings, Reconciler, RolloutLimit, TargetState,
 };
 use ponddrift_core::roles::{
     DemandSample, EngineAvailability, EngineState, LevelDemand, PlannerProfile, PlannerSettings,
@@ -355,18 +355,18 @@
         role: EngineRole::Mixed,
         model: report(7).model.expect("a model"),
     };
-    let wish = |engine| EngineWish {
+    let wish = |engine| DesiredEngine {
         engine: MachineId(engine),
         target: Some(target.clone()),
     };
-    let wanted = WantedState {
+    let wanted = DesiredState {
         engines: (0..CELL).map(wish).collect(),
         rollouts: vec![RolloutLimit {
             model: name("model-0"),
             percent: 10,
         }],
     };
-    let mut pending = reconciler.handle(at(0), OrdersEvent::Wanted(wanted));
+    let mut pending = reconciler.handle(at(0), OrdersEvent::DesiredChanged(wanted));
     cost(
         "reconciler: a tick of 48 engines with its reads",
         500,
--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -12,4 +12,4 @@
 pub use mark::{DrainAck, DrainMark, DrainReason, DrainSource, DrainState, DrainVersion};
 pub use table::{DrainAction, DrainTable};
 pub use tracker::{DrainProgress, DrainTracker, DrainTrackerSettings, KnownDaemon};
-pub use view::{ViewLeaseSettings, ViewLeases, ViewRequest, ViewSource, ViewStanding};
+pub use view::{ViewLeaseSettings, ViewLeases, ViewRequest, ViewSource, ViewStatus};
--- a/crates/core/src/drain/table.rs
+++ b/crates/core/src/drain/table.rs
@@ -17,7 +17,7 @@
 /// What the shell must do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Stop routing new work there; then tell it by [`DrainTable::routing_stopped`].
+    /// Stop routing new work there; then tell it by [`DrainTable::acknowledge_drain`].
     StopRouting {
         /// The back end.
         back_end: MachineId,
@@ -46,7 +46,7 @@
 
 impl DrainTable {
     /// Takes a mark, from gossip, from a view or of this daemon's own making.
-    pub fn take_mark(&mut self, now: Timestamp, mark: DrainMark) -> Option<DrainAction> {
+    pub fn apply_mark(&mut self, now: Timestamp, mark: DrainMark) -> Option<DrainAction> {
         let key = (mark.back_end, mark.source);
         let known = self.marks.get(&key).map(|held| held.mark.version);
         let is_full = known.is_none() && self.marks.len() >= MAXIMUM_MARKS;
@@ -77,7 +77,7 @@
     /// Routing to a back end has stopped: what was chosen is sent, and nothing new is chosen.
     /// Returns the acknowledgement for the cell's controller, if its mark still stands.
     #[must_use]
-    pub fn routing_stopped(&self, back_end: MachineId) -> Option<DrainAck> {
+    pub fn acknowledge_drain(&self, back_end: MachineId) -> Option<DrainAck> {
         let held = self.marks.get(&(back_end, DrainSource::Controller))?;
         let is_draining = held.mark.state == DrainState::Draining;
         is_draining.then_some(DrainAck {
@@ -87,7 +87,7 @@
     }
 
     /// Takes the machine list: back ends that leave are drained, those that are live again released.
-    pub fn read_machine_list(&mut self, now: Timestamp, list: &MachineList) -> Vec<DrainAction> {
+    pub fn apply_machine_list(&mut self, now: Timestamp, list: &MachineList) -> Vec<DrainAction> {
         let mut actions = Vec::new();
         for machine in &list.machines {
             if matches!(machine.kind, MachineKind::Daemon) {
@@ -115,7 +115,7 @@
                 reason: DrainReason::Leaving,
                 age_ms: 0,
             };
-            actions.extend(self.take_mark(now, mark));
+            actions.extend(self.apply_mark(now, mark));
         }
         actions
     }
--- a/crates/core/src/drain/tracker.rs
+++ b/crates/core/src/drain/tracker.rs
@@ -150,9 +150,9 @@
     }
 
     /// A daemon's request for a view is answered now with the returned marks.
-    pub fn answer_view(&mut self, now: Timestamp, daemon: KnownDaemon) -> Vec<DrainMark> {
+    pub fn answer_view_request(&mut self, now: Timestamp, daemon: KnownDaemon) -> Vec<DrainMark> {
         let view_ends = now + self.stretched(self.settings.view_validity);
-        self.note_daemon(now, daemon);
+        self.update_daemon(now, daemon);
         if let Some(seen) = self.daemons.get_mut(&daemon.machine) {
             seen.view_ends = view_ends;
         }
@@ -164,7 +164,7 @@
     }
 
     /// Membership knows something of a daemon.
-    pub fn note_daemon(&mut self, now: Timestamp, daemon: KnownDaemon) {
+    pub fn update_daemon(&mut self, now: Timestamp, daemon: KnownDaemon) {
         let first = Seen {
             daemon,
             changed: now,
--- a/crates/core/src/drain/view.rs
+++ b/crates/core/src/drain/view.rs
@@ -64,14 +64,14 @@
 
 /// How far a daemon's view of a cell is to be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ViewStanding {
+pub enum ViewStatus {
     /// The controller answered lately: route to every back end without a mark.
     Valid,
     /// The controller does not answer, but most peers do: no change can pass this daemon by without
     /// its acknowledgement. Route to every back end without a mark.
     Unconfirmed,
     /// This daemon may be held dead, and a back end may be changing: route nothing to the cell.
-    Cut,
+    Unusable,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -110,7 +110,7 @@
     }
 
     /// Says which cells are near. The views of the others are renewed seldom.
-    pub fn set_near(&mut self, now: Timestamp, is_near: impl Fn(&CellName) -> bool) {
+    pub fn set_nearby_cells(&mut self, now: Timestamp, is_near: impl Fn(&CellName) -> bool) {
         for (cell, view) in &mut self.cells {
             let was_far = std::mem::replace(&mut view.is_far, !is_near(cell));
             if was_far && !view.is_far {
@@ -120,7 +120,7 @@
     }
 
     /// Asks for a cell's view at the next tick: a controller is at work that is not known here.
-    pub fn ask_soon(&mut self, now: Timestamp, cell: &CellName) {
+    pub fn request_soon(&mut self, now: Timestamp, cell: &CellName) {
         if let Some(view) = self.cells.get_mut(cell) {
             view.next_request = now;
         }
@@ -160,7 +160,7 @@
 
     /// A controller answered; its marks are already in the drain table. Returns whether the answer
     /// counts: it belongs to the last request and its token is not older than one seen before.
-    pub fn answered(&mut self, cell: &CellName, number: u64, token: FencingToken) -> bool {
+    pub fn accept_answer(&mut self, cell: &CellName, number: u64, token: FencingToken) -> bool {
         let Some(view) = self.cells.get_mut(cell) else {
             return false;
         };
@@ -178,7 +178,7 @@
 
     /// The process was frozen: every view is void until a controller answers, and no answer to an
     /// earlier request counts.
-    pub fn woke_after_freeze(&mut self, now: Timestamp) {
+    pub fn invalidate_after_freeze(&mut self, now: Timestamp) {
         self.must_catch_up = true;
         for view in self.cells.values_mut() {
             view.valid_until = None;
@@ -194,14 +194,14 @@
 
     /// How far the view of a cell is to be trusted.
     #[must_use]
-    pub fn standing(&self, cell: &CellName, now: Timestamp, contact: Contact) -> ViewStanding {
+    pub fn status(&self, cell: &CellName, now: Timestamp, contact: Contact) -> ViewStatus {
         let valid_until = self.cells.get(cell).and_then(|view| view.valid_until);
         if valid_until.is_some_and(|end| now < end) {
-            return ViewStanding::Valid;
+            return ViewStatus::Valid;
         }
         match contact {
-            Contact::Alone | Contact::InContact if !self.must_catch_up => ViewStanding::Unconfirmed,
-            Contact::Alone | Contact::InContact | Contact::Isolated => ViewStanding::Cut,
+            Contact::Alone | Contact::InContact if !self.must_catch_up => ViewStatus::Unconfirmed,
+            Contact::Alone | Contact::InContact | Contact::Isolated => ViewStatus::Unusable,
         }
     }
 }
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -15,11 +15,11 @@
 mod types;
 
 pub use engine::EnginePhase;
-pub use event::{CallProblem, OrdersAction, OrdersEvent, ReadNumber};
+pub use event::{EngineCallError, OrdersAction, OrdersEvent, ReadNumber};
 pub use reason::{OrderDecision, SetAsideReason};
 pub use reconciler::Reconciler;
 pub use settings::OrdersSettings;
 pub use types::{
-    EndedOrder, EngineReport, EngineWish, LoadedModel, Order, OrderRefusal, RolloutLimit,
-    RunningOrder, TargetState, WantedState, order_id,
+    DesiredEngine, DesiredState, EndedOrder, EngineReport, LoadedModel, Order, OrderRefusal,
+    RolloutLimit, RunningOrder, TargetState, order_id,
 };
--- a/crates/core/src/orders/event.rs
+++ b/crates/core/src/orders/event.rs
@@ -1,7 +1,7 @@
 //! What the reconciler takes and gives.
 
 use super::reason::SetAsideReason;
-use super::types::{EngineReport, Order, OrderRefusal, WantedState};
+use super::types::{DesiredState, EngineReport, Order, OrderRefusal};
 use crate::decision::DecisionRecord;
 use crate::drain::DrainReason;
 use crate::{FencingToken, MachineId, OrderId};
@@ -12,7 +12,7 @@
 
 /// Why a call to an engine had no result.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallProblem {
+pub enum EngineCallError {
     /// It certainly did not reach the engine, or was not sent (the lease was too short).
     NotSent,
     /// It may have reached the engine.
@@ -27,7 +27,7 @@
     /// Time passed; expected every 100 ms.
     Tick,
     /// The planner or the configuration want something else.
-    Wanted(WantedState),
+    DesiredChanged(DesiredState),
     /// An engine accepted the claim.
     Claimed {
         /// The engine.
@@ -40,7 +40,7 @@
         /// The engine.
         engine: MachineId,
         /// Why.
-        problem: CallProblem,
+        problem: EngineCallError,
     },
     /// An engine's state was read.
     Read {
@@ -52,7 +52,7 @@
         report: Option<EngineReport>,
     },
     /// An engine took an order.
-    OrderTaken {
+    OrderAccepted {
         /// The engine.
         engine: MachineId,
         /// The order.
@@ -67,7 +67,7 @@
         /// The order.
         order_id: OrderId,
         /// Why.
-        problem: CallProblem,
+        problem: EngineCallError,
     },
     /// No daemon routes to the engine any more. The shell says so again at each tick for which
     /// `DrainTracker::progress` gives `Acknowledged`.
--- a/crates/core/src/orders/limits.rs
+++ b/crates/core/src/orders/limits.rs
@@ -20,9 +20,9 @@
     settings: &OrdersSettings,
 ) -> Option<OrderDecision> {
     let away = engines.values().filter(|other| other.is_away()).count();
-    if away >= settings.maximum_away {
+    if away >= settings.maximum_unavailable {
         return Some(OrderDecision::WaitForCell {
-            limit: settings.maximum_away,
+            limit: settings.maximum_unavailable,
         });
     }
     let model = engine.model()?;
--- a/crates/core/src/orders/outcome.rs
+++ b/crates/core/src/orders/outcome.rs
@@ -1,7 +1,7 @@
 //! What claims, reads and orders lead to.
 
 use super::engine::EnginePhase;
-use super::event::{CallProblem, OrdersAction, ReadNumber};
+use super::event::{EngineCallError, OrdersAction, ReadNumber};
 use super::reason::{OrderDecision, SetAsideReason};
 use super::reconciler::{Reconciler, record};
 use super::types::{EngineReport, Order, OrderRefusal};
@@ -192,7 +192,7 @@
         now: Timestamp,
         machine: MachineId,
         order_id: OrderId,
-        problem: CallProblem,
+        problem: EngineCallError,
         actions: &mut Vec<OrdersAction>,
     ) {
         if self.outstanding(machine, order_id).is_none() {
@@ -201,8 +201,8 @@
         let refusal = match problem {
             // It is sent again with the same id after a while, until a report shows what became of
             // it: an earlier sending of it may have been taken.
-            CallProblem::NotSent | CallProblem::AnswerLost => return,
-            CallProblem::Refused(refusal) => refusal,
+            EngineCallError::NotSent | EngineCallError::AnswerLost => return,
+            EngineCallError::Refused(refusal) => refusal,
         };
         match refusal {
             OrderRefusal::StaleToken { newest } => self.superseded(newest, actions),
--- a/crates/core/src/orders/reconciler.rs
+++ b/crates/core/src/orders/reconciler.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use super::engine::{Engine, EnginePhase};
-use super::event::{CallProblem, OrdersAction, OrdersEvent, ReadNumber};
+use super::event::{EngineCallError, OrdersAction, OrdersEvent, ReadNumber};
 use super::reason::{OrderDecision, SetAsideReason};
 use super::settings::OrdersSettings;
-use super::types::{EngineReport, Order, OrderRefusal, RolloutLimit, WantedState, order_id};
+use super::types::{DesiredState, EngineReport, Order, OrderRefusal, RolloutLimit, order_id};
 use crate::decision::{DecisionKind, DecisionRecord};
 use crate::drain::DrainReason;
 use crate::{FencingToken, MachineId, Timestamp};
@@ -76,7 +76,7 @@
         let mut actions = Vec::new();
         match event {
             OrdersEvent::Tick => self.tick(now, &mut actions),
-            OrdersEvent::Wanted(wanted) => self.take_wanted(now, wanted),
+            OrdersEvent::DesiredChanged(wanted) => self.take_wanted(now, wanted),
             OrdersEvent::Claimed { engine, report } => {
                 self.claimed(now, engine, report, &mut actions);
             }
@@ -88,7 +88,7 @@
                 number,
                 report,
             } => self.was_read(now, engine, number, report, &mut actions),
-            OrdersEvent::OrderTaken {
+            OrdersEvent::OrderAccepted {
                 engine,
                 order_id,
                 report,
@@ -103,7 +103,7 @@
         actions
     }
 
-    fn take_wanted(&mut self, now: Timestamp, wanted: WantedState) {
+    fn take_wanted(&mut self, now: Timestamp, wanted: DesiredState) {
         self.rollouts = wanted.rollouts;
         let named: Vec<_> = wanted.engines.iter().map(|wish| wish.engine).collect();
         // An order under way is seen to its end, also at an engine that is no longer in the cell.
@@ -337,10 +337,10 @@
         &mut self,
         now: Timestamp,
         machine: MachineId,
-        problem: CallProblem,
+        problem: EngineCallError,
         actions: &mut Vec<OrdersAction>,
     ) {
-        if let CallProblem::Refused(OrderRefusal::StaleToken { newest }) = problem {
+        if let EngineCallError::Refused(OrderRefusal::StaleToken { newest }) = problem {
             self.superseded(newest, actions);
             return;
         }
--- a/crates/core/src/orders/settings.rs
+++ b/crates/core/src/orders/settings.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrdersSettings {
     /// Most engines of the cell that planned changes take away at once.
-    pub maximum_away: usize,
+    pub maximum_unavailable: usize,
     /// Most loads of weights at once.
     pub maximum_loads: usize,
     /// Least time between the starts of two loads of weights.
@@ -32,7 +32,7 @@
 impl Default for OrdersSettings {
     fn default() -> Self {
         Self {
-            maximum_away: 4,
+            maximum_unavailable: 4,
             maximum_loads: 2,
             load_spacing: Duration::from_secs(1),
             read_period: Duration::from_millis(500),
--- a/crates/core/src/orders/types.rs
+++ b/crates/core/src/orders/types.rs
@@ -154,7 +154,7 @@
 
 /// What one engine shall be.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EngineWish {
+pub struct DesiredEngine {
     /// The engine.
     pub engine: MachineId,
     /// Its wanted state; `None` leaves it as it is.
@@ -173,9 +173,9 @@
 
 /// What the cell shall be.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct WantedState {
+pub struct DesiredState {
     /// All engines of the cell.
-    pub engines: Vec<EngineWish>,
+    pub engines: Vec<DesiredEngine>,
     /// Limits by model.
     pub rollouts: Vec<RolloutLimit>,
 }
--- a/crates/core/src/roles/candidates.rs
+++ b/crates/core/src/roles/candidates.rs
@@ -79,7 +79,7 @@
 
     fn transition(&self, after: RoleSplit) -> Option<Transition> {
         let changes = self.settled.changes_to(after);
-        if changes == 0 || changes > self.budget || !after.serves() {
+        if changes == 0 || changes > self.budget || !after.can_serve() {
             return None;
         }
         let mut meanwhile = RoleSplit::default();
@@ -93,7 +93,7 @@
             }
         }
         let new_decoders = after.decode.saturating_sub(self.settled.decode);
-        (meanwhile.serves() || !self.serving.serves()).then_some(Transition {
+        (meanwhile.can_serve() || !self.serving.can_serve()).then_some(Transition {
             meanwhile,
             after,
             changes,
--- a/crates/core/src/roles/capacity.rs
+++ b/crates/core/src/roles/capacity.rs
@@ -41,7 +41,7 @@
     /// Requests a second.
     pub requests: f64,
     /// Prompt tokens a second that have to be read (not found in a prefix cache).
-    pub unread_prompt_tokens: f64,
+    pub uncached_prompt_tokens: f64,
     /// All prompt tokens a second.
     pub prompt_tokens: f64,
     /// Tokens a second to generate.
@@ -54,7 +54,7 @@
     pub fn plus(self, other: Self) -> Self {
         Self {
             requests: self.requests + other.requests,
-            unread_prompt_tokens: self.unread_prompt_tokens + other.unread_prompt_tokens,
+            uncached_prompt_tokens: self.uncached_prompt_tokens + other.uncached_prompt_tokens,
             prompt_tokens: self.prompt_tokens + other.prompt_tokens,
             output_tokens: self.output_tokens + other.output_tokens,
         }
@@ -66,7 +66,7 @@
         let seconds = seconds.max(f64::MIN_POSITIVE);
         Self {
             requests: self.requests / seconds,
-            unread_prompt_tokens: self.unread_prompt_tokens / seconds,
+            uncached_prompt_tokens: self.uncached_prompt_tokens / seconds,
             prompt_tokens: self.prompt_tokens / seconds,
             output_tokens: self.output_tokens / seconds,
         }
@@ -117,7 +117,7 @@
     ) -> f64 {
         let alike = self.handover_share(split, demand, targets)
             + self.largest_share(|share| {
-                let read = share * demand.unread_prompt_tokens;
+                let read = share * demand.uncached_prompt_tokens;
                 let generated = share * demand.output_tokens;
                 self.mixed_can_serve(split.mixed, demand, targets, read, generated)
             });
@@ -144,7 +144,7 @@
     ) -> f64 {
         let read = f64::from(split.prefill) * self.prefill_tokens_per_second;
         let generated = self.generated(split.decode, demand, targets);
-        let read_share = read / demand.unread_prompt_tokens.max(SMALLEST_DEMAND);
+        let read_share = read / demand.uncached_prompt_tokens.max(SMALLEST_DEMAND);
         let generated_share = generated / demand.output_tokens.max(SMALLEST_DEMAND);
         read_share.min(generated_share)
     }
@@ -171,7 +171,7 @@
         let reads = dedicated * f64::from(split.prefill) * self.prefill_tokens_per_second;
         let generates = dedicated * self.generated(split.decode, demand, targets);
         self.largest_share(|share| {
-            let read = share * demand.unread_prompt_tokens - reads;
+            let read = share * demand.uncached_prompt_tokens - reads;
             let generated = share * demand.output_tokens - generates;
             self.mixed_can_serve(
                 split.mixed,
--- a/crates/core/src/roles/demand.rs
+++ b/crates/core/src/roles/demand.rs
@@ -55,7 +55,7 @@
             let sum = self.sums.entry(level.level).or_default();
             *sum = sum.plus(TokenDemand {
                 requests: level.requests as f64,
-                unread_prompt_tokens: level.unread_prompt_tokens() as f64,
+                uncached_prompt_tokens: level.uncached_prompt_tokens() as f64,
                 prompt_tokens: level.prompt_tokens as f64,
                 output_tokens: level.output_tokens as f64,
             });
@@ -80,7 +80,7 @@
     /// Level of the priority.
     pub level: u8,
     requests: Trend,
-    unread_prompt_tokens: Trend,
+    uncached_prompt_tokens: Trend,
     prompt_tokens: Trend,
     output_tokens: Trend,
 }
@@ -167,7 +167,7 @@
         let forecast = |level: u8| LevelForecast {
             level,
             requests: series(level, |demand| demand.requests),
-            unread_prompt_tokens: series(level, LevelDemand::unread_prompt_tokens),
+            uncached_prompt_tokens: series(level, LevelDemand::uncached_prompt_tokens),
             prompt_tokens: series(level, |demand| demand.prompt_tokens),
             output_tokens: series(level, |demand| demand.output_tokens),
         };
@@ -195,14 +195,14 @@
         let fades = settings.trend_fades_after;
         TokenDemand {
             requests: self.requests.after(ahead, fades),
-            unread_prompt_tokens: self.unread_prompt_tokens.after(ahead, fades),
+            uncached_prompt_tokens: self.uncached_prompt_tokens.after(ahead, fades),
             prompt_tokens: self.prompt_tokens.after(ahead, fades),
             output_tokens: self.output_tokens.after(ahead, fades),
         }
     }
 
     const fn trend_clear(&self) -> bool {
-        self.unread_prompt_tokens.clear || self.output_tokens.clear
+        self.uncached_prompt_tokens.clear || self.output_tokens.clear
     }
 }
 
@@ -217,8 +217,8 @@
     let now = total(Duration::ZERO);
     let ahead = total(settings.horizon);
     DemandForecast {
-        prompt_tokens_now: now.unread_prompt_tokens,
-        prompt_tokens_ahead: ahead.unread_prompt_tokens,
+        prompt_tokens_now: now.uncached_prompt_tokens,
+        prompt_tokens_ahead: ahead.uncached_prompt_tokens,
         output_tokens_now: now.output_tokens,
         output_tokens_ahead: ahead.output_tokens,
         trend_clear: forecast.iter().any(LevelForecast::trend_clear),
--- a/crates/core/src/roles/planner.rs
+++ b/crates/core/src/roles/planner.rs
@@ -150,7 +150,7 @@
             };
             let is_serving = engine.availability == EngineAvailability::Serving;
             let without = serving.without(role);
-            if pinned == role || !is_serving || budget == 0 || !without.serves() {
+            if pinned == role || !is_serving || budget == 0 || !without.can_serve() {
                 continue;
             }
             serving = without;
@@ -269,7 +269,7 @@
             return Some(KeepReason::NoneReachable);
         }
         let samples = self.history.len();
-        let is_served = census.settled.serves();
+        let is_served = census.settled.can_serve();
         if is_served && samples < settings.minimum_samples {
             return Some(KeepReason::TooFewSamples { samples });
         }
--- a/crates/core/src/roles/sample.rs
+++ b/crates/core/src/roles/sample.rs
@@ -22,7 +22,7 @@
 impl LevelDemand {
     /// Tokens that have to be read.
     #[must_use]
-    pub const fn unread_prompt_tokens(&self) -> u64 {
+    pub const fn uncached_prompt_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_sub(self.cached_prompt_tokens)
     }
 }
--- a/crates/core/src/roles/split.rs
+++ b/crates/core/src/roles/split.rs
@@ -84,7 +84,7 @@
 
     /// Whether every request can be served: a mixed engine, or a pair for the hand-over.
     #[must_use]
-    pub const fn serves(self) -> bool {
+    pub const fn can_serve(self) -> bool {
         self.mixed > 0 || (self.prefill > 0 && self.decode > 0)
     }
 }
--- a/crates/core/src/roles/value.rs
+++ b/crates/core/src/roles/value.rs
@@ -149,9 +149,9 @@
 fn without_cache(demand: TokenDemand, transition: &Transition) -> TokenDemand {
     let readers = transition.after.prefill + transition.after.mixed;
     let cold_share = f64::from(transition.changed_readers) / f64::from(readers.max(1));
-    let cached = (demand.prompt_tokens - demand.unread_prompt_tokens).max(0.0);
+    let cached = (demand.prompt_tokens - demand.uncached_prompt_tokens).max(0.0);
     TokenDemand {
-        unread_prompt_tokens: demand.unread_prompt_tokens + cold_share.min(1.0) * cached,
+        uncached_prompt_tokens: demand.uncached_prompt_tokens + cold_share.min(1.0) * cached,
         ..demand
     }
 }
@@ -184,7 +184,7 @@
     settings: &PlannerSettings,
 ) -> Vec<LevelPoint> {
     let mut cumulative = TokenDemand {
-        unread_prompt_tokens: backlog / settings.horizon.as_secs_f64().max(1.0),
+        uncached_prompt_tokens: backlog / settings.horizon.as_secs_f64().max(1.0),
         ..TokenDemand::default()
     };
     let mut points = Vec::with_capacity(forecast.len());
--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -5,7 +5,7 @@
 use ponddrift_core::drain::{
     DrainAck, DrainAction, DrainMark, DrainProgress, DrainReason, DrainSource, DrainState,
     DrainTable, DrainTracker, DrainTrackerSettings, DrainVersion, KnownDaemon, ViewLeaseSettings,
-    ViewLeases, ViewSource, ViewStanding,
+    ViewLeases, ViewSource, ViewStatus,
 };
 use ponddrift_core::machine::{Machine, MachineKind, MachineList, MachineState};
 use ponddrift_core::membership::{Contact, MemberState};
@@ -57,12 +57,18 @@
 fn an_older_mark_never_releases_a_back_end() {
     let mut table = DrainTable::default();
     let now = Timestamp(1);
-    let first = table.take_mark(now, mark(5, 2, DrainState::Draining));
+    let first = table.apply_mark(now, mark(5, 2, DrainState::Draining));
     assert!(matches!(first, Some(DrainAction::StopRouting { .. })));
-    assert_eq!(table.take_mark(now, mark(5, 1, DrainState::Released)), None);
-    assert_eq!(table.take_mark(now, mark(4, 9, DrainState::Released)), None);
+    assert_eq!(
+        table.apply_mark(now, mark(5, 1, DrainState::Released)),
+        None
+    );
+    assert_eq!(
+        table.apply_mark(now, mark(4, 9, DrainState::Released)),
+        None
+    );
     assert!(table.draining(ENGINE).is_some());
-    let released = table.take_mark(now, mark(6, 1, DrainState::Released));
+    let released = table.apply_mark(now, mark(6, 1, DrainState::Released));
     assert_eq!(
         released,
         Some(DrainAction::ResumeRouting { back_end: ENGINE })
@@ -75,36 +81,39 @@
     let now = Timestamp(1);
     assert_eq!(
         table
-            .read_machine_list(now, &list(3, MachineState::Leaving))
+            .apply_machine_list(now, &list(3, MachineState::Leaving))
             .len(),
         1
     );
-    table.take_mark(now, mark(5, 1, DrainState::Draining));
-    assert_eq!(table.take_mark(now, mark(5, 2, DrainState::Released)), None);
+    table.apply_mark(now, mark(5, 1, DrainState::Draining));
+    assert_eq!(
+        table.apply_mark(now, mark(5, 2, DrainState::Released)),
+        None
+    );
     assert!(table.draining(ENGINE).is_some());
     assert_eq!(
-        table.read_machine_list(now, &list(2, MachineState::Live)),
+        table.apply_machine_list(now, &list(2, MachineState::Live)),
         []
     );
     assert!(
         table.draining(ENGINE).is_some(),
         "an older list released it"
     );
-    table.read_machine_list(now, &list(4, MachineState::Live));
+    table.apply_machine_list(now, &list(4, MachineState::Live));
     assert!(table.draining(ENGINE).is_none());
 }
 
 #[test]
 fn marks_are_sent_a_bounded_number_of_times_and_digests_tell_tables_apart() {
     let mut table = DrainTable::default();
-    table.take_mark(Timestamp(1), mark(5, 1, DrainState::Draining));
+    table.apply_mark(Timestamp(1), mark(5, 1, DrainState::Draining));
     let sent = (0..100).filter(|_| !table.take_for_gossip(Timestamp(1), 10).is_empty());
     assert_eq!(sent.count(), 12);
     let mut other = DrainTable::default();
     assert_ne!(other.digest(), table.digest());
     for mark in table.all(Timestamp(900_000)).collect::<Vec<_>>() {
         assert_eq!(mark.age_ms, 899);
-        other.take_mark(Timestamp(5), mark);
+        other.apply_mark(Timestamp(5), mark);
     }
     assert_eq!(other.digest(), table.digest());
 }
@@ -113,7 +122,7 @@
 fn a_restarted_daemon_must_acknowledge_again() {
     let now = Timestamp::from_millis(1);
     let mut tracker = DrainTracker::new(DrainTrackerSettings::default(), FencingToken(5), now);
-    tracker.note_daemon(now, daemon(MemberState::Alive));
+    tracker.update_daemon(now, daemon(MemberState::Alive));
     let version = tracker.begin(now, ENGINE, DrainReason::RoleChange).version;
     let ack = DrainAck {
         back_end: ENGINE,
@@ -124,7 +133,7 @@
     assert_eq!(progress, DrainProgress::Acknowledged);
     let mut restarted = daemon(MemberState::Alive);
     restarted.incarnation = Incarnation(2);
-    tracker.note_daemon(now, restarted);
+    tracker.update_daemon(now, restarted);
     let progress = tracker.progress(now, ENGINE, Contact::InContact);
     assert_eq!(progress, DrainProgress::WaitingFor(vec![DAEMON]));
 }
@@ -154,7 +163,7 @@
         views.caught_up();
         let settings = DrainTrackerSettings::default();
         let mut tracker = DrainTracker::new(settings, FencingToken(5), now);
-        tracker.note_daemon(now, daemon(MemberState::Alive));
+        tracker.update_daemon(now, daemon(MemberState::Alive));
         Self {
             now,
             table: DrainTable::default(),
@@ -189,13 +198,13 @@
         } else {
             MemberState::Alive
         };
-        self.tracker.note_daemon(self.now, daemon(state));
+        self.tracker.update_daemon(self.now, daemon(state));
         match action % 8 {
             0 => self.is_cut = !self.is_cut,
             1 => self.is_frozen = true,
             2 if self.is_frozen => {
                 self.is_frozen = false;
-                self.views.woke_after_freeze(self.now);
+                self.views.invalidate_after_freeze(self.now);
             }
             3 => {
                 self.tracker
@@ -221,7 +230,7 @@
             }
             let marks = self
                 .tracker
-                .answer_view(self.now, daemon(MemberState::Alive));
+                .answer_view_request(self.now, daemon(MemberState::Alive));
             self.late_answer = Some((request.number, marks));
             if answer_at_once {
                 self.deliver_late_answer();
@@ -237,23 +246,23 @@
             return;
         };
         for mark in marks {
-            let action = self.table.take_mark(self.now, mark);
+            let action = self.table.apply_mark(self.now, mark);
             if let Some(DrainAction::StopRouting { back_end, .. }) = action {
-                let ack = self.table.routing_stopped(back_end).unwrap();
+                let ack = self.table.acknowledge_drain(back_end).unwrap();
                 self.tracker.acknowledge(DAEMON, Incarnation(1), ack);
             }
         }
         let cell = self.cell.clone();
-        if self.views.answered(&cell, number, FencingToken(5)) {
+        if self.views.accept_answer(&cell, number, FencingToken(5)) {
             self.views.caught_up();
         }
     }
 
     fn daemon_would_route(&self) -> bool {
         let contact = self.daemon_contact();
-        let standing = self.views.standing(&self.cell, self.now, contact);
+        let status = self.views.status(&self.cell, self.now, contact);
         let is_drained = self.table.draining(ENGINE).is_some();
-        !self.is_frozen && standing != ViewStanding::Cut && !is_drained
+        !self.is_frozen && status != ViewStatus::Unusable && !is_drained
     }
 
     fn controller_believes_drained(&self) -> bool {
--- a/crates/core/tests/orders.rs
+++ b/crates/core/tests/orders.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use ponddrift_core::orders::{
-    CallProblem, EndedOrder, EnginePhase, EngineReport, EngineWish, LoadedModel, Order,
-    OrderRefusal, OrdersAction, OrdersEvent, OrdersSettings, ReadNumber, Reconciler, RolloutLimit,
-    RunningOrder, SetAsideReason, TargetState, WantedState, order_id,
+    DesiredEngine, DesiredState, EndedOrder, EngineCallError, EnginePhase, EngineReport,
+    LoadedModel, Order, OrderRefusal, OrdersAction, OrdersEvent, OrdersSettings, ReadNumber,
+    Reconciler, RolloutLimit, RunningOrder, SetAsideReason, TargetState, order_id,
 };
 use ponddrift_core::random::{SeededRandom, seeded};
 use ponddrift_core::{EngineRole, FencingToken, Incarnation, MachineId, OrderId, Timestamp};
@@ -207,18 +207,18 @@
     }
 
     fn want(&mut self, target: &TargetState, percent: u8) {
-        let wish = |engine: &MachineId| EngineWish {
+        let wish = |engine: &MachineId| DesiredEngine {
             engine: *engine,
             target: Some(target.clone()),
         };
-        let wanted = WantedState {
+        let wanted = DesiredState {
             engines: self.engines.keys().map(wish).collect(),
             rollouts: vec![RolloutLimit {
                 model: "ledger".parse().unwrap(),
                 percent,
             }],
         };
-        self.handle(OrdersEvent::Wanted(wanted));
+        self.handle(OrdersEvent::DesiredChanged(wanted));
     }
 
     fn handle(&mut self, event: OrdersEvent) {
@@ -269,15 +269,15 @@
         let answer_lost = self.is_lost();
         let stand_in = self.engine(engine);
         let problem = if !stand_in.is_reachable {
-            CallProblem::NotSent
+            EngineCallError::NotSent
         } else {
             match stand_in.claim(token) {
                 Ok(report) if !answer_lost => {
                     self.answer(OrdersEvent::Claimed { engine, report });
                     return;
                 }
-                Ok(_) => CallProblem::AnswerLost,
-                Err(refusal) => CallProblem::Refused(refusal),
+                Ok(_) => EngineCallError::AnswerLost,
+                Err(refusal) => EngineCallError::Refused(refusal),
             }
         };
         self.answer(OrdersEvent::ClaimFailed { engine, problem });
@@ -304,21 +304,21 @@
         let stand_in = self.engine(engine);
         stand_in.check_sent(order);
         let problem = if !stand_in.is_reachable || is_lost {
-            CallProblem::NotSent
+            EngineCallError::NotSent
         } else {
             match stand_in.take(order) {
                 Ok(report) if !answer_lost => {
-                    self.answer(OrdersEvent::OrderTaken {
+                    self.answer(OrdersEvent::OrderAccepted {
                         engine,
                         order_id,
                         report,
                     });
                     return;
                 }
-                Ok(_) => CallProblem::AnswerLost,
+                Ok(_) => EngineCallError::AnswerLost,
                 Err(refusal) => {
                     stand_in.refused = !matches!(refusal, OrderRefusal::Busy { .. });
-                    CallProblem::Refused(refusal)
+                    EngineCallError::Refused(refusal)
                 }
             }
         };
@@ -386,7 +386,7 @@
 #[test]
 fn a_rollout_reaches_every_engine_within_its_limits() {
     let settings = OrdersSettings {
-        maximum_away: 3,
+        maximum_unavailable: 3,
         ..OrdersSettings::default()
     };
     let mut cell = Cell::new(1, 12, settings);
@@ -541,17 +541,17 @@
 #[test]
 fn nothing_is_begun_before_each_engine_was_claimed_or_found_unreachable() {
     let wanted = target(EngineRole::Decode, 1);
-    let wish = |number| EngineWish {
+    let wish = |number| DesiredEngine {
         engine: MachineId(number),
         target: Some(wanted.clone()),
     };
     let mut reconciler = Reconciler::new(OrdersSettings::default(), FencingToken(7));
     let now = Timestamp::from_millis(1);
-    let wanted = WantedState {
+    let wanted = DesiredState {
         engines: vec![wish(0), wish(1)],
         rollouts: vec![],
     };
-    reconciler.handle(now, OrdersEvent::Wanted(wanted));
+    reconciler.handle(now, OrdersEvent::DesiredChanged(wanted));
     reconciler.handle(now, OrdersEvent::Tick);
     let mut report = Engine::new().report;
     report.token = FencingToken(7);
@@ -572,7 +572,7 @@
     }
     let unreachable = OrdersEvent::ClaimFailed {
         engine: MachineId(1),
-        problem: CallProblem::NotSent,
+        problem: EngineCallError::NotSent,
     };
     reconciler.handle(Timestamp::from_millis(20_000), unreachable);
     assert!(begins(&mut reconciler, 21));
--- a/crates/core/tests/roles_planner.rs
+++ b/crates/core/tests/roles_planner.rs
@@ -37,7 +37,7 @@
     let settings = fleet.planner.settings();
     let demand = TokenDemand {
         requests: rates.requests as f64,
-        unread_prompt_tokens: rates.prompt_tokens as f64,
+        uncached_prompt_tokens: rates.prompt_tokens as f64,
         prompt_tokens: rates.prompt_tokens as f64,
         output_tokens: rates.output_tokens as f64,
     };
--- a/crates/core/tests/roles_properties.rs
+++ b/crates/core/tests/roles_properties.rs
@@ -140,7 +140,10 @@
         );
         let before = serving(&engines, &Plan::default());
         let during = serving(&engines, &plan);
-        assert!(during.serves() || !before.serves(), "{before:?} {during:?}");
+        assert!(
+            during.can_serve() || !before.can_serve(),
+            "{before:?} {during:?}"
+        );
     });
 }
 
--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -156,7 +156,7 @@
         let engines = self.cell_engines().len();
         let share = usize::from(self.links.settings.control.engines_away_percent);
         let orders = OrdersSettings {
-            maximum_away: (engines * share / 100).max(LEAST_AWAY),
+            maximum_unavailable: (engines * share / 100).max(LEAST_AWAY),
             read_period: self.links.settings.control.reconcile_interval,
             ..OrdersSettings::default()
         };
--- a/crates/daemon/src/actors/controller/engines.rs
+++ b/crates/daemon/src/actors/controller/engines.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ponddrift_core::orders::{
-    CallProblem, EngineReport, Order, OrdersAction, OrdersEvent, ReadNumber,
+    EngineCallError, EngineReport, Order, OrdersAction, OrdersEvent, ReadNumber,
 };
 use ponddrift_core::{Execution, FencingToken, MachineId, OrderId};
 use ponddrift_engine::control::{AuthorityCheck, ControlError};
@@ -34,7 +34,7 @@
 
     pub(super) fn claim(&self, engine: MachineId, token: FencingToken) {
         let Some(address) = self.engine_address(engine) else {
-            let problem = CallProblem::NotSent;
+            let problem = EngineCallError::NotSent;
             return self.answer_later(token, OrdersEvent::ClaimFailed { engine, problem });
         };
         let control = self.links.control.clone();
@@ -77,7 +77,7 @@
         let token = order.token;
         let order_id: OrderId = order.order_id;
         let Some(address) = self.engine_address(engine) else {
-            let problem = CallProblem::NotSent;
+            let problem = EngineCallError::NotSent;
             let event = OrdersEvent::OrderFailed {
                 engine,
                 order_id,
@@ -89,7 +89,7 @@
         let check = self.authority_check(token);
         self.spawn_call(token, async move {
             match control.order(address, &order, check).await {
-                Ok(report) => OrdersEvent::OrderTaken {
+                Ok(report) => OrdersEvent::OrderAccepted {
                     engine,
                     order_id,
                     report,
@@ -144,12 +144,12 @@
     }
 }
 
-fn problem(error: ControlError) -> CallProblem {
+fn problem(error: ControlError) -> EngineCallError {
     match error {
-        ControlError::Refused(refusal) => CallProblem::Refused(refusal),
+        ControlError::Refused(refusal) => EngineCallError::Refused(refusal),
         ControlError::Call(error) if error.execution() == Execution::NotStarted => {
-            CallProblem::NotSent
+            EngineCallError::NotSent
         }
-        ControlError::Call(_) => CallProblem::AnswerLost,
+        ControlError::Call(_) => EngineCallError::AnswerLost,
     }
 }
--- a/crates/daemon/src/actors/controller/office.rs
+++ b/crates/daemon/src/actors/controller/office.rs
@@ -34,7 +34,7 @@
     pub(super) seen_roles: BTreeMap<MachineId, (EngineRole, Timestamp)>,
     pub(super) readings: BTreeMap<MachineId, LoadSample>,
     pub(super) last_reading: Timestamp,
-    pub(super) wanted: ponddrift_core::orders::WantedState,
+    pub(super) wanted: ponddrift_core::orders::DesiredState,
 }
 
 impl Office {
@@ -56,7 +56,7 @@
             seen_roles: BTreeMap::new(),
             readings: BTreeMap::new(),
             last_reading: now,
-            wanted: ponddrift_core::orders::WantedState::default(),
+            wanted: ponddrift_core::orders::DesiredState::default(),
         }
     }
 }
@@ -95,7 +95,7 @@
                 incarnation: record.life.incarnation,
                 state: record.state,
             };
-            office.tracker.note_daemon(now, daemon);
+            office.tracker.update_daemon(now, daemon);
         }
     }
 
@@ -167,7 +167,7 @@
                     incarnation,
                     state: MemberState::Alive,
                 };
-                let marks = office.tracker.answer_view(now, known);
+                let marks = office.tracker.answer_view_request(now, known);
                 let token = office.token;
                 let part = Part::View {
                     cell: self.cell.clone(),
--- a/crates/daemon/src/actors/controller/wanted.rs
+++ b/crates/daemon/src/actors/controller/wanted.rs
@@ -7,7 +7,7 @@
 use ponddrift_core::machine::MachineState;
 use ponddrift_core::model_assignment::{HoldingEngine, assign_models};
 use ponddrift_core::orders::{
-    EngineReport, EngineWish, OrdersEvent, RolloutLimit, TargetState, WantedState,
+    DesiredEngine, DesiredState, EngineReport, OrdersEvent, RolloutLimit, TargetState,
 };
 use ponddrift_core::{EngineRole, MachineId, ModelName, Timestamp};
 
@@ -24,7 +24,7 @@
             return;
         }
         office.wanted = wanted.clone();
-        self.orders_event(OrdersEvent::Wanted(wanted));
+        self.orders_event(OrdersEvent::DesiredChanged(wanted));
     }
 
     /// The engines of the cell with the models they hold, or are about to.
@@ -57,9 +57,9 @@
             .collect()
     }
 
-    fn wanted_state(&self) -> WantedState {
+    fn wanted_state(&self) -> DesiredState {
         let Some(office) = &self.office else {
-            return WantedState::default();
+            return DesiredState::default();
         };
         let configuration = Arc::clone(&self.links.configuration.borrow());
         let assigned = assign_models(&configuration, &self.holding_engines());
@@ -73,12 +73,12 @@
                     model: model.clone(),
                 })
             });
-            EngineWish {
+            DesiredEngine {
                 engine: machine.id,
                 target,
             }
         };
-        WantedState {
+        DesiredState {
             engines: self.cell_engines().into_iter().map(wish).collect(),
             rollouts: rollouts(&configuration),
         }
--- a/crates/daemon/src/actors/peer.rs
+++ b/crates/daemon/src/actors/peer.rs
@@ -230,7 +230,7 @@
     /// Nothing that was known before the freeze is trusted until a peer or controller has answered.
     fn woke(&mut self, now: Timestamp, gap: Duration) {
         tracing::warn!(frozen_ms = gap.as_millis(), "this process was frozen");
-        self.views.woke_after_freeze(now);
+        self.views.invalidate_after_freeze(now);
         self.must_catch_up = true;
         self.trust_answers_from = now;
         self.next_catch_up = now;
@@ -408,7 +408,7 @@
 
     async fn handle(&mut self, message: ControllerMarks, _context: &mut Context<Self>) {
         for mark in message.0 {
-            self.take_mark(mark);
+            self.apply_mark(mark);
         }
         self.gossip_now();
         self.flush().await;
--- a/crates/daemon/src/actors/peer/cells.rs
+++ b/crates/daemon/src/actors/peer/cells.rs
@@ -82,7 +82,7 @@
                 .filter(|(_engine, cell)| near.contains(*cell))
                 .map(|(engine, _cell)| *engine),
         );
-        self.views.set_near(now, |cell| near.contains(cell));
+        self.views.set_nearby_cells(now, |cell| near.contains(cell));
         self.cells.subscribers = all;
     }
 
--- a/crates/daemon/src/actors/peer/drains.rs
+++ b/crates/daemon/src/actors/peer/drains.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ponddrift_core::drain::{DrainAction, DrainMark, DrainVersion, ViewSource, ViewStanding};
+use ponddrift_core::drain::{DrainAction, DrainMark, DrainVersion, ViewSource, ViewStatus};
 use ponddrift_core::machine::{Machine, MachineKind, MachineList};
 use ponddrift_core::membership::{Contact, MembershipEvent, Seed};
 use ponddrift_core::routing::RoutingEvent;
@@ -39,7 +39,7 @@
             self.views.subscribe(cell.clone());
         }
         self.subscribe_to_cells();
-        for action in self.drains.read_machine_list(now, &list) {
+        for action in self.drains.apply_machine_list(now, &list) {
             self.drain_action(action);
         }
         self.list_taken = list.revision;
@@ -48,9 +48,9 @@
         self.update_standing();
     }
 
-    pub(super) fn take_mark(&mut self, mark: DrainMark) {
+    pub(super) fn apply_mark(&mut self, mark: DrainMark) {
         let now = self.now();
-        if let Some(action) = self.drains.take_mark(now, mark) {
+        if let Some(action) = self.drains.apply_mark(now, mark) {
             self.drain_action(action);
         }
     }
@@ -78,7 +78,7 @@
         let known = self.links.controllers.borrow().get(&cell).copied();
         if known.is_none_or(|known| known.token < version.token) {
             let now = self.now();
-            self.views.ask_soon(now, &cell);
+            self.views.request_soon(now, &cell);
         }
     }
 
@@ -166,7 +166,7 @@
         let until = now + TICK_VALIDITY;
         let cells: Vec<CellName> = self.views.cells().cloned().collect();
         for cell in cells {
-            if self.views.standing(&cell, now, contact) != ViewStanding::Cut {
+            if self.views.status(&cell, now, contact) != ViewStatus::Unusable {
                 tell(
                     &self.links.routing,
                     ViewValid {
@@ -213,7 +213,7 @@
             {
                 continue;
             }
-            let Some(ack) = self.drains.routing_stopped(back_end) else {
+            let Some(ack) = self.drains.acknowledge_drain(back_end) else {
                 self.unacknowledged.remove(&back_end);
                 continue;
             };
--- a/crates/daemon/src/actors/peer/receive.rs
+++ b/crates/daemon/src/actors/peer/receive.rs
@@ -44,7 +44,7 @@
         match message.response {
             Response::DrainMarks(marks) => {
                 for mark in marks {
-                    self.take_mark(mark);
+                    self.apply_mark(mark);
                 }
                 if message.asked >= self.trust_answers_from {
                     self.views.caught_up();
@@ -110,7 +110,7 @@
             }
             Part::DrainMarks(marks) => {
                 for mark in marks {
-                    self.take_mark(mark);
+                    self.apply_mark(mark);
                 }
             }
             Part::DrainDigest(digest) => {
@@ -149,9 +149,9 @@
                 };
                 self.learn_controller(cell.clone(), controller);
                 for mark in marks {
-                    self.take_mark(mark);
+                    self.apply_mark(mark);
                 }
-                if self.views.answered(&cell, number, token) {
+                if self.views.accept_answer(&cell, number, token) {
                     self.update_standing();
                 }
             }
--- a/crates/emulator/src/experiment/controller/schedule.rs
+++ b/crates/emulator/src/experiment/controller/schedule.rs
@@ -114,7 +114,7 @@
         let Some(to) = most_lacking(wanted, settled) else {
             break;
         };
-        if away >= allowed || !has_surplus || !serving.without(role).serves() {
+        if away >= allowed || !has_surplus || !serving.without(role).can_serve() {
             continue;
         }
         away += 1;
--- a/crates/emulator/src/experiment/demand.rs
+++ b/crates/emulator/src/experiment/demand.rs
@@ -27,7 +27,7 @@
     let seconds = seconds.max(f64::MIN_POSITIVE);
     TokenDemand {
         requests: sum.requests / seconds,
-        unread_prompt_tokens: sum.prompt_tokens / seconds,
+        uncached_prompt_tokens: sum.prompt_tokens / seconds,
         prompt_tokens: sum.prompt_tokens / seconds,
         output_tokens: sum.output_tokens / seconds,
     }
@@ -47,7 +47,7 @@
             });
         }
     }
-    splits.retain(|split| split.serves());
+    splits.retain(|split| split.can_serve());
     splits
 }
 
@@ -72,7 +72,7 @@
     let multiple = 1_000.0;
     let many = TokenDemand {
         requests: demand.requests * multiple,
-        unread_prompt_tokens: demand.unread_prompt_tokens * multiple,
+        uncached_prompt_tokens: demand.uncached_prompt_tokens * multiple,
         prompt_tokens: demand.prompt_tokens * multiple,
         output_tokens: demand.output_tokens * multiple,
     };
--- a/crates/emulator/src/experiment/oracle.rs
+++ b/crates/emulator/src/experiment/oracle.rs
@@ -194,7 +194,7 @@
             return after;
         }
         let common = self.splits[before].in_common(self.splits[to]);
-        let meanwhile = if common.serves() {
+        let meanwhile = if common.can_serve() {
             (self.meanwhile)(window, common)
         } else {
             0.0
