--- a/crates/core/src/drain.rs
+++ b/crates/core/src/drain.rs
@@ -1,8 +1,8 @@
-//! Draining a back end: routing stops everywhere before it is changed or leaves.
+//! Draining of back ends: every daemon stops routing to a back end before it is changed or removed.
 //!
-//! [`DrainTable`] holds the marks at each daemon, [`ViewLeases`] bound how long a daemon may route on
-//! its view, and [`DrainTracker`] tells a controller when no daemon can route to a back end any more.
-//! `docs/design/drains.md` gives the argument and the window that remains.
+//! [`DrainTable`] stores the drain marks known to a daemon. [`ViewLeases`] limits how long a daemon
+//! may route with its view of a cell. [`DrainTracker`] tells the controller when no daemon can
+//! route to a back end any more. The safety argument and its limits are in `docs/design/drains.md`.
 
 mod mark;
 mod table;
--- a/crates/core/src/drain/mark.rs
+++ b/crates/core/src/drain/mark.rs
@@ -1,21 +1,23 @@
-//! Drain marks and their acknowledgements, as they travel between daemons.
+//! Drain marks and acknowledgements exchanged between daemons.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use crate::{FencingToken, MachineId};
 
-/// Who marks a back end. A back end is drained while any source says so.
+/// Origin of a drain mark. A back end is drained while the newest mark of any source drains it.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub enum DrainSource {
-    /// The controller of its cell.
+    /// The controller of the back end's cell.
     Controller,
-    /// The machine list, which says that it leaves.
+    /// The machine list, which reports the machine as leaving.
     MachineList,
 }
 
-/// Version of a mark; of one source the larger wins. A newer controller's marks are all newer.
+/// Version of a mark. Among marks of one source, the largest version wins.
+///
+/// Ordered by token first, so every mark of a newer controller replaces those of earlier ones.
 #[derive(
     Debug,
     Clone,
@@ -30,38 +32,38 @@
     BorshDeserialize,
 )]
 pub struct DrainVersion {
-    /// The controller's token; 0 for the machine list.
+    /// Fencing token of the controller; 0 for the machine list.
     pub token: FencingToken,
-    /// Counts the controller's marks; the revision of the machine list.
+    /// Sequence number of the controller's mark, or the revision of the machine list.
     pub counter: u64,
 }
 
-/// Whether the back end is drained.
+/// Whether a mark drains or releases the back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum DrainState {
-    /// It gets no new work.
+    /// The back end must not receive new requests.
     Draining,
-    /// It gets work again.
+    /// The back end may receive requests again.
     Released,
 }
 
 /// Why a back end is drained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum DrainReason {
-    /// Its role will change.
+    /// The engine's role will change.
     RoleChange,
-    /// Its model, version or adapters will change.
+    /// The engine's model, version or adapters will change.
     ModelChange,
-    /// It is about to be taken away.
+    /// The machine is about to be removed.
     Leaving,
-    /// It failed too often and was set aside.
+    /// The engine was set aside after repeated failures.
     SetAside,
-    /// An order may still be running on it, or its state is not known.
+    /// An order may still be running on the engine, or its state is unknown.
     UnclearState,
 }
 
 impl DrainReason {
-    /// The reason in the operators' language.
+    /// The reason as shown to operators.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -74,28 +76,28 @@
     }
 }
 
-/// A back end is drained, or released again; 27 bytes when encoded.
+/// Message that drains or releases a back end; 27 bytes when encoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct DrainMark {
-    /// The back end.
+    /// Back end that the message refers to.
     pub back_end: MachineId,
-    /// Who says so.
+    /// Origin of the mark.
     pub source: DrainSource,
-    /// The mark's version.
+    /// Version of the mark.
     pub version: DrainVersion,
-    /// Drained or released.
+    /// Whether the back end is drained or released.
     pub state: DrainState,
-    /// Why.
+    /// Reason for the drain; in a release, the reason of the drain that ends, if known.
     pub reason: DrainReason,
-    /// Age of the mark when it was sent, in milliseconds: clocks are not compared.
+    /// Age of the mark when it was sent, in milliseconds. An age needs no synchronized clocks.
     pub age_ms: u32,
 }
 
-/// A daemon routes nothing new to a back end since a mark.
+/// Confirms that a daemon has stopped routing new requests to a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct DrainAck {
-    /// The back end.
+    /// Back end that the message refers to.
     pub back_end: MachineId,
-    /// Version of the controller's mark.
+    /// Version of the controller's mark that is acknowledged.
     pub version: DrainVersion,
 }
--- a/crates/core/src/drain/table.rs
+++ b/crates/core/src/drain/table.rs
@@ -1,4 +1,4 @@
-//! Drain marks at one daemon.
+//! The drain marks known to one daemon.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,46 +9,48 @@
 use crate::machine::{MachineKind, MachineList, MachineState};
 use crate::{MachineId, Timestamp};
 
-/// Most marks that are kept; hostile or mistaken peers cannot make the table grow further.
+/// Bounds the table, so that faulty or malicious peers cannot exhaust memory.
 const MAXIMUM_MARKS: usize = 8_192;
-/// How often a mark is sent on.
-const RETRANSMITS: u32 = 12;
+/// Number of times a mark is gossiped.
+const MAXIMUM_SENDS: u32 = 12;
 
-/// What the shell must do.
+/// Action that the caller must carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Stop routing new work there; then tell it by [`DrainTable::acknowledge_drain`].
+    /// Stop routing new requests to the back end, then call [`DrainTable::acknowledge_drain`].
     StopRouting {
-        /// The back end.
+        /// Affected back end.
         back_end: MachineId,
-        /// Version of the mark.
+        /// Version of the mark that drains it.
         version: DrainVersion,
     },
-    /// Route there again.
+    /// Resume routing to the back end.
     ResumeRouting {
-        /// The back end.
+        /// Affected back end.
         back_end: MachineId,
     },
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct StoredMark {
     mark: DrainMark,
     since: Timestamp,
-    sends_left: u32,
+    sends_remaining: u32,
 }
 
-/// The newest mark of each back end and source.
+/// The newest mark for each back end and source.
 #[derive(Debug, Clone, Default)]
 pub struct DrainTable {
-    marks: BTreeMap<(MachineId, DrainSource), Held>,
+    marks: BTreeMap<(MachineId, DrainSource), StoredMark>,
 }
 
 impl DrainTable {
-    /// Takes a mark, from gossip, from a view or of this daemon's own making.
+    /// Applies a mark received by gossip or in a view, or created by this daemon.
+    ///
+    /// Ignores marks that are not newer than the stored one, and new keys once the table is full.
     pub fn apply_mark(&mut self, now: Timestamp, mark: DrainMark) -> Option<DrainAction> {
         let key = (mark.back_end, mark.source);
-        let known = self.marks.get(&key).map(|held| held.mark.version);
+        let known = self.marks.get(&key).map(|stored| stored.mark.version);
         let is_full = known.is_none() && self.marks.len() >= MAXIMUM_MARKS;
         if is_full || known.is_some_and(|known| known >= mark.version) {
             return None;
@@ -56,12 +58,12 @@
         let was_draining = self.draining(mark.back_end).is_some();
         let age = Duration::from_millis(u64::from(mark.age_ms)).as_micros();
         let age = u64::try_from(age).unwrap_or(u64::MAX);
-        let held = Held {
+        let stored = StoredMark {
             mark,
             since: Timestamp(now.0.saturating_sub(age)),
-            sends_left: RETRANSMITS,
+            sends_remaining: MAXIMUM_SENDS,
         };
-        self.marks.insert(key, held);
+        self.marks.insert(key, stored);
         let is_draining = self.draining(mark.back_end).is_some();
         if mark.state == DrainState::Draining {
             return Some(DrainAction::StopRouting {
@@ -74,19 +76,22 @@
         })
     }
 
-    /// Routing to a back end has stopped: what was chosen is sent, and nothing new is chosen.
-    /// Returns the acknowledgement for the cell's controller, if its mark still stands.
+    /// Returns the acknowledgement for the cell's controller if its mark still drains the back end.
+    ///
+    /// Call only after routing has stopped: requests already assigned to the back end have been
+    /// sent, and no new request is assigned to it.
     #[must_use]
     pub fn acknowledge_drain(&self, back_end: MachineId) -> Option<DrainAck> {
-        let held = self.marks.get(&(back_end, DrainSource::Controller))?;
-        let is_draining = held.mark.state == DrainState::Draining;
+        let stored = self.marks.get(&(back_end, DrainSource::Controller))?;
+        let is_draining = stored.mark.state == DrainState::Draining;
         is_draining.then_some(DrainAck {
             back_end,
-            version: held.mark.version,
+            version: stored.mark.version,
         })
     }
 
-    /// Takes the machine list: back ends that leave are drained, those that are live again released.
+    /// Drains the back ends that the machine list reports as leaving, and releases those that are
+    /// live again.
     pub fn apply_machine_list(&mut self, now: Timestamp, list: &MachineList) -> Vec<DrainAction> {
         let mut actions = Vec::new();
         for machine in &list.machines {
@@ -94,8 +99,9 @@
                 continue;
             }
             let is_leaving = machine.state == MachineState::Leaving;
-            let held = self.marks.get(&(machine.id, DrainSource::MachineList));
-            let was_leaving = held.is_some_and(|held| held.mark.state == DrainState::Draining);
+            let stored = self.marks.get(&(machine.id, DrainSource::MachineList));
+            let was_leaving =
+                stored.is_some_and(|stored| stored.mark.state == DrainState::Draining);
             if is_leaving == was_leaving {
                 continue;
             }
@@ -120,52 +126,55 @@
         actions
     }
 
-    /// The mark by which a back end is drained.
+    /// The mark that drains a back end; the controller's mark takes precedence.
     #[must_use]
     pub fn draining(&self, back_end: MachineId) -> Option<&DrainMark> {
         [DrainSource::Controller, DrainSource::MachineList]
             .iter()
             .filter_map(|source| self.marks.get(&(back_end, *source)))
-            .map(|held| &held.mark)
+            .map(|stored| &stored.mark)
             .find(|mark| mark.state == DrainState::Draining)
     }
 
-    /// Since when a back end is drained, on this daemon's clock.
+    /// Time on this daemon's clock at which the mark that drains the back end was created.
     #[must_use]
     pub fn draining_since(&self, back_end: MachineId) -> Option<Timestamp> {
         let source = self.draining(back_end)?.source;
-        self.marks.get(&(back_end, source)).map(|held| held.since)
+        self.marks
+            .get(&(back_end, source))
+            .map(|stored| stored.since)
     }
 
-    /// Marks for one datagram: those sent least often first, each a bounded number of times.
+    /// Returns up to `count` marks for one datagram, least often sent first. Each mark is sent a
+    /// bounded number of times.
     pub fn take_for_gossip(&mut self, now: Timestamp, count: usize) -> Vec<DrainMark> {
-        let mut waiting: Vec<_> = self
+        let mut pending: Vec<_> = self
             .marks
             .values_mut()
-            .filter(|held| held.sends_left > 0)
+            .filter(|stored| stored.sends_remaining > 0)
             .collect();
-        waiting.sort_by_key(|held| u32::MAX - held.sends_left);
-        waiting.truncate(count);
-        let send = |held: &mut Held| {
-            held.sends_left -= 1;
-            held.aged(now)
+        pending.sort_by_key(|stored| u32::MAX - stored.sends_remaining);
+        pending.truncate(count);
+        let send = |stored: &mut StoredMark| {
+            stored.sends_remaining -= 1;
+            stored.with_age(now)
         };
-        waiting.into_iter().map(send).collect()
+        pending.into_iter().map(send).collect()
     }
 
-    /// All marks, for a peer whose digest differs.
+    /// All marks with their current ages, for a peer whose digest differs.
     pub fn all(&self, now: Timestamp) -> impl Iterator<Item = DrainMark> {
-        self.marks.values().map(move |held| held.aged(now))
+        self.marks.values().map(move |stored| stored.with_age(now))
     }
 
-    /// Digest of all marks: two daemons with the same digest hold the same marks.
+    /// Digest of all marks without their ages. Daemons with equal digests store the same marks.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let mut bytes = Vec::new();
-        for held in self.marks.values() {
+        for stored in self.marks.values() {
             let mark = DrainMark {
                 age_ms: 0,
-                ..held.mark
+                ..stored.mark
             };
             bytes.extend(borsh::to_vec(&mark).unwrap_or_default());
         }
@@ -173,8 +182,8 @@
     }
 }
 
-impl Held {
-    fn aged(&self, now: Timestamp) -> DrainMark {
+impl StoredMark {
+    fn with_age(&self, now: Timestamp) -> DrainMark {
         let age = now.since(self.since).as_millis();
         DrainMark {
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
--- a/crates/core/src/drain/tracker.rs
+++ b/crates/core/src/drain/tracker.rs
@@ -1,4 +1,4 @@
-//! When no daemon can route to a back end any more, as the cell's controller judges it.
+//! Lets a cell's controller determine when no daemon can route to a back end any more.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,15 +7,16 @@
 use crate::membership::{Contact, MemberState};
 use crate::{FencingToken, Incarnation, MachineId, Timestamp};
 
-/// Times of the tracker.
+/// Time limits of a [`DrainTracker`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainTrackerSettings {
-    /// How long a view is valid that was answered; the same as the daemons' setting.
+    /// Validity of a view after it was answered. Must equal the daemons'
+    /// [`ViewLeaseSettings::validity`](super::ViewLeaseSettings::validity).
     pub view_validity: Duration,
-    /// After its death is known, a daemon counts as able to route for this long: until then it has
-    /// noticed that its peers do not answer. Longer than the judged time of `Contact`.
+    /// Time after a daemon is declared dead during which it may still route. By its end the daemon
+    /// must have noticed that it is isolated, so it must exceed the detection time of [`Contact`].
     pub isolation_window: Duration,
-    /// Allowance for clocks that run at different speeds, in thousandths of a wait.
+    /// Margin for clocks that run at different speeds, in thousandths of each wait.
     pub clock_drift_permille: u32,
 }
 
@@ -29,56 +30,58 @@
     }
 }
 
-/// A daemon as the controller's membership knows it.
+/// A daemon as known to the controller's membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KnownDaemon {
-    /// Its machine.
+    /// Machine that the daemon runs on.
     pub machine: MachineId,
-    /// Its incarnation.
+    /// Incarnation of the daemon; larger after each restart.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// Membership state of the daemon.
     pub state: MemberState,
 }
 
-/// How far a drain is.
+/// Progress of a drain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DrainProgress {
-    /// The back end has no mark of this controller.
+    /// This controller has not drained the back end, or has released it.
     NotDraining,
-    /// These daemons may still route there.
+    /// These daemons may still route to the back end.
     WaitingFor(Vec<MachineId>),
-    /// No daemon can route there any more.
+    /// No daemon can route to the back end any more.
     Acknowledged,
 }
 
 #[derive(Debug, Clone)]
-struct Drain {
+struct TrackedDrain {
     mark: DrainMark,
     since: Timestamp,
     acknowledged: BTreeMap<MachineId, Incarnation>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct TrackedDaemon {
     daemon: KnownDaemon,
-    changed: Timestamp,
-    view_ends: Timestamp,
+    state_changed_at: Timestamp,
+    view_ends_at: Timestamp,
 }
 
-/// Drains of one cell under one token. A new controller begins with an empty tracker and marks
-/// again what must stay drained.
+/// Tracks the drains of one cell under one fencing token.
+///
+/// A new controller starts with an empty tracker and must mark again every back end that has to
+/// stay drained.
 #[derive(Debug, Clone)]
 pub struct DrainTracker {
     settings: DrainTrackerSettings,
     token: FencingToken,
     counter: u64,
-    drains: BTreeMap<MachineId, Drain>,
-    daemons: BTreeMap<MachineId, Seen>,
+    drains: BTreeMap<MachineId, TrackedDrain>,
+    daemons: BTreeMap<MachineId, TrackedDaemon>,
     started: Timestamp,
 }
 
 impl DrainTracker {
-    /// Starts under a token.
+    /// Creates a tracker without drains for the given token.
     #[must_use]
     pub const fn new(settings: DrainTrackerSettings, token: FencingToken, now: Timestamp) -> Self {
         Self {
@@ -91,10 +94,11 @@
         }
     }
 
-    /// Marks a back end as drained. The mark is gossiped and goes into every view.
+    /// Starts draining a back end. The caller must gossip the returned mark; later views contain
+    /// it.
     pub fn begin(&mut self, now: Timestamp, back_end: MachineId, reason: DrainReason) -> DrainMark {
         let mark = self.next_mark(back_end, DrainState::Draining, reason);
-        let drain = Drain {
+        let drain = TrackedDrain {
             mark,
             since: now,
             acknowledged: BTreeMap::new(),
@@ -103,14 +107,14 @@
         mark
     }
 
-    /// Releases a back end. The mark is gossiped.
+    /// Releases a back end. The caller must gossip the returned mark.
     pub fn release(&mut self, now: Timestamp, back_end: MachineId) -> DrainMark {
         let reason = self
             .drains
             .get(&back_end)
             .map_or(DrainReason::UnclearState, |drain| drain.mark.reason);
         let mark = self.next_mark(back_end, DrainState::Released, reason);
-        let drain = Drain {
+        let drain = TrackedDrain {
             mark,
             since: now,
             acknowledged: BTreeMap::new(),
@@ -139,7 +143,7 @@
         }
     }
 
-    /// A daemon acknowledged a mark.
+    /// Records an acknowledgement. Ignored unless it names the current mark's version.
     pub fn acknowledge(&mut self, daemon: MachineId, incarnation: Incarnation, ack: DrainAck) {
         let Some(drain) = self.drains.get_mut(&ack.back_end) else {
             return;
@@ -149,44 +153,45 @@
         }
     }
 
-    /// A daemon's request for a view is answered now with the returned marks.
+    /// Returns the marks that answer a daemon's view request now, and records the end of that view.
     pub fn answer_view_request(&mut self, now: Timestamp, daemon: KnownDaemon) -> Vec<DrainMark> {
-        let view_ends = now + self.stretched(self.settings.view_validity);
+        let view_ends_at = now + self.with_clock_drift(self.settings.view_validity);
         self.update_daemon(now, daemon);
-        if let Some(seen) = self.daemons.get_mut(&daemon.machine) {
-            seen.view_ends = view_ends;
+        if let Some(tracked) = self.daemons.get_mut(&daemon.machine) {
+            tracked.view_ends_at = view_ends_at;
         }
-        let aged = |drain: &Drain| DrainMark {
+        let with_age = |drain: &TrackedDrain| DrainMark {
             age_ms: u32::try_from(now.since(drain.since).as_millis()).unwrap_or(u32::MAX),
             ..drain.mark
         };
-        self.drains.values().map(aged).collect()
+        self.drains.values().map(with_age).collect()
     }
 
-    /// Membership knows something of a daemon.
+    /// Records a daemon's membership state. Ignores reports of an earlier incarnation.
     pub fn update_daemon(&mut self, now: Timestamp, daemon: KnownDaemon) {
-        let first = Seen {
+        let initial = TrackedDaemon {
             daemon,
-            changed: now,
-            // An earlier controller may have answered a view just before this one began.
-            view_ends: self.started + self.stretched(self.settings.view_validity),
+            state_changed_at: now,
+            // An earlier controller may have answered a view just before this tracker was created.
+            view_ends_at: self.started + self.with_clock_drift(self.settings.view_validity),
         };
-        let seen = self.daemons.entry(daemon.machine).or_insert(first);
-        if seen.daemon.incarnation > daemon.incarnation {
+        let tracked = self.daemons.entry(daemon.machine).or_insert(initial);
+        if tracked.daemon.incarnation > daemon.incarnation {
             return;
         }
-        if seen.daemon != daemon {
-            seen.daemon = daemon;
-            seen.changed = now;
+        if tracked.daemon != daemon {
+            tracked.daemon = daemon;
+            tracked.state_changed_at = now;
         }
     }
 
-    fn stretched(&self, wait: Duration) -> Duration {
+    /// Extends a wait so that it also elapses on a slower clock.
+    fn with_clock_drift(&self, wait: Duration) -> Duration {
         wait + wait * self.settings.clock_drift_permille / 1_000
     }
 
-    /// How far the drain of a back end is. `contact` is the controller's own: cut off from its
-    /// peers, it must not conclude that silent daemons have stopped.
+    /// Progress of draining a back end. `contact` is the controller's own contact state: while it
+    /// is isolated from its peers, it must not conclude that unresponsive daemons stopped routing.
     #[must_use]
     pub fn progress(&self, now: Timestamp, back_end: MachineId, contact: Contact) -> DrainProgress {
         let Some(drain) = self.drains.get(&back_end) else {
@@ -195,12 +200,12 @@
         if drain.mark.state != DrainState::Draining {
             return DrainProgress::NotDraining;
         }
-        let may_route = |seen: &&Seen| self.may_route(now, drain, seen, contact);
+        let may_route = |tracked: &&TrackedDaemon| self.may_route(now, drain, tracked, contact);
         let waiting: Vec<_> = self
             .daemons
             .values()
             .filter(may_route)
-            .map(|seen| seen.daemon.machine)
+            .map(|tracked| tracked.daemon.machine)
             .collect();
         if waiting.is_empty() {
             DrainProgress::Acknowledged
@@ -209,8 +214,14 @@
         }
     }
 
-    fn may_route(&self, now: Timestamp, drain: &Drain, seen: &Seen, contact: Contact) -> bool {
-        let daemon = seen.daemon;
+    fn may_route(
+        &self,
+        now: Timestamp,
+        drain: &TrackedDrain,
+        tracked: &TrackedDaemon,
+        contact: Contact,
+    ) -> bool {
+        let daemon = tracked.daemon;
         let acknowledged = drain.acknowledged.get(&daemon.machine);
         if acknowledged == Some(&daemon.incarnation) {
             return false;
@@ -219,9 +230,10 @@
             MemberState::Alive | MemberState::Suspect => true,
             MemberState::Left => false,
             MemberState::Dead => {
-                let isolated_at = seen.changed + self.stretched(self.settings.isolation_window);
-                let is_over = now >= isolated_at && now >= seen.view_ends;
-                !is_over || contact == Contact::Isolated
+                let isolated_by = tracked.state_changed_at
+                    + self.with_clock_drift(self.settings.isolation_window);
+                let cannot_route = now >= isolated_by && now >= tracked.view_ends_at;
+                !cannot_route || contact == Contact::Isolated
             }
         }
     }
--- a/crates/core/src/drain/view.rs
+++ b/crates/core/src/drain/view.rs
@@ -1,8 +1,8 @@
-//! How long a daemon may route on its view of a cell.
+//! Limits how long a daemon may route with its view of a cell.
 //!
-//! A daemon asks the cell's controller for the marks every few seconds. The view is valid from the
-//! moment *before* the request was sent, so the daemon's view always ends before the controller,
-//! which counts from its answer, believes that it has ended.
+//! A daemon requests the drain marks from the cell's controller periodically. The daemon counts the
+//! validity of a view from *before* the request was sent, and the controller counts it from its
+//! answer. Therefore a view always expires at the daemon before the controller assumes that it has.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use crate::membership::Contact;
 use crate::{CellName, FencingToken, MachineId, Timestamp};
 
-/// Times of views.
+/// Time settings of [`ViewLeases`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewLeaseSettings {
-    /// How long a view is valid, counted from before the request.
+    /// Validity of a view, counted from before its request was sent.
     pub validity: Duration,
-    /// Time between two requests.
+    /// Interval between requests for a nearby cell.
     pub renew_period: Duration,
-    /// Time between two requests for a cell that is not near. Between them the daemon goes by the marks that are
-    /// gossiped, which needs its acknowledgement; the request tells it who the controller is.
-    pub far_renew_period: Duration,
+    /// Interval between requests for a cell that is not nearby. Between requests the daemon relies
+    /// on gossiped marks, which it must acknowledge; the request identifies the current controller.
+    pub remote_renew_period: Duration,
 }
 
 impl Default for ViewLeaseSettings {
@@ -27,32 +27,33 @@
         Self {
             validity: Duration::from_secs(6),
             renew_period: Duration::from_secs(2),
-            far_renew_period: Duration::from_secs(30),
+            remote_renew_period: Duration::from_secs(30),
         }
     }
 }
 
-/// Asks the controller of a cell for its marks.
+/// Request for a cell's drain marks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ViewRequest {
-    /// The cell.
+    /// Cell whose marks are requested.
     pub cell: CellName,
-    /// Number of the request; the answer repeats it.
+    /// Request number, which the answer repeats.
     pub number: u64,
 }
 
-/// Whom a daemon asks for a cell's marks.
+/// Recipient of a daemon's requests for a cell's marks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ViewSource {
-    /// The controller that it knows.
+    /// The controller known to the daemon.
     Controller(MachineId),
-    /// Itself and some peers. A daemon that was frozen past its lease still takes itself for the controller: asked
-    /// alone, it would never hear of its successor, nor would the successor get its acknowledgements.
+    /// The daemon itself and some peers. A daemon that was frozen past its lease may still consider
+    /// itself the controller. If it asked only itself, it would not learn of its successor, and the
+    /// successor would not receive its acknowledgements.
     Peers,
 }
 
 impl ViewSource {
-    /// Whom the daemon `own` asks that knows `controller`, if any.
+    /// Selects the recipient for the daemon `own`, given the controller that it knows, if any.
     #[must_use]
     pub fn new(controller: Option<MachineId>, own: MachineId) -> Self {
         match controller {
@@ -62,15 +63,18 @@
     }
 }
 
-/// How far a daemon's view of a cell is to be trusted.
+/// Whether a daemon may route with its view of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ViewStatus {
-    /// The controller answered lately: route to every back end without a mark.
+    /// The controller answered recently: the daemon may route to every back end that is not
+    /// drained.
     Valid,
-    /// The controller does not answer, but most peers do: no change can pass this daemon by without
-    /// its acknowledgement. Route to every back end without a mark.
+    /// The controller does not answer, but the daemon is not isolated from its peers: it is not
+    /// considered dead, and no change can start without its acknowledgement. It may route to every
+    /// back end that is not drained.
     Unconfirmed,
-    /// This daemon may be held dead, and a back end may be changing: route nothing to the cell.
+    /// The daemon may be considered dead and a back end may be changing: it must not route to the
+    /// cell.
     Unusable,
 }
 
@@ -78,48 +82,49 @@
 struct View {
     token: FencingToken,
     valid_until: Option<Timestamp>,
-    asked: Option<(u64, Timestamp)>,
+    pending_request: Option<(u64, Timestamp)>,
     next_request: Timestamp,
-    is_far: bool,
+    is_remote: bool,
 }
 
-/// Views of the cells that a daemon routes to.
+/// View leases for the cells that a daemon routes to.
 #[derive(Debug, Clone)]
 pub struct ViewLeases {
     settings: ViewLeaseSettings,
     cells: BTreeMap<CellName, View>,
-    requests: u64,
+    request_count: u64,
     must_catch_up: bool,
 }
 
 impl ViewLeases {
-    /// No cell yet. Until [`ViewLeases::caught_up`] nothing is trusted without a controller.
+    /// Creates leases without cells. Until [`ViewLeases::caught_up`] is called, only views
+    /// confirmed by a controller are usable.
     #[must_use]
     pub const fn new(settings: ViewLeaseSettings) -> Self {
         Self {
             settings,
             cells: BTreeMap::new(),
-            requests: 0,
+            request_count: 0,
             must_catch_up: true,
         }
     }
 
-    /// The daemon routes to `cell` from now on.
+    /// Starts requesting views of `cell`.
     pub fn subscribe(&mut self, cell: CellName) {
         self.cells.entry(cell).or_default();
     }
 
-    /// Says which cells are near. The views of the others are renewed seldom.
-    pub fn set_nearby_cells(&mut self, now: Timestamp, is_near: impl Fn(&CellName) -> bool) {
+    /// Sets which cells are nearby. Views of other cells are renewed less often.
+    pub fn set_nearby_cells(&mut self, now: Timestamp, is_nearby: impl Fn(&CellName) -> bool) {
         for (cell, view) in &mut self.cells {
-            let was_far = std::mem::replace(&mut view.is_far, !is_near(cell));
-            if was_far && !view.is_far {
+            let was_remote = std::mem::replace(&mut view.is_remote, !is_nearby(cell));
+            if was_remote && !view.is_remote {
                 view.next_request = now;
             }
         }
     }
 
-    /// Asks for a cell's view at the next tick: a controller is at work that is not known here.
+    /// Requests a cell's view at the next tick, because an unknown controller is active.
     pub fn request_soon(&mut self, now: Timestamp, cell: &CellName) {
         if let Some(view) = self.cells.get_mut(cell) {
             view.next_request = now;
@@ -131,8 +136,10 @@
         self.cells.keys()
     }
 
-    /// The requests that are due. A daemon that was cut off from its peers must catch up before it
-    /// trusts its marks again: meanwhile it may have been passed by.
+    /// Returns the requests that are due.
+    ///
+    /// A daemon that was isolated must synchronize its marks with a peer before it relies on them
+    /// again, because drains may have completed without its acknowledgement.
     pub fn tick(&mut self, now: Timestamp, contact: Contact) -> Vec<ViewRequest> {
         if contact == Contact::Isolated {
             self.must_catch_up = true;
@@ -142,57 +149,61 @@
             if now < view.next_request {
                 continue;
             }
-            self.requests += 1;
-            let period = if view.is_far {
-                self.settings.far_renew_period
+            self.request_count += 1;
+            let period = if view.is_remote {
+                self.settings.remote_renew_period
             } else {
                 self.settings.renew_period
             };
             view.next_request = now + period;
-            view.asked = Some((self.requests, now));
+            view.pending_request = Some((self.request_count, now));
             due.push(ViewRequest {
                 cell: cell.clone(),
-                number: self.requests,
+                number: self.request_count,
             });
         }
         due
     }
 
-    /// A controller answered; its marks are already in the drain table. Returns whether the answer
-    /// counts: it belongs to the last request and its token is not older than one seen before.
+    /// Renews a view from a controller's answer. Call only after its marks were applied to the
+    /// drain table.
+    ///
+    /// Returns false and changes nothing unless the answer belongs to the last request and its
+    /// token is not older than one seen before.
     pub fn accept_answer(&mut self, cell: &CellName, number: u64, token: FencingToken) -> bool {
         let Some(view) = self.cells.get_mut(cell) else {
             return false;
         };
-        let Some((asked, sent)) = view.asked else {
+        let Some((pending_request, sent)) = view.pending_request else {
             return false;
         };
-        if asked != number || token < view.token {
+        if pending_request != number || token < view.token {
             return false;
         }
-        view.asked = None;
+        view.pending_request = None;
         view.token = token;
         view.valid_until = Some(sent + self.settings.validity);
         true
     }
 
-    /// The process was frozen: every view is void until a controller answers, and no answer to an
-    /// earlier request counts.
+    /// Invalidates all views and outstanding requests after the process was frozen. Answers to
+    /// earlier requests are not accepted.
     pub fn invalidate_after_freeze(&mut self, now: Timestamp) {
         self.must_catch_up = true;
         for view in self.cells.values_mut() {
             view.valid_until = None;
-            view.asked = None;
+            view.pending_request = None;
             view.next_request = now;
         }
     }
 
-    /// The marks were compared with those of a peer that answered after the start or the freeze.
+    /// Records that the marks were synchronized with a peer that answered after the last start,
+    /// freeze or isolation.
     pub const fn caught_up(&mut self) {
         self.must_catch_up = false;
     }
 
-    /// How far the view of a cell is to be trusted.
+    /// Whether the daemon may route with its view of a cell.
     #[must_use]
     pub fn status(&self, cell: &CellName, now: Timestamp, contact: Contact) -> ViewStatus {
         let valid_until = self.cells.get(cell).and_then(|view| view.valid_until);
--- a/crates/core/tests/drain.rs
+++ b/crates/core/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Drains: marks, views and when a controller may hold a back end for drained.
+//! Guards against routing to a back end that the controller considers drained.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     }
 }
 
-fn list(revision: u64, state: MachineState) -> MachineList {
+fn machine_list(revision: u64, state: MachineState) -> MachineList {
     let machine = Machine {
         id: ENGINE,
         kind: MachineKind::Plain {
@@ -81,7 +81,7 @@
     let now = Timestamp(1);
     assert_eq!(
         table
-            .apply_machine_list(now, &list(3, MachineState::Leaving))
+            .apply_machine_list(now, &machine_list(3, MachineState::Leaving))
             .len(),
         1
     );
@@ -92,19 +92,19 @@
     );
     assert!(table.draining(ENGINE).is_some());
     assert_eq!(
-        table.apply_machine_list(now, &list(2, MachineState::Live)),
+        table.apply_machine_list(now, &machine_list(2, MachineState::Live)),
         []
     );
     assert!(
         table.draining(ENGINE).is_some(),
         "an older list released it"
     );
-    table.apply_machine_list(now, &list(4, MachineState::Live));
+    table.apply_machine_list(now, &machine_list(4, MachineState::Live));
     assert!(table.draining(ENGINE).is_none());
 }
 
 #[test]
-fn marks_are_sent_a_bounded_number_of_times_and_digests_tell_tables_apart() {
+fn marks_are_sent_a_bounded_number_of_times_and_digests_identify_tables() {
     let mut table = DrainTable::default();
     table.apply_mark(Timestamp(1), mark(5, 1, DrainState::Draining));
     let sent = (0..100).filter(|_| !table.take_for_gossip(Timestamp(1), 10).is_empty());
@@ -138,19 +138,19 @@
     assert_eq!(progress, DrainProgress::WaitingFor(vec![DAEMON]));
 }
 
-/// One daemon and one controller: the network between them is cut and mended, the daemon is frozen
-/// and wakes, answers are late. What membership would say follows from the cut.
+/// One daemon and one controller with network partitions, process freezes and delayed answers.
+/// Membership states are derived from the time since the last contact.
 struct Model {
     now: Timestamp,
     table: DrainTable,
     views: ViewLeases,
     tracker: DrainTracker,
     cell: CellName,
-    is_cut: bool,
+    is_partitioned: bool,
     is_frozen: bool,
     last_reached: Timestamp,
     late_answer: Option<(u64, Vec<DrainMark>)>,
-    /// The controller once held the engine for drained under the last mark: it may be changing.
+    /// The controller considered the engine drained under the last mark, so it may be changing.
     may_be_changing: bool,
 }
 
@@ -170,7 +170,7 @@
             views,
             tracker,
             cell,
-            is_cut: false,
+            is_partitioned: false,
             is_frozen: false,
             last_reached: now,
             late_answer: None,
@@ -188,7 +188,7 @@
 
     fn step(&mut self, action: u8) {
         self.now = self.now + Duration::from_millis(500);
-        let reachable = !self.is_cut && !self.is_frozen;
+        let reachable = !self.is_partitioned && !self.is_frozen;
         if reachable {
             self.last_reached = self.now;
         }
@@ -200,7 +200,7 @@
         };
         self.tracker.update_daemon(self.now, daemon(state));
         match action % 8 {
-            0 => self.is_cut = !self.is_cut,
+            0 => self.is_partitioned = !self.is_partitioned,
             1 => self.is_frozen = true,
             2 if self.is_frozen => {
                 self.is_frozen = false;
@@ -225,7 +225,7 @@
     fn renew(&mut self, answer_at_once: bool) {
         let contact = self.daemon_contact();
         for request in self.views.tick(self.now, contact) {
-            if self.is_cut {
+            if self.is_partitioned {
                 continue;
             }
             let marks = self
@@ -239,7 +239,7 @@
     }
 
     fn deliver_late_answer(&mut self) {
-        if self.is_cut || self.is_frozen {
+        if self.is_partitioned || self.is_frozen {
             return;
         }
         let Some((number, marks)) = self.late_answer.take() else {
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn no_daemon_routes_to_what_the_controller_holds_for_drained() {
+fn no_daemon_routes_to_a_back_end_that_the_controller_considers_drained() {
     bolero::check!()
         .with_type::<Vec<u8>>()
         .with_max_len(200)
@@ -281,14 +281,14 @@
             for action in actions {
                 model.step(*action);
                 model.may_be_changing |= model.controller_believes_drained();
-                let both = model.may_be_changing && model.daemon_would_route();
-                assert!(!both, "at {:?}", model.now);
+                let is_unsafe = model.may_be_changing && model.daemon_would_route();
+                assert!(!is_unsafe, "at {:?}", model.now);
             }
         });
 }
 
 #[test]
-fn a_drain_passes_a_dead_daemon_by_only_after_its_view_and_its_contact_have_ended() {
+fn a_drain_completes_without_a_dead_daemon_only_after_its_view_and_contact_have_ended() {
     let mut model = Model::new();
     model.step(6);
     model.step(0);
@@ -300,12 +300,12 @@
     assert!(drained_from.is_some());
     assert!(!model.daemon_would_route());
     assert!(model.now.since(model.last_reached) >= Duration::from_secs(16));
-    let cut_off = model.tracker.progress(model.now, ENGINE, Contact::Isolated);
-    assert_eq!(cut_off, DrainProgress::WaitingFor(vec![DAEMON]));
+    let isolated_progress = model.tracker.progress(model.now, ENGINE, Contact::Isolated);
+    assert_eq!(isolated_progress, DrainProgress::WaitingFor(vec![DAEMON]));
 }
 
 #[test]
-fn a_daemon_that_was_cut_off_routes_again_only_after_it_has_the_marks() {
+fn a_formerly_isolated_daemon_routes_again_only_after_it_has_the_marks() {
     let mut model = Model::new();
     model.step(6);
     model.step(0);
@@ -314,11 +314,14 @@
         model.step(7);
     }
     assert!(model.controller_believes_drained());
-    model.is_cut = false;
+    model.is_partitioned = false;
     model.step(7);
     assert_eq!(model.daemon_contact(), Contact::InContact);
     for _ in 0..4 {
-        assert!(!model.daemon_would_route(), "it routes on its old marks");
+        assert!(
+            !model.daemon_would_route(),
+            "the daemon routes with outdated marks"
+        );
         model.step(7);
     }
     model.step(5);
@@ -326,7 +329,7 @@
 }
 
 #[test]
-fn a_daemon_that_takes_itself_for_the_controller_asks_its_peers_as_well() {
+fn a_daemon_that_considers_itself_the_controller_asks_its_peers() {
     let other = MachineId(2);
     assert_eq!(
         ViewSource::new(Some(other), DAEMON),
