--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -1,8 +1,8 @@
-//! Reconciling the engines of one cell with their wanted state by fenced orders.
+//! Reconciles the engines of one cell with their desired state by means of fenced orders.
 //!
-//! [`Reconciler`] is level-triggered: it compares what each engine reports with what is wanted, and
-//! carries nothing over from an earlier controller. `docs/design/authority-and-orders.md` gives the
-//! reasons and the window that remains.
+//! [`Reconciler`] is level-triggered: it compares the state that each engine reports with the
+//! desired state and inherits nothing from an earlier controller. The safety argument and its
+//! limits are in `docs/design/authority-and-orders.md`.
 
 mod draining;
 mod engine;
--- a/crates/core/src/orders/draining.rs
+++ b/crates/core/src/orders/draining.rs
@@ -1,13 +1,14 @@
-//! Beginning, waiting for and ending the drain of an engine.
+//! Starts and ends engine drains, and issues the order once a drained engine is idle.
 
 use super::engine::EnginePhase;
 use super::event::OrdersAction;
-use super::limits::reason_to_wait;
+use super::limits::blocking_limit;
 use super::reason::OrderDecision;
 use super::reconciler::{Reconciler, record};
 use crate::{MachineId, Timestamp};
 
 impl Reconciler {
+    /// Starts a drain, or records why it has to wait.
     pub(super) fn begin_drain(
         &mut self,
         now: Timestamp,
@@ -24,16 +25,16 @@
         }
         if is_serving
             && let Some(wait) =
-                reason_to_wait(&self.engines, engine, &self.rollouts, &self.settings)
+                blocking_limit(&self.engines, engine, &self.rollouts, &self.settings)
         {
-            self.note_wait(now, machine, &wait, actions);
+            self.record_wait(now, machine, &wait, actions);
             return;
         }
         let reason = engine.drain_reason();
         if let Some(engine) = self.engines.get_mut(&machine) {
-            engine.is_waiting = false;
+            engine.wait_recorded = false;
             engine.phase = EnginePhase::draining(now);
-            engine.next_read = now;
+            engine.next_read_at = now;
         }
         actions.push(OrdersAction::BeginDrain {
             engine: machine,
@@ -42,7 +43,7 @@
         record(now, machine, &OrderDecision::Drain(reason), actions);
     }
 
-    fn note_wait(
+    fn record_wait(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -50,9 +51,9 @@
         actions: &mut Vec<OrdersAction>,
     ) {
         if let Some(engine) = self.engines.get_mut(&machine)
-            && !engine.is_waiting
+            && !engine.wait_recorded
         {
-            engine.is_waiting = true;
+            engine.wait_recorded = true;
             record(now, machine, wait, actions);
         }
     }
@@ -70,14 +71,14 @@
             return;
         };
         if report.running_order.is_some() {
-            // An earlier controller's order: it ends first.
+            // An order of an earlier controller must end first.
             return;
         }
-        if engine.is_as_wanted() {
-            let decision = if engine.tries == 0 && !is_idle {
+        if engine.matches_target() {
+            let decision = if engine.attempts == 0 && !is_idle {
                 OrderDecision::Released
             } else {
-                OrderDecision::Reached
+                OrderDecision::TargetReached
             };
             self.end_drain(now, machine, &decision, actions);
             return;
@@ -86,11 +87,12 @@
         if is_idle && now >= engine.not_before {
             self.order(now, machine, actions);
         } else if is_serving && now.since(since) >= self.settings.drain_timeout {
-            self.end_drain(now, machine, &OrderDecision::DrainGivenUp, actions);
+            self.end_drain(now, machine, &OrderDecision::DrainTimedOut, actions);
             self.postpone(now, machine);
         }
     }
 
+    /// Delays the next drain by the maximum backoff.
     fn postpone(&mut self, now: Timestamp, machine: MachineId) {
         let wait = self.settings.backoff_maximum;
         if let Some(engine) = self.engines.get_mut(&machine) {
@@ -98,6 +100,7 @@
         }
     }
 
+    /// Releases the engine and resets its failure count.
     pub(super) fn end_drain(
         &mut self,
         now: Timestamp,
@@ -107,7 +110,7 @@
     ) {
         if let Some(engine) = self.engines.get_mut(&machine) {
             engine.phase = EnginePhase::Steady;
-            engine.tries = 0;
+            engine.attempts = 0;
         }
         actions.push(OrdersAction::EndDrain { engine: machine });
         record(now, machine, decision, actions);
--- a/crates/core/src/orders/engine.rs
+++ b/crates/core/src/orders/engine.rs
@@ -1,53 +1,54 @@
-//! What the reconciler knows of one engine.
+//! State that the reconciler keeps for each engine.
 
 use super::event::ReadNumber;
 use super::types::{EngineReport, Order, TargetState};
 use crate::{ModelName, Timestamp};
 
-/// Where an engine is on its way to the wanted state.
+/// Progress of an engine towards its desired state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EnginePhase {
-    /// Nothing is under way.
+    /// No change is in progress.
     Steady,
-    /// Routing to it stops, and its requests end.
+    /// Daemons stop routing to the engine, and its running requests finish.
     Draining {
-        /// Since when.
+        /// Start of the drain.
         since: Timestamp,
-        /// When all daemons had stopped routing.
+        /// Time at which all daemons were known to have stopped routing.
         acknowledged: Option<Timestamp>,
-        /// An order needs a report of a read that was begun after requests in the network settled.
+        /// First read issued after requests in transit have arrived. Only the report of this read
+        /// or a later one can show that the engine is idle.
         idle_read: Option<ReadNumber>,
-        /// Whether such a report showed no requests.
+        /// Whether the latest such report showed no requests.
         is_idle: bool,
     },
     /// An order was sent and has not ended.
     Ordered {
-        /// The order. It is sent again with the same id, and no other until it has ended.
+        /// The order. It is resent with the same id; no other order may be sent until it ends.
         order: Order,
-        /// When it was last sent.
-        sent: Timestamp,
+        /// Time of the last send.
+        sent_at: Timestamp,
     },
-    /// It failed too often. It stays drained.
+    /// The engine failed too often or refused the order as impossible. It stays drained.
     SetAside,
 }
 
-/// One engine.
+/// State of one engine.
 #[derive(Debug, Clone)]
 pub(super) struct Engine {
     pub target: Option<TargetState>,
     pub is_claimed: bool,
-    /// A claim was tried and did not reach it.
+    /// A claim failed or the engine restarted, so it does not block orders to other engines.
     pub was_unreachable: bool,
-    pub claim_under_way: bool,
+    pub claim_in_flight: bool,
     pub report: Option<EngineReport>,
     pub phase: EnginePhase,
-    pub tries: u32,
-    /// No change begins, and no claim is repeated, before.
+    pub attempts: u32,
+    /// Earliest time for the next change or claim.
     pub not_before: Timestamp,
-    pub next_read: Timestamp,
-    pub read_under_way: Option<(ReadNumber, Timestamp)>,
-    /// The last wait that was recorded, so that it is recorded once.
-    pub is_waiting: bool,
+    pub next_read_at: Timestamp,
+    pub read_in_flight: Option<(ReadNumber, Timestamp)>,
+    /// Whether the current wait was recorded; prevents duplicate decision records.
+    pub wait_recorded: bool,
 }
 
 impl Engine {
@@ -56,19 +57,19 @@
             target,
             is_claimed: false,
             was_unreachable: false,
-            claim_under_way: false,
+            claim_in_flight: false,
             report: None,
             phase: EnginePhase::Steady,
-            tries: 0,
+            attempts: 0,
             not_before: Timestamp::ZERO,
-            next_read: Timestamp::ZERO,
-            read_under_way: None,
-            is_waiting: false,
+            next_read_at: Timestamp::ZERO,
+            read_in_flight: None,
+            wait_recorded: false,
         }
     }
 
-    /// Whether it reports the wanted state, or nothing is wanted of it and it serves.
-    pub fn is_as_wanted(&self) -> bool {
+    /// Whether the engine reports its target state, or serves requests if it has no target.
+    pub fn matches_target(&self) -> bool {
         let Some(report) = &self.report else {
             return false;
         };
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Whether it is away or about to be, without being set aside.
-    pub fn is_away(&self) -> bool {
+    /// Whether the engine is unavailable or about to become so. Engines set aside do not count.
+    pub fn is_unavailable(&self) -> bool {
         let is_changing = matches!(
             self.phase,
             EnginePhase::Draining { .. } | EnginePhase::Ordered { .. }
@@ -91,17 +92,17 @@
         is_changing || (is_unclear && self.phase != EnginePhase::SetAside)
     }
 
-    /// The model that its absence is felt by: what it holds, else what it shall hold.
+    /// The model whose capacity the engine provides: the loaded model, otherwise the target model.
     pub fn model(&self) -> Option<&ModelName> {
-        let held = self
+        let loaded = self
             .report
             .as_ref()
             .and_then(|report| report.model.as_ref());
-        let wanted = self.target.as_ref().map(|target| &target.model);
-        held.or(wanted).map(|model| &model.model)
+        let desired = self.target.as_ref().map(|target| &target.model);
+        loaded.or(desired).map(|model| &model.model)
     }
 
-    /// Whether the order that it carries out loads weights.
+    /// Whether the outstanding order loads weights.
     pub fn is_loading(&self) -> bool {
         let EnginePhase::Ordered { order, .. } = &self.phase else {
             return false;
@@ -109,14 +110,14 @@
         self.needs_weights(&order.target)
     }
 
-    /// Whether it would have to load weights to reach `target`.
+    /// Whether the engine must load weights to reach `target`.
     pub fn needs_weights(&self, target: &TargetState) -> bool {
-        let held = self
+        let loaded = self
             .report
             .as_ref()
             .and_then(|report| report.model.as_ref());
-        held.is_none_or(|held| {
-            held.model != target.model.model || held.version != target.model.version
+        loaded.is_none_or(|loaded| {
+            loaded.model != target.model.model || loaded.version != target.model.version
         })
     }
 }
--- a/crates/core/src/orders/event.rs
+++ b/crates/core/src/orders/event.rs
@@ -1,4 +1,4 @@
-//! What the reconciler takes and gives.
+//! Events handled by the reconciler and the actions it returns.
 
 use super::reason::SetAsideReason;
 use super::types::{DesiredState, EngineReport, Order, OrderRefusal};
@@ -6,125 +6,126 @@
 use crate::drain::DrainReason;
 use crate::{FencingToken, MachineId, OrderId};
 
-/// Number of a read of an engine's state; larger for a read that was begun later.
+/// Sequence number of a read of an engine's state; a later read has a larger number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ReadNumber(pub u64);
 
-/// Why a call to an engine had no result.
+/// Why a call to an engine did not succeed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineCallError {
-    /// It certainly did not reach the engine, or was not sent (the lease was too short).
+    /// The call did not reach the engine, or was not sent because the lease was about to expire.
     NotSent,
-    /// It may have reached the engine.
+    /// The outcome is unknown: the call may have reached the engine.
     AnswerLost,
-    /// The engine refused it.
+    /// The engine refused the call.
     Refused(OrderRefusal),
 }
 
-/// What happened.
+/// Input to the reconciler.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrdersEvent {
-    /// Time passed; expected every 100 ms.
+    /// Periodic timer, expected every 100 ms.
     Tick,
-    /// The planner or the configuration want something else.
+    /// The planner or the configuration changed the desired state.
     DesiredChanged(DesiredState),
     /// An engine accepted the claim.
     Claimed {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// What it reports.
+        /// State reported by the engine.
         report: EngineReport,
     },
-    /// A claim had no result.
+    /// A claim did not succeed.
     ClaimFailed {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// Why.
+        /// Cause of the failure.
         problem: EngineCallError,
     },
     /// An engine's state was read.
     Read {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// Number of the read.
+        /// Sequence number of the read.
         number: ReadNumber,
-        /// What it reports; `None` if it could not be read.
+        /// State reported by the engine; `None` if the read failed.
         report: Option<EngineReport>,
     },
-    /// An engine took an order.
+    /// An engine accepted an order.
     OrderAccepted {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// The order.
+        /// Id of the order.
         order_id: OrderId,
-        /// What it reports.
+        /// State reported by the engine.
         report: EngineReport,
     },
-    /// An order had no result.
+    /// Sending an order did not succeed.
     OrderFailed {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// The order.
+        /// Id of the order.
         order_id: OrderId,
-        /// Why.
+        /// Cause of the failure.
         problem: EngineCallError,
     },
-    /// No daemon routes to the engine any more. The shell says so again at each tick for which
-    /// `DrainTracker::progress` gives `Acknowledged`.
+    /// No daemon routes to the engine any more. The caller repeats this event at each tick for
+    /// which `DrainTracker::progress` returns `Acknowledged`.
     DrainAcknowledged {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
     },
 }
 
-/// What the shell must do.
+/// Action that the caller must carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrdersAction {
-    /// Claim an engine, if `LeaseHolder::may_order` still allows it.
+    /// Claim an engine, but only while `LeaseHolder::may_order` allows it.
     Claim {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// The own token.
+        /// This controller's token.
         token: FencingToken,
     },
     /// Read an engine's state.
     ReadState {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// Number of the read.
+        /// Sequence number of the read.
         number: ReadNumber,
     },
-    /// Mark an engine as drained.
+    /// Start draining an engine.
     BeginDrain {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// Why.
+        /// Reason of the drain.
         reason: DrainReason,
     },
-    /// Release an engine.
+    /// Release a drained engine.
     EndDrain {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
     },
-    /// Send an order, if `LeaseHolder::may_order` still allows it; else report `NotSent`.
+    /// Send an order, but only while `LeaseHolder::may_order` allows it; otherwise report
+    /// `NotSent`.
     SendOrder {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// The order.
+        /// Order to send.
         order: Order,
     },
-    /// An engine was set aside. It stays drained.
+    /// Report that an engine was set aside. It stays drained.
     SetAside {
-        /// The engine.
+        /// Engine concerned.
         engine: MachineId,
-        /// Why.
+        /// Reason, including the remedy.
         reason: SetAsideReason,
     },
-    /// An engine has seen a newer token: authority is lost.
+    /// An engine has seen a newer token, so this controller has lost its authority.
     TokenRefused {
         /// The newer token.
         newest: FencingToken,
     },
-    /// Keep a decision.
+    /// Store a decision record.
     Record(DecisionRecord),
 }
--- a/crates/core/src/orders/limits.rs
+++ b/crates/core/src/orders/limits.rs
@@ -1,4 +1,4 @@
-//! How many engines may be away at once.
+//! Limits on the number of engines that are unavailable at once.
 
 use std::collections::BTreeMap;
 
@@ -10,17 +10,21 @@
 
 const PERCENT: usize = 100;
 
-/// Why `engine` must wait before it is taken away; `None` if it need not.
+/// Returns the limit that currently prevents draining `engine`, if any.
 ///
-/// Engines that are set aside or cannot be reached do not count: they would block every later change.
-pub(super) fn reason_to_wait(
+/// Engines that were set aside or cannot be reached are not counted, because they would block
+/// every later change.
+pub(super) fn blocking_limit(
     engines: &BTreeMap<MachineId, Engine>,
     engine: &Engine,
     rollouts: &[RolloutLimit],
     settings: &OrdersSettings,
 ) -> Option<OrderDecision> {
-    let away = engines.values().filter(|other| other.is_away()).count();
-    if away >= settings.maximum_unavailable {
+    let unavailable = engines
+        .values()
+        .filter(|other| other.is_unavailable())
+        .count();
+    if unavailable >= settings.maximum_unavailable {
         return Some(OrderDecision::WaitForCell {
             limit: settings.maximum_unavailable,
         });
@@ -32,10 +36,10 @@
             .values()
             .filter(|other| other.model() == Some(model))
     };
-    let size = same_model().count();
-    let limit = (size * usize::from(rollout.percent) / PERCENT).max(1);
-    let away = same_model().filter(|other| other.is_away()).count();
-    (away >= limit).then(|| OrderDecision::WaitForRollout {
+    let engine_count = same_model().count();
+    let limit = (engine_count * usize::from(rollout.percent) / PERCENT).max(1);
+    let unavailable = same_model().filter(|other| other.is_unavailable()).count();
+    (unavailable >= limit).then(|| OrderDecision::WaitForRollout {
         model: model.clone(),
         limit,
     })
--- a/crates/core/src/orders/outcome.rs
+++ b/crates/core/src/orders/outcome.rs
@@ -1,4 +1,4 @@
-//! What claims, reads and orders lead to.
+//! Handles the results of claims, reads and orders.
 
 use super::engine::EnginePhase;
 use super::event::{EngineCallError, OrdersAction, ReadNumber};
@@ -8,7 +8,7 @@
 use crate::{MachineId, OrderId, Timestamp};
 
 impl Reconciler {
-    pub(super) fn claimed(
+    pub(super) fn handle_claimed(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -16,20 +16,20 @@
         actions: &mut Vec<OrdersAction>,
     ) {
         if report.token > self.token {
-            self.superseded(report.token, actions);
+            self.handle_newer_token(report.token, actions);
             return;
         }
-        let claimed = report.incarnation;
-        self.take_report(now, machine, report, actions);
+        let claimed_incarnation = report.incarnation;
+        self.apply_report(now, machine, report, actions);
         if let Some(engine) = self.engines.get_mut(&machine) {
             let known = engine.report.as_ref().map(|known| known.incarnation);
-            engine.claim_under_way = false;
-            engine.is_claimed = known == Some(claimed);
-            engine.next_read = now;
+            engine.claim_in_flight = false;
+            engine.is_claimed = known == Some(claimed_incarnation);
+            engine.next_read_at = now;
         }
     }
 
-    pub(super) fn was_read(
+    pub(super) fn handle_read(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -41,26 +41,26 @@
             return;
         };
         let is_last = engine
-            .read_under_way
+            .read_in_flight
             .is_some_and(|(last, _)| last == number);
         if !is_last {
-            // A late answer to an earlier read says nothing of now.
+            // A late answer to an earlier read does not show the current state.
             return;
         }
-        engine.read_under_way = None;
+        engine.read_in_flight = None;
         let Some(report) = report else {
             return;
         };
         if report.token > self.token {
-            self.superseded(report.token, actions);
+            self.handle_newer_token(report.token, actions);
             return;
         }
-        let is_empty = report.requests == 0;
-        self.take_report(now, machine, report, actions);
-        self.note_idle(machine, number, is_empty);
+        let has_no_requests = report.requests == 0;
+        self.apply_report(now, machine, report, actions);
+        self.record_idle(machine, number, has_no_requests);
     }
 
-    fn note_idle(&mut self, machine: MachineId, number: ReadNumber, is_empty: bool) {
+    fn record_idle(&mut self, machine: MachineId, number: ReadNumber, has_no_requests: bool) {
         let Some(engine) = self.engines.get_mut(&machine) else {
             return;
         };
@@ -70,12 +70,12 @@
             ..
         } = &mut engine.phase
         {
-            *is_idle = is_empty && number >= *needed;
+            *is_idle = has_no_requests && number >= *needed;
         }
     }
 
-    /// Takes what an engine reports. One of an earlier incarnation is ignored.
-    fn take_report(
+    /// Stores an engine's report. Ignores reports of an earlier incarnation.
+    fn apply_report(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -92,14 +92,19 @@
         let has_restarted = known.is_some_and(|known| report.incarnation > known);
         engine.report = Some(report);
         if has_restarted {
-            self.restarted(now, machine, actions);
+            self.handle_restart(now, machine, actions);
         } else {
-            self.settle_order(now, machine, actions);
+            self.complete_order(now, machine, actions);
         }
     }
 
-    /// A new life has forgotten the claim, and an order of the old life is void.
-    fn restarted(&mut self, now: Timestamp, machine: MachineId, actions: &mut Vec<OrdersAction>) {
+    /// Handles a restart, which loses the claim and invalidates orders for the old incarnation.
+    fn handle_restart(
+        &mut self,
+        now: Timestamp,
+        machine: MachineId,
+        actions: &mut Vec<OrdersAction>,
+    ) {
         let Some(engine) = self.engines.get_mut(&machine) else {
             return;
         };
@@ -109,18 +114,18 @@
         match engine.phase {
             EnginePhase::Ordered { .. } => {
                 let message = "the engine crashed in the middle of the change".to_owned();
-                self.try_failed(now, machine, message, actions);
+                self.handle_failed_attempt(now, machine, message, actions);
             }
             EnginePhase::SetAside => {
-                engine.tries = 0;
+                engine.attempts = 0;
                 engine.phase = EnginePhase::draining(now);
             }
             EnginePhase::Steady | EnginePhase::Draining { .. } => {}
         }
     }
 
-    /// Ends the order under way if the report shows that it has ended.
-    fn settle_order(
+    /// Completes the outstanding order if the engine's report shows that it has ended.
+    fn complete_order(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -144,19 +149,19 @@
             return;
         }
         if !ended.succeeded {
-            self.try_failed(now, machine, ended.message, actions);
-        } else if engine.is_as_wanted() {
-            self.end_drain(now, machine, &OrderDecision::Reached, actions);
+            self.handle_failed_attempt(now, machine, ended.message, actions);
+        } else if engine.matches_target() {
+            self.end_drain(now, machine, &OrderDecision::TargetReached, actions);
         } else if report.is_at(&order.target) {
-            self.wanted_meanwhile(now, machine);
+            self.drain_for_new_target(now, machine);
         } else {
             let message = "the engine says that it succeeded but reports another state".to_owned();
-            self.try_failed(now, machine, message, actions);
+            self.handle_failed_attempt(now, machine, message, actions);
         }
     }
 
-    /// The order succeeded, but by now something else is wanted: the engine stays drained for it.
-    fn wanted_meanwhile(&mut self, now: Timestamp, machine: MachineId) {
+    /// Keeps the engine drained after a successful order because its target has changed.
+    fn drain_for_new_target(&mut self, now: Timestamp, machine: MachineId) {
         if let Some(engine) = self.engines.get_mut(&machine) {
             engine.phase = EnginePhase::Draining {
                 since: now,
@@ -167,7 +172,7 @@
         }
     }
 
-    pub(super) fn order_taken(
+    pub(super) fn handle_order_accepted(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -175,19 +180,19 @@
         report: EngineReport,
         actions: &mut Vec<OrdersAction>,
     ) {
-        if self.outstanding(machine, order_id).is_some() {
-            self.take_report(now, machine, report, actions);
+        if self.outstanding_order(machine, order_id).is_some() {
+            self.apply_report(now, machine, report, actions);
         }
     }
 
-    fn outstanding(&self, machine: MachineId, order_id: OrderId) -> Option<&Order> {
+    fn outstanding_order(&self, machine: MachineId, order_id: OrderId) -> Option<&Order> {
         match &self.engines.get(&machine)?.phase {
             EnginePhase::Ordered { order, .. } if order.order_id == order_id => Some(order),
             _ => None,
         }
     }
 
-    pub(super) fn order_failed(
+    pub(super) fn handle_order_failed(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -195,38 +200,44 @@
         problem: EngineCallError,
         actions: &mut Vec<OrdersAction>,
     ) {
-        if self.outstanding(machine, order_id).is_none() {
+        if self.outstanding_order(machine, order_id).is_none() {
             return;
         }
         let refusal = match problem {
-            // It is sent again with the same id after a while, until a report shows what became of
-            // it: an earlier sending of it may have been taken.
+            // An earlier send may have been accepted, so the order is resent with the same id until
+            // a report shows its result.
             EngineCallError::NotSent | EngineCallError::AnswerLost => return,
             EngineCallError::Refused(refusal) => refusal,
         };
         match refusal {
-            OrderRefusal::StaleToken { newest } => self.superseded(newest, actions),
-            OrderRefusal::WrongIncarnation { .. } => self.claim_again(now, machine, actions),
+            OrderRefusal::StaleToken { newest } => self.handle_newer_token(newest, actions),
+            OrderRefusal::WrongIncarnation { .. } => self.require_new_claim(now, machine, actions),
             OrderRefusal::Impossible { message } => {
                 let reason = SetAsideReason::Impossible { message };
                 self.set_aside(now, machine, reason, actions);
             }
-            // It is sent again with the same id: an earlier sending may still arrive, so no other
-            // order is made for the engine until this one has ended.
+            // An earlier send may still arrive, so the order is resent with the same id and no
+            // other order is issued to the engine until this one has ended.
             OrderRefusal::Busy { .. } => {}
             OrderRefusal::OrderIdReused => {
                 let message = "the engine knows the order's id with another target".to_owned();
-                self.try_failed(now, machine, message, actions);
+                self.handle_failed_attempt(now, machine, message, actions);
             }
         }
     }
 
-    fn claim_again(&mut self, now: Timestamp, machine: MachineId, actions: &mut Vec<OrdersAction>) {
+    /// Handles an order refused because the engine restarted: the engine must be claimed again.
+    fn require_new_claim(
+        &mut self,
+        now: Timestamp,
+        machine: MachineId,
+        actions: &mut Vec<OrdersAction>,
+    ) {
         if let Some(engine) = self.engines.get_mut(&machine) {
             engine.is_claimed = false;
             engine.was_unreachable = true;
         }
         let message = "the engine started again before the order reached it".to_owned();
-        self.try_failed(now, machine, message, actions);
+        self.handle_failed_attempt(now, machine, message, actions);
     }
 }
--- a/crates/core/src/orders/reason.rs
+++ b/crates/core/src/orders/reason.rs
@@ -1,27 +1,27 @@
-//! Reasons of the reconciler's decisions.
+//! Decisions of the reconciler and their reasons, as shown to operators.
 
 use std::fmt;
 
 use crate::drain::DrainReason;
 use crate::{ModelName, OrderId};
 
-/// Why an engine was set aside. The message names the remedy.
+/// Why an engine was set aside. The message includes the remedy.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SetAsideReason {
-    /// It failed too often.
+    /// Changing the engine failed too often.
     #[error(
-        "{tries} tries failed, the last with {message:?}: look at the engine, then restart it or give it another model or role"
+        "{attempts} tries failed, the last with {message:?}: look at the engine, then restart it or give it another model or role"
     )]
-    TriesFailed {
-        /// How often.
-        tries: u32,
-        /// What it said last.
+    AttemptsFailed {
+        /// Number of failed attempts.
+        attempts: u32,
+        /// Message of the last failure.
         message: String,
     },
-    /// It cannot hold the model.
+    /// The engine cannot hold the model.
     #[error("it cannot hold the model ({message}): give it another model")]
     Impossible {
-        /// What it said.
+        /// Message from the engine.
         message: String,
     },
 }
@@ -29,60 +29,60 @@
 /// A decision about one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderDecision {
-    /// It is drained.
+    /// A drain starts.
     Drain(DrainReason),
-    /// It waits, since too many engines of the cell are away.
+    /// The change waits because too many engines of the cell are unavailable.
     WaitForCell {
-        /// How many may be away.
+        /// Number of engines that may be unavailable at once.
         limit: usize,
     },
-    /// It waits, since too many engines of a model are away.
+    /// The change waits because too many engines of the model are unavailable.
     WaitForRollout {
-        /// The model.
+        /// Model that the limit applies to.
         model: ModelName,
-        /// How many may be away.
+        /// Number of engines that may be unavailable at once.
         limit: usize,
     },
-    /// An order is sent.
+    /// An order is issued.
     Order {
-        /// Its id.
+        /// Id of the order.
         order_id: OrderId,
     },
-    /// The wanted state is reached.
-    Reached,
-    /// It is released without a change.
+    /// The engine reports its target state and is released.
+    TargetReached,
+    /// The engine is released unchanged because no change is needed any more.
     Released,
-    /// A drain took too long.
-    DrainGivenUp,
-    /// A try failed.
-    TryFailed {
-        /// How often by now.
-        tries: u32,
-        /// What went wrong.
+    /// The drain exceeded its time limit; the engine is released and drained again later.
+    DrainTimedOut,
+    /// An attempt to change the engine failed.
+    AttemptFailed {
+        /// Number of failed attempts so far.
+        attempts: u32,
+        /// Cause of the failure.
         message: String,
     },
-    /// It started again.
+    /// The engine restarted and must be claimed again.
     Restarted,
-    /// It is set aside.
+    /// The engine is set aside.
     SetAside(SetAsideReason),
-    /// No order id is left under this token.
-    OrderIdsUsedUp,
+    /// All order ids of this token are used; this controller issues no further orders.
+    OrderIdsExhausted,
 }
 
 impl OrderDecision {
-    /// What was decided, in the operators' language.
+    /// The decision as shown to operators.
     #[must_use]
     pub const fn outcome(&self) -> &'static str {
         match self {
             Self::Drain(_) => "drain",
             Self::WaitForCell { .. } | Self::WaitForRollout { .. } => "wait",
             Self::Order { .. } => "order",
-            Self::Reached => "in service",
-            Self::Released | Self::DrainGivenUp => "release",
-            Self::TryFailed { .. } => "try again",
+            Self::TargetReached => "in service",
+            Self::Released | Self::DrainTimedOut => "release",
+            Self::AttemptFailed { .. } => "try again",
             Self::Restarted => "claim again",
             Self::SetAside(_) => "set aside",
-            Self::OrderIdsUsedUp => "stop",
+            Self::OrderIdsExhausted => "stop",
         }
     }
 }
@@ -103,17 +103,17 @@
             Self::Order { order_id } => {
                 write!(formatter, "drained and idle; order {order_id}")
             }
-            Self::Reached => formatter.write_str("it reports the wanted state"),
+            Self::TargetReached => formatter.write_str("it reports the wanted state"),
             Self::Released => formatter.write_str("no change is wanted any more"),
-            Self::DrainGivenUp => {
+            Self::DrainTimedOut => {
                 formatter.write_str("its drain took too long; it is tried again later")
             }
-            Self::TryFailed { tries, message } => {
-                write!(formatter, "try {tries} failed: {message}")
+            Self::AttemptFailed { attempts, message } => {
+                write!(formatter, "try {attempts} failed: {message}")
             }
             Self::Restarted => formatter.write_str("it started again"),
             Self::SetAside(reason) => reason.fmt(formatter),
-            Self::OrderIdsUsedUp => formatter.write_str(
+            Self::OrderIdsExhausted => formatter.write_str(
                 "all order ids of this token are used: let another daemon become controller",
             ),
         }
--- a/crates/core/src/orders/reconciler.rs
+++ b/crates/core/src/orders/reconciler.rs
@@ -1,4 +1,4 @@
-//! The level-triggered loop over the engines of a cell.
+//! Level-triggered reconciliation of the engines of a cell.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,25 +12,26 @@
 use crate::drain::DrainReason;
 use crate::{FencingToken, MachineId, Timestamp};
 
-/// A read without an answer for this long counts as lost.
+/// Time after which an unanswered read is considered lost.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Reconciles one cell under one token. A new controller starts a new one.
+/// Reconciles one cell under one fencing token. Each new controller creates its own.
 #[derive(Debug)]
 pub struct Reconciler {
     pub(super) settings: OrdersSettings,
     pub(super) token: FencingToken,
     pub(super) engines: BTreeMap<MachineId, Engine>,
-    /// An engine has seen a newer token: nothing more is ordered.
+    /// Whether to stop issuing orders: an engine has seen a newer token, or the order ids of this
+    /// token are exhausted.
     pub(super) is_superseded: bool,
     pub(super) rollouts: Vec<RolloutLimit>,
-    orders: u64,
-    reads: u64,
-    next_load: Timestamp,
+    order_count: u64,
+    read_count: u64,
+    next_load_at: Timestamp,
 }
 
 impl Reconciler {
-    /// Starts under a token, with nothing claimed.
+    /// Creates a reconciler for the given token. No engine is claimed yet.
     #[must_use]
     pub const fn new(settings: OrdersSettings, token: FencingToken) -> Self {
         Self {
@@ -39,31 +40,33 @@
             engines: BTreeMap::new(),
             is_superseded: false,
             rollouts: Vec::new(),
-            orders: 0,
-            reads: 0,
-            next_load: Timestamp::ZERO,
+            order_count: 0,
+            read_count: 0,
+            next_load_at: Timestamp::ZERO,
         }
     }
 
-    /// Where an engine is.
+    /// Progress of an engine; `None` if it is unknown.
     #[must_use]
     pub fn phase(&self, engine: MachineId) -> Option<&EnginePhase> {
         self.engines.get(&engine).map(|engine| &engine.phase)
     }
 
-    /// What an engine said of itself last.
+    /// Latest report of an engine.
     #[must_use]
     pub fn report(&self, engine: MachineId) -> Option<&EngineReport> {
         self.engines.get(&engine)?.report.as_ref()
     }
 
-    /// Whether an engine serves in the wanted state.
+    /// Whether an engine serves in its desired state.
     #[must_use]
     pub fn is_in_service(&self, engine: MachineId) -> bool {
-        self.engines.get(&engine).is_some_and(Engine::is_as_wanted)
+        self.engines
+            .get(&engine)
+            .is_some_and(Engine::matches_target)
     }
 
-    /// Whether every engine that can be reached was claimed with the own token.
+    /// Whether every reachable engine was claimed with this controller's token.
     #[must_use]
     pub fn has_claimed_reachable(&self) -> bool {
         self.engines
@@ -71,61 +74,65 @@
             .all(|engine| engine.is_claimed || engine.was_unreachable)
     }
 
-    /// Takes an event.
+    /// Processes an event and returns the actions that the caller must carry out.
     pub fn handle(&mut self, now: Timestamp, event: OrdersEvent) -> Vec<OrdersAction> {
         let mut actions = Vec::new();
         match event {
             OrdersEvent::Tick => self.tick(now, &mut actions),
-            OrdersEvent::DesiredChanged(wanted) => self.take_wanted(now, wanted),
+            OrdersEvent::DesiredChanged(desired) => self.apply_desired_state(now, desired),
             OrdersEvent::Claimed { engine, report } => {
-                self.claimed(now, engine, report, &mut actions);
+                self.handle_claimed(now, engine, report, &mut actions);
             }
             OrdersEvent::ClaimFailed { engine, problem } => {
-                self.claim_failed(now, engine, problem, &mut actions);
+                self.handle_claim_failed(now, engine, problem, &mut actions);
             }
             OrdersEvent::Read {
                 engine,
                 number,
                 report,
-            } => self.was_read(now, engine, number, report, &mut actions),
+            } => self.handle_read(now, engine, number, report, &mut actions),
             OrdersEvent::OrderAccepted {
                 engine,
                 order_id,
                 report,
-            } => self.order_taken(now, engine, order_id, report, &mut actions),
+            } => self.handle_order_accepted(now, engine, order_id, report, &mut actions),
             OrdersEvent::OrderFailed {
                 engine,
                 order_id,
                 problem,
-            } => self.order_failed(now, engine, order_id, problem, &mut actions),
-            OrdersEvent::DrainAcknowledged { engine } => self.drain_acknowledged(now, engine),
+            } => self.handle_order_failed(now, engine, order_id, problem, &mut actions),
+            OrdersEvent::DrainAcknowledged { engine } => self.handle_drain_ack(now, engine),
         }
         actions
     }
 
-    fn take_wanted(&mut self, now: Timestamp, wanted: DesiredState) {
-        self.rollouts = wanted.rollouts;
-        let named: Vec<_> = wanted.engines.iter().map(|wish| wish.engine).collect();
-        // An order under way is seen to its end, also at an engine that is no longer in the cell.
+    fn apply_desired_state(&mut self, now: Timestamp, desired: DesiredState) {
+        self.rollouts = desired.rollouts;
+        let listed: Vec<_> = desired
+            .engines
+            .iter()
+            .map(|engine_target| engine_target.engine)
+            .collect();
+        // Keep engines with an outstanding order until it ends, even after they leave the cell.
         self.engines.retain(|machine, engine| {
             let is_ordered = matches!(engine.phase, EnginePhase::Ordered { .. });
-            named.contains(machine) || is_ordered
+            listed.contains(machine) || is_ordered
         });
         for (machine, engine) in &mut self.engines {
-            if !named.contains(machine) {
+            if !listed.contains(machine) {
                 engine.target = None;
             }
         }
-        for wish in wanted.engines {
+        for engine_target in desired.engines {
             let engine = self
                 .engines
-                .entry(wish.engine)
+                .entry(engine_target.engine)
                 .or_insert_with(|| Engine::new(None));
-            if engine.target == wish.target {
+            if engine.target == engine_target.target {
                 continue;
             }
-            engine.target = wish.target;
-            engine.tries = 0;
+            engine.target = engine_target.target;
+            engine.attempts = 0;
             engine.not_before = now;
             if engine.phase == EnginePhase::SetAside {
                 engine.phase = EnginePhase::draining(now);
@@ -133,7 +140,7 @@
         }
     }
 
-    fn drain_acknowledged(&mut self, now: Timestamp, machine: MachineId) {
+    fn handle_drain_ack(&mut self, now: Timestamp, machine: MachineId) {
         let Some(engine) = self.engines.get_mut(&machine) else {
             return;
         };
@@ -167,9 +174,9 @@
         let Some(engine) = self.engines.get_mut(&machine) else {
             return;
         };
-        let is_due = !engine.is_claimed && !engine.claim_under_way && now >= engine.not_before;
+        let is_due = !engine.is_claimed && !engine.claim_in_flight && now >= engine.not_before;
         if is_due {
-            engine.claim_under_way = true;
+            engine.claim_in_flight = true;
             actions.push(OrdersAction::Claim {
                 engine: machine,
                 token,
@@ -181,21 +188,21 @@
         let Some(engine) = self.engines.get_mut(&machine) else {
             return;
         };
-        let is_under_way = engine
-            .read_under_way
+        let is_in_flight = engine
+            .read_in_flight
             .is_some_and(|(_, since)| now.since(since) < READ_TIMEOUT);
-        if !engine.is_claimed || is_under_way || now < engine.next_read {
+        if !engine.is_claimed || is_in_flight || now < engine.next_read_at {
             return;
         }
-        self.reads += 1;
-        let number = ReadNumber(self.reads);
-        let period = if engine.is_away() {
+        self.read_count += 1;
+        let number = ReadNumber(self.read_count);
+        let period = if engine.is_unavailable() {
             self.settings.read_period
         } else {
             self.settings.idle_read_period
         };
-        engine.next_read = now + period;
-        engine.read_under_way = Some((number, now));
+        engine.next_read_at = now + period;
+        engine.read_in_flight = Some((number, now));
         if let EnginePhase::Draining {
             acknowledged: Some(acknowledged),
             idle_read,
@@ -214,14 +221,14 @@
     fn reconcile(&mut self, now: Timestamp, machine: MachineId, actions: &mut Vec<OrdersAction>) {
         let engine = &self.engines[&machine];
         match engine.phase.clone() {
-            EnginePhase::Steady if engine.is_as_wanted() => {}
+            EnginePhase::Steady if engine.matches_target() => {}
             EnginePhase::Steady => self.begin_drain(now, machine, actions),
             EnginePhase::Draining { since, is_idle, .. } => {
                 self.reconcile_draining(now, machine, since, is_idle, actions);
             }
-            EnginePhase::Ordered { order, sent } => {
-                let is_silent = now.since(sent) >= self.settings.resend_after;
-                if is_silent && !engine.carries_out(&order) {
+            EnginePhase::Ordered { order, sent_at } => {
+                let is_overdue = now.since(sent_at) >= self.settings.resend_after;
+                if is_overdue && !engine.is_executing(&order) {
                     self.send(now, machine, order, actions);
                 }
             }
@@ -240,20 +247,21 @@
             return;
         };
         let needs_weights = engine.needs_weights(&target);
-        let loads = self.engines.values().filter(|other| other.is_loading());
-        let must_wait = now < self.next_load || loads.count() >= self.settings.maximum_loads;
+        let active_loads = self.engines.values().filter(|other| other.is_loading());
+        let must_wait =
+            now < self.next_load_at || active_loads.count() >= self.settings.maximum_loads;
         if needs_weights && must_wait {
             return;
         }
         let incarnation = report.incarnation;
-        let Some(order_id) = order_id(self.token, self.orders) else {
+        let Some(order_id) = order_id(self.token, self.order_count) else {
             self.is_superseded = true;
-            record(now, machine, &OrderDecision::OrderIdsUsedUp, actions);
+            record(now, machine, &OrderDecision::OrderIdsExhausted, actions);
             return;
         };
-        self.orders += 1;
+        self.order_count += 1;
         if needs_weights {
-            self.next_load = now + self.settings.load_spacing;
+            self.next_load_at = now + self.settings.load_spacing;
         }
         let order = Order {
             token: self.token,
@@ -275,7 +283,7 @@
         if let Some(engine) = self.engines.get_mut(&machine) {
             engine.phase = EnginePhase::Ordered {
                 order: order.clone(),
-                sent: now,
+                sent_at: now,
             };
             actions.push(OrdersAction::SendOrder {
                 engine: machine,
@@ -284,8 +292,8 @@
         }
     }
 
-    /// A try failed: the engine stays drained, and is tried again later or set aside.
-    pub(super) fn try_failed(
+    /// Handles a failed attempt: the engine stays drained and is retried later or set aside.
+    pub(super) fn handle_failed_attempt(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -296,16 +304,16 @@
         let Some(engine) = self.engines.get_mut(&machine) else {
             return;
         };
-        engine.tries += 1;
-        let tries = engine.tries;
-        if tries >= settings.maximum_tries {
-            let reason = SetAsideReason::TriesFailed { tries, message };
+        engine.attempts += 1;
+        let attempts = engine.attempts;
+        if attempts >= settings.maximum_attempts {
+            let reason = SetAsideReason::AttemptsFailed { attempts, message };
             self.set_aside(now, machine, reason, actions);
             return;
         }
-        engine.not_before = now + settings.backoff(tries);
+        engine.not_before = now + settings.backoff(attempts);
         engine.phase.drain_again(now);
-        let decision = OrderDecision::TryFailed { tries, message };
+        let decision = OrderDecision::AttemptFailed { attempts, message };
         record(now, machine, &decision, actions);
     }
 
@@ -327,13 +335,17 @@
         });
     }
 
-    /// A refusal that ends this controller's authority.
-    pub(super) fn superseded(&mut self, newest: FencingToken, actions: &mut Vec<OrdersAction>) {
+    /// Stops issuing orders because an engine has seen a newer controller's token.
+    pub(super) fn handle_newer_token(
+        &mut self,
+        newest: FencingToken,
+        actions: &mut Vec<OrdersAction>,
+    ) {
         self.is_superseded = true;
         actions.push(OrdersAction::TokenRefused { newest });
     }
 
-    fn claim_failed(
+    fn handle_claim_failed(
         &mut self,
         now: Timestamp,
         machine: MachineId,
@@ -341,12 +353,12 @@
         actions: &mut Vec<OrdersAction>,
     ) {
         if let EngineCallError::Refused(OrderRefusal::StaleToken { newest }) = problem {
-            self.superseded(newest, actions);
+            self.handle_newer_token(newest, actions);
             return;
         }
         let wait = self.settings.backoff_minimum;
         if let Some(engine) = self.engines.get_mut(&machine) {
-            engine.claim_under_way = false;
+            engine.claim_in_flight = false;
             engine.was_unreachable = true;
             engine.not_before = now + wait;
         }
@@ -360,7 +372,7 @@
     actions: &mut Vec<OrdersAction>,
 ) {
     let kind = match decision {
-        OrderDecision::Order { .. } | OrderDecision::Reached => DecisionKind::Version,
+        OrderDecision::Order { .. } | OrderDecision::TargetReached => DecisionKind::Version,
         _ => DecisionKind::Drain,
     };
     actions.push(OrdersAction::Record(DecisionRecord {
@@ -373,7 +385,7 @@
 }
 
 impl EnginePhase {
-    /// A drain that begins now.
+    /// The phase of a drain that starts now.
     pub(super) const fn draining(now: Timestamp) -> Self {
         Self::Draining {
             since: now,
@@ -383,8 +395,8 @@
         }
     }
 
-    /// Back from an order: the mark still stands, but daemons may have started since. The acknowledgements are
-    /// looked at afresh, and the engine is read again.
+    /// Returns to draining after an order. The drain mark is still in force, but daemons may have
+    /// started since, so acknowledgements and idleness must be established again.
     fn drain_again(&mut self, now: Timestamp) {
         *self = Self::Draining {
             since: now,
@@ -396,7 +408,7 @@
 }
 
 impl Engine {
-    fn carries_out(&self, order: &Order) -> bool {
+    fn is_executing(&self, order: &Order) -> bool {
         let running = self
             .report
             .as_ref()
--- a/crates/core/src/orders/settings.rs
+++ b/crates/core/src/orders/settings.rs
@@ -2,30 +2,31 @@
 
 use std::time::Duration;
 
-/// Limits and times of changes in one cell.
+/// Limits and timing of changes in one cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrdersSettings {
-    /// Most engines of the cell that planned changes take away at once.
+    /// Maximum number of engines in the cell that planned changes make unavailable at once.
     pub maximum_unavailable: usize,
-    /// Most loads of weights at once.
+    /// Maximum number of concurrent weight loads.
     pub maximum_loads: usize,
-    /// Least time between the starts of two loads of weights.
+    /// Minimum time between the starts of two weight loads.
     pub load_spacing: Duration,
-    /// Time between two reads of an engine's state while something is awaited there.
+    /// Interval between reads of an engine's state while it is unavailable.
     pub read_period: Duration,
-    /// Time between two reads of an engine's state while nothing is awaited.
+    /// Interval between reads of an engine's state while no change is in progress.
     pub idle_read_period: Duration,
-    /// An order without a sign of life for this long is sent again with the same id.
+    /// Time after which an order that the engine does not report as running is resent with the
+    /// same id.
     pub resend_after: Duration,
-    /// Time for requests in the network to arrive after all daemons stopped routing.
+    /// Time allowed for requests in transit to arrive after all daemons stopped routing.
     pub settle_time: Duration,
-    /// A drain that is not over by then is given up, and begun again later.
+    /// Time after which a drain of a serving engine is cancelled and retried later.
     pub drain_timeout: Duration,
-    /// Failed tries after which an engine is set aside.
-    pub maximum_tries: u32,
-    /// First wait after a failed try; it doubles with each.
+    /// Number of failed attempts after which an engine is set aside.
+    pub maximum_attempts: u32,
+    /// Delay after the first failed attempt; doubles with each further one.
     pub backoff_minimum: Duration,
-    /// Longest wait after a failed try.
+    /// Maximum delay after a failed attempt.
     pub backoff_maximum: Duration,
 }
 
@@ -40,7 +41,7 @@
             resend_after: Duration::from_secs(2),
             settle_time: Duration::from_secs(1),
             drain_timeout: Duration::from_secs(300),
-            maximum_tries: 5,
+            maximum_attempts: 5,
             backoff_minimum: Duration::from_secs(1),
             backoff_maximum: Duration::from_secs(60),
         }
@@ -48,10 +49,10 @@
 }
 
 impl OrdersSettings {
-    /// Wait after the `tries`-th failed try.
+    /// Delay after the given number of failed attempts.
     #[must_use]
-    pub fn backoff(&self, tries: u32) -> Duration {
-        let doublings = tries.saturating_sub(1).min(16);
+    pub fn backoff(&self, attempts: u32) -> Duration {
+        let doublings = attempts.saturating_sub(1).min(16);
         let wait = self.backoff_minimum * 2_u32.pow(doublings);
         wait.min(self.backoff_maximum)
     }
--- a/crates/core/src/orders/types.rs
+++ b/crates/core/src/orders/types.rs
@@ -1,17 +1,17 @@
-//! What engines report and are ordered. The fields mean the same as on the engines' control endpoint.
+//! Engine reports and orders. Fields have the same meaning as on the engines' control endpoint.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
 use crate::{AdapterName, EngineRole, FencingToken, Incarnation, MachineId, ModelName, OrderId};
 
-/// Bits of an order id that count the orders under one token.
+/// Low bits of an order id that hold the counter; the other bits hold the token.
 const COUNTER_BITS: u32 = 24;
 
-/// Id of the order number `counter` under `token`; `None` when either does not fit any more.
+/// Id of order number `counter` under `token`; `None` if either does not fit.
 ///
-/// The counter runs over all engines of the cell, so an id is used for one engine and one order:
-/// ids of one token differ by the counter, those of two controllers by the token.
+/// The counter is shared by all engines of the cell, so each id identifies a single order. Ids of
+/// different controllers differ by the token.
 #[must_use]
 pub const fn order_id(token: FencingToken, counter: u64) -> Option<OrderId> {
     let counter_fits = counter < 1 << COUNTER_BITS;
@@ -37,79 +37,79 @@
     BorshDeserialize,
 )]
 pub struct LoadedModel {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Its version.
+    /// Version of the weights.
     pub version: u32,
-    /// The adapters on top of it, sorted.
+    /// Loaded adapters, sorted by name.
     #[serde(default)]
     pub adapters: Vec<AdapterName>,
 }
 
-/// State an engine is ordered to reach.
+/// State that an engine is ordered to reach.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetState {
-    /// The role.
+    /// Role to serve in.
     pub role: EngineRole,
-    /// The model to hold.
+    /// Model to load.
     pub model: LoadedModel,
 }
 
-/// One fenced order.
+/// Order to an engine, fenced by the controller's token and the engine's incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The controller's token.
+    /// Fencing token of the controller.
     pub token: FencingToken,
-    /// The engine's incarnation that the order was made for.
+    /// Engine incarnation for which the order was issued.
     pub incarnation: Incarnation,
-    /// Its id.
+    /// Id of the order.
     pub order_id: OrderId,
-    /// What to reach.
+    /// State to reach.
     pub target: TargetState,
 }
 
 /// An order in progress.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningOrder {
-    /// Its id.
+    /// Id of the order.
     pub order_id: OrderId,
-    /// Its target.
+    /// State to reach.
     pub target: TargetState,
 }
 
 /// An order that ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedOrder {
-    /// Its id.
+    /// Id of the order.
     pub order_id: OrderId,
     /// Whether the target was reached.
     pub succeeded: bool,
-    /// What went wrong.
+    /// Cause of the failure; empty on success.
     #[serde(default)]
     pub message: String,
 }
 
-/// What an engine says of itself.
+/// State reported by an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Its incarnation; larger after each restart.
+    /// Incarnation of the engine; larger after each restart.
     pub incarnation: Incarnation,
-    /// Newest token it has seen.
+    /// Newest controller token that the engine has seen.
     pub token: FencingToken,
-    /// Its role; `None` while it changes, or after a crash in the middle of a change.
+    /// Current role; `None` during a change, or after a crash that interrupted a change.
     pub role: Option<EngineRole>,
-    /// The model it holds; `None` as for the role.
+    /// Loaded model; `None` in the same cases as the role.
     pub model: Option<LoadedModel>,
-    /// The order it carries out.
+    /// Order in progress.
     pub running_order: Option<RunningOrder>,
     /// The last order that ended.
     pub last_order: Option<EndedOrder>,
-    /// Requests it is working on or has queued.
+    /// Number of running and queued requests.
     pub requests: u32,
 }
 
 impl EngineReport {
-    /// Whether the engine is in a state and changes nothing.
+    /// Whether the engine is in the target state and no order is in progress.
     #[must_use]
     pub fn is_at(&self, target: &TargetState) -> bool {
         self.running_order.is_none()
@@ -124,58 +124,58 @@
     }
 }
 
-/// Why an engine refused a claim or an order. Nothing was changed.
+/// Why an engine refused a claim or an order. A refusal leaves the engine unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "refusal", rename_all = "snake_case")]
 pub enum OrderRefusal {
-    /// A newer token was seen.
+    /// The engine has seen a newer token.
     StaleToken {
-        /// The newest token.
+        /// Newest token that the engine has seen.
         newest: FencingToken,
     },
-    /// The order was made for another incarnation.
+    /// The order was issued for another incarnation.
     WrongIncarnation {
-        /// The engine's incarnation.
+        /// Current incarnation of the engine.
         current: Incarnation,
     },
     /// Another order is in progress.
     Busy {
-        /// Its id.
+        /// Id of the order in progress.
         order_id: OrderId,
     },
-    /// The order's id was used with another target.
+    /// The order's id was already used with another target.
     OrderIdReused,
     /// The engine cannot hold the model.
     Impossible {
-        /// Why.
+        /// Explanation from the engine.
         message: String,
     },
 }
 
-/// What one engine shall be.
+/// Desired state of one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DesiredEngine {
-    /// The engine.
+    /// Engine concerned.
     pub engine: MachineId,
-    /// Its wanted state; `None` leaves it as it is.
+    /// Target state; `None` leaves the engine unchanged.
     pub target: Option<TargetState>,
 }
 
-/// Share of the engines of a model that may be away at once: the smallest `rollout_percent` of the
-/// services that use it.
+/// Share of a model's engines that may be unavailable at once: the smallest `rollout_percent` of
+/// the services that use the model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutLimit {
-    /// The model.
+    /// Model that the limit applies to.
     pub model: ModelName,
-    /// The share, in per cent; at least one engine may always be away.
+    /// Share in percent; one engine may always be unavailable.
     pub percent: u8,
 }
 
-/// What the cell shall be.
+/// Desired state of a cell.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DesiredState {
     /// All engines of the cell.
     pub engines: Vec<DesiredEngine>,
-    /// Limits by model.
+    /// Rollout limits by model.
     pub rollouts: Vec<RolloutLimit>,
 }
--- a/crates/core/tests/orders.rs
+++ b/crates/core/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The reconciler against engines that crash in the middle of a change, and a network that loses.
+//! Guards against unsafe orders when engines crash during a change or calls are lost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,13 +33,13 @@
     }
 }
 
-/// A stand-in of an engine, with the checks of what must never happen to one.
+/// A simulated engine that asserts the safety conditions of orders.
 struct Engine {
     report: EngineReport,
-    seen: BTreeMap<OrderId, TargetState>,
-    remaining: u32,
-    /// Ticks until all daemons have stopped routing; `None` while it is not drained.
-    stops_in: Option<u32>,
+    accepted_orders: BTreeMap<OrderId, TargetState>,
+    remaining_ticks: u32,
+    /// Ticks until all daemons have stopped routing; `None` while no drain is in progress.
+    routing_stops_in: Option<u32>,
     drained_ticks: u32,
     is_reachable: bool,
     fails: bool,
@@ -59,9 +59,9 @@
                 last_order: None,
                 requests: 2,
             },
-            seen: BTreeMap::new(),
-            remaining: 0,
-            stops_in: None,
+            accepted_orders: BTreeMap::new(),
+            remaining_ticks: 0,
+            routing_stops_in: None,
             drained_ticks: 0,
             is_reachable: true,
             fails: false,
@@ -71,11 +71,11 @@
     }
 
     fn is_drained(&self) -> bool {
-        self.stops_in == Some(0)
+        self.routing_stops_in == Some(0)
     }
 
     fn tick(&mut self) {
-        if let Some(left) = &mut self.stops_in {
+        if let Some(left) = &mut self.routing_stops_in {
             *left = left.saturating_sub(1);
         }
         if self.is_drained() {
@@ -84,15 +84,15 @@
             if self.drained_ticks == LATE_REQUEST_TICKS {
                 assert!(
                     self.report.running_order.is_none(),
-                    "a late request was cut"
+                    "an order interrupted a late request"
                 );
                 self.report.requests += 1;
             }
         } else if self.report.is_serving() {
             self.report.requests = 2;
         }
-        self.remaining = self.remaining.saturating_sub(1);
-        if self.remaining == 0
+        self.remaining_ticks = self.remaining_ticks.saturating_sub(1);
+        if self.remaining_ticks == 0
             && let Some(running) = self.report.running_order.take()
         {
             self.end(running);
@@ -117,7 +117,7 @@
         self.report.token = FencingToken(0);
         self.report.last_order = None;
         self.report.requests = 0;
-        self.seen.clear();
+        self.accepted_orders.clear();
         if was_changing {
             self.report.role = None;
             self.report.model = None;
@@ -146,34 +146,38 @@
             order.token, self.report.token,
             "ordered before it was claimed"
         );
-        if self.seen.contains_key(&order.order_id) {
+        if self.accepted_orders.contains_key(&order.order_id) {
             return Ok(self.report.clone());
         }
         assert!(self.report.running_order.is_none(), "two orders at once");
         assert!(self.is_drained(), "ordered while daemons route to it");
-        assert_eq!(self.report.requests, 0, "an order cut requests");
-        self.seen.insert(order.order_id, order.target.clone());
+        assert_eq!(
+            self.report.requests, 0,
+            "an order interrupted running requests"
+        );
+        self.accepted_orders
+            .insert(order.order_id, order.target.clone());
         self.report.role = None;
         self.report.model = None;
         self.report.running_order = Some(RunningOrder {
             order_id: order.order_id,
             target: order.target.clone(),
         });
-        self.remaining = ORDER_TICKS;
+        self.remaining_ticks = ORDER_TICKS;
         Ok(self.report.clone())
     }
 
-    /// Another order may only follow one that has ended, was refused or was for an older life.
+    /// A new order may only follow one that ended, was refused or was for an earlier incarnation.
     fn check_sent(&mut self, order: &Order) {
         let Some(last) = self.last_sent.replace(order.clone()) else {
             return;
         };
         let ended = self.report.last_order.as_ref().map(|ended| ended.order_id);
-        let is_settled = last.order_id == order.order_id
+        let may_send = last.order_id == order.order_id
             || ended == Some(last.order_id)
             || last.incarnation < self.report.incarnation
             || self.refused;
-        assert!(is_settled, "two orders outstanding: {last:?} {order:?}");
+        assert!(may_send, "two orders outstanding: {last:?} {order:?}");
         self.refused = false;
     }
 }
@@ -183,10 +187,10 @@
     reconciler: Reconciler,
     engines: BTreeMap<MachineId, Engine>,
     actions: Vec<OrdersAction>,
-    late: Vec<(Timestamp, OrdersEvent)>,
+    delayed_events: Vec<(Timestamp, OrdersEvent)>,
     loss_permille: u32,
-    most_away: usize,
-    most_loading: usize,
+    peak_unavailable: usize,
+    peak_loading: usize,
     random: SeededRandom,
 }
 
@@ -198,32 +202,32 @@
             reconciler: Reconciler::new(settings, FencingToken(7)),
             engines: engines.collect(),
             actions: Vec::new(),
-            late: Vec::new(),
+            delayed_events: Vec::new(),
             loss_permille: 0,
-            most_away: 0,
-            most_loading: 0,
+            peak_unavailable: 0,
+            peak_loading: 0,
             random: seeded(seed, "cell"),
         }
     }
 
-    fn want(&mut self, target: &TargetState, percent: u8) {
-        let wish = |engine: &MachineId| DesiredEngine {
+    fn set_target(&mut self, target: &TargetState, percent: u8) {
+        let desired_engine = |engine: &MachineId| DesiredEngine {
             engine: *engine,
             target: Some(target.clone()),
         };
-        let wanted = DesiredState {
-            engines: self.engines.keys().map(wish).collect(),
+        let desired = DesiredState {
+            engines: self.engines.keys().map(desired_engine).collect(),
             rollouts: vec![RolloutLimit {
                 model: "ledger".parse().unwrap(),
                 percent,
             }],
         };
-        self.handle(OrdersEvent::DesiredChanged(wanted));
+        self.handle(OrdersEvent::DesiredChanged(desired));
     }
 
     fn handle(&mut self, event: OrdersEvent) {
         for action in self.reconciler.handle(self.now, event) {
-            self.carry_out(&action);
+            self.execute(&action);
             self.actions.push(action);
         }
     }
@@ -234,27 +238,27 @@
 
     fn answer(&mut self, event: OrdersEvent) {
         let delay = Duration::from_millis(self.random.random_range(0..400));
-        self.late.push((self.now + delay, event));
+        self.delayed_events.push((self.now + delay, event));
     }
 
-    fn carry_out(&mut self, action: &OrdersAction) {
+    fn execute(&mut self, action: &OrdersAction) {
         match action {
             OrdersAction::Claim { engine, token } => self.claim(*engine, *token),
             OrdersAction::ReadState { engine, number } => self.read(*engine, *number),
             OrdersAction::BeginDrain { engine, .. } => {
-                let stand_in = self.engine(*engine);
-                if !stand_in.is_drained() {
-                    stand_in.drained_ticks = 0;
+                let fake_engine = self.engine(*engine);
+                if !fake_engine.is_drained() {
+                    fake_engine.drained_ticks = 0;
                 }
-                stand_in.stops_in = Some(DRAIN_TICKS);
+                fake_engine.routing_stops_in = Some(DRAIN_TICKS);
             }
             OrdersAction::EndDrain { engine } => {
-                let stand_in = self.engine(*engine);
+                let fake_engine = self.engine(*engine);
                 assert!(
-                    stand_in.report.running_order.is_none(),
+                    fake_engine.report.running_order.is_none(),
                     "released too early"
                 );
-                stand_in.stops_in = None;
+                fake_engine.routing_stops_in = None;
             }
             OrdersAction::SendOrder { engine, order } => self.send(*engine, order),
             _ => {}
@@ -267,11 +271,11 @@
 
     fn claim(&mut self, engine: MachineId, token: FencingToken) {
         let answer_lost = self.is_lost();
-        let stand_in = self.engine(engine);
-        let problem = if !stand_in.is_reachable {
+        let fake_engine = self.engine(engine);
+        let problem = if !fake_engine.is_reachable {
             EngineCallError::NotSent
         } else {
-            match stand_in.claim(token) {
+            match fake_engine.claim(token) {
                 Ok(report) if !answer_lost => {
                     self.answer(OrdersEvent::Claimed { engine, report });
                     return;
@@ -285,9 +289,9 @@
 
     fn read(&mut self, engine: MachineId, number: ReadNumber) {
         let is_lost = self.is_lost();
-        let stand_in = self.engine(engine);
-        let is_there = stand_in.is_reachable && !is_lost;
-        let report = is_there.then(|| stand_in.report.clone());
+        let fake_engine = self.engine(engine);
+        let is_answered = fake_engine.is_reachable && !is_lost;
+        let report = is_answered.then(|| fake_engine.report.clone());
         self.answer(OrdersEvent::Read {
             engine,
             number,
@@ -299,14 +303,14 @@
         let is_lost = self.is_lost();
         let answer_lost = self.is_lost();
         let order_id = order.order_id;
-        let everybody = self.reconciler.has_claimed_reachable();
-        assert!(everybody, "ordered before all were claimed");
-        let stand_in = self.engine(engine);
-        stand_in.check_sent(order);
-        let problem = if !stand_in.is_reachable || is_lost {
+        let all_claimed = self.reconciler.has_claimed_reachable();
+        assert!(all_claimed, "ordered before all were claimed");
+        let fake_engine = self.engine(engine);
+        fake_engine.check_sent(order);
+        let problem = if !fake_engine.is_reachable || is_lost {
             EngineCallError::NotSent
         } else {
-            match stand_in.take(order) {
+            match fake_engine.take(order) {
                 Ok(report) if !answer_lost => {
                     self.answer(OrdersEvent::OrderAccepted {
                         engine,
@@ -317,7 +321,7 @@
                 }
                 Ok(_) => EngineCallError::AnswerLost,
                 Err(refusal) => {
-                    stand_in.refused = !matches!(refusal, OrderRefusal::Busy { .. });
+                    fake_engine.refused = !matches!(refusal, OrderRefusal::Busy { .. });
                     EngineCallError::Refused(refusal)
                 }
             }
@@ -332,10 +336,10 @@
     fn step(&mut self) {
         self.now = self.now + TICK;
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.late)
+        let (due, not_due) = std::mem::take(&mut self.delayed_events)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.late = later;
+        self.delayed_events = not_due;
         for (_, event) in due {
             self.handle(event);
         }
@@ -349,20 +353,20 @@
             self.handle(OrdersEvent::DrainAcknowledged { engine });
         }
         self.handle(OrdersEvent::Tick);
-        self.count();
+        self.record_peaks();
     }
 
-    fn count(&mut self) {
-        let away = self
+    fn record_peaks(&mut self) {
+        let unavailable = self
             .engines
             .values()
-            .filter(|engine| engine.stops_in.is_some());
+            .filter(|engine| engine.routing_stops_in.is_some());
         let loading = self
             .engines
             .values()
             .filter(|engine| engine.report.running_order.is_some());
-        self.most_away = self.most_away.max(away.count());
-        self.most_loading = self.most_loading.max(loading.count());
+        self.peak_unavailable = self.peak_unavailable.max(unavailable.count());
+        self.peak_loading = self.peak_loading.max(loading.count());
     }
 
     fn run(&mut self, seconds: u32) {
@@ -374,7 +378,7 @@
     fn all_at(&self, target: &TargetState) -> bool {
         self.engines
             .values()
-            .all(|engine| engine.report.is_at(target) && engine.stops_in.is_none())
+            .all(|engine| engine.report.is_at(target) && engine.routing_stops_in.is_none())
     }
 
     fn orders_sent(&self) -> usize {
@@ -390,36 +394,36 @@
         ..OrdersSettings::default()
     };
     let mut cell = Cell::new(1, 12, settings);
-    let wanted = target(EngineRole::Mixed, 2);
-    cell.want(&wanted, 25);
+    let desired = target(EngineRole::Mixed, 2);
+    cell.set_target(&desired, 25);
     cell.run(120);
-    assert!(cell.all_at(&wanted));
+    assert!(cell.all_at(&desired));
     assert_eq!(cell.orders_sent(), 12);
-    assert_eq!((cell.most_away, cell.most_loading), (3, 2));
+    assert_eq!((cell.peak_unavailable, cell.peak_loading), (3, 2));
 }
 
 #[test]
-fn the_rollout_share_of_a_service_binds_before_the_cell_limit() {
+fn the_rollout_limit_of_a_service_applies_before_the_cell_limit() {
     let mut cell = Cell::new(2, 12, OrdersSettings::default());
-    let wanted = target(EngineRole::Prefill, 1);
-    cell.want(&wanted, 10);
+    let desired = target(EngineRole::Prefill, 1);
+    cell.set_target(&desired, 10);
     cell.run(120);
-    assert!(cell.all_at(&wanted));
-    assert_eq!(cell.most_away, 1);
+    assert!(cell.all_at(&desired));
+    assert_eq!(cell.peak_unavailable, 1);
 }
 
 #[test]
 fn an_unreachable_engine_blocks_only_itself() {
     let mut cell = Cell::new(3, 4, OrdersSettings::default());
     cell.engine(MachineId(2)).is_reachable = false;
-    let wanted = target(EngineRole::Decode, 1);
-    cell.want(&wanted, 100);
+    let desired = target(EngineRole::Decode, 1);
+    cell.set_target(&desired, 100);
     cell.run(60);
     let reached = |cell: &Cell| {
         let at = cell
             .engines
             .values()
-            .filter(|engine| engine.report.is_at(&wanted));
+            .filter(|engine| engine.report.is_at(&desired));
         at.count()
     };
     assert_eq!(reached(&cell), 3);
@@ -432,10 +436,10 @@
 fn an_engine_that_fails_is_set_aside_with_a_reason_and_stays_drained() {
     let mut cell = Cell::new(4, 2, OrdersSettings::default());
     cell.engine(MachineId(1)).fails = true;
-    cell.want(&target(EngineRole::Decode, 1), 100);
+    cell.set_target(&target(EngineRole::Decode, 1), 100);
     cell.run(120);
-    let reason = SetAsideReason::TriesFailed {
-        tries: 5,
+    let reason = SetAsideReason::AttemptsFailed {
+        attempts: 5,
         message: "no memory".to_owned(),
     };
     let engine = MachineId(1);
@@ -452,7 +456,7 @@
 fn a_controller_whose_token_is_stale_orders_nothing() {
     let mut cell = Cell::new(5, 2, OrdersSettings::default());
     cell.engine(MachineId(1)).report.token = FencingToken(8);
-    cell.want(&target(EngineRole::Decode, 1), 100);
+    cell.set_target(&target(EngineRole::Decode, 1), 100);
     cell.run(60);
     let newest = FencingToken(8);
     assert!(
@@ -466,7 +470,7 @@
 fn an_order_of_an_earlier_controller_ends_first() {
     let mut cell = Cell::new(6, 1, OrdersSettings::default());
     let engine = cell.engine(MachineId(0));
-    engine.stops_in = Some(0);
+    engine.routing_stops_in = Some(0);
     engine.drained_ticks = LATE_REQUEST_TICKS;
     engine.report.requests = 0;
     engine.report.role = None;
@@ -474,15 +478,15 @@
         order_id: OrderId(3),
         target: target(EngineRole::Prefill, 1),
     });
-    engine.remaining = 100;
-    let wanted = target(EngineRole::Decode, 1);
-    cell.want(&wanted, 100);
+    engine.remaining_ticks = 100;
+    let desired = target(EngineRole::Decode, 1);
+    cell.set_target(&desired, 100);
     cell.run(60);
-    assert!(cell.all_at(&wanted));
+    assert!(cell.all_at(&desired));
 }
 
 #[test]
-fn order_ids_differ_by_token_and_counter_and_run_out_plainly() {
+fn order_ids_differ_by_token_and_counter_and_are_limited() {
     let token = FencingToken(7);
     assert_ne!(order_id(token, 1), order_id(token, 2));
     assert_ne!(order_id(token, 1), order_id(FencingToken(8), 1));
@@ -491,7 +495,7 @@
 }
 
 #[test]
-fn whatever_crashes_no_engine_has_two_orders_or_is_ordered_while_in_use() {
+fn crashes_never_cause_two_orders_or_an_order_to_an_engine_in_use() {
     bolero::check!()
         .with_type::<(u64, Vec<(u8, u8)>)>()
         .with_iterations(60)
@@ -499,23 +503,23 @@
             let mut cell = Cell::new(*seed, 4, OrdersSettings::default());
             cell.loss_permille = 200;
             let roles = [EngineRole::Prefill, EngineRole::Decode, EngineRole::Mixed];
-            let mut wanted = target(EngineRole::Decode, 2);
-            cell.want(&wanted, 50);
+            let mut desired = target(EngineRole::Decode, 2);
+            cell.set_target(&desired, 50);
             for (kind, value) in faults.iter().take(40) {
                 let engine = MachineId(u32::from(value % 4));
                 match kind % 5 {
                     0 => cell.engine(engine).crash(),
                     1 => {
-                        let stand_in = cell.engine(engine);
-                        stand_in.is_reachable = !stand_in.is_reachable;
+                        let fake_engine = cell.engine(engine);
+                        fake_engine.is_reachable = !fake_engine.is_reachable;
                     }
                     2 => {
-                        let stand_in = cell.engine(engine);
-                        stand_in.fails = !stand_in.fails;
+                        let fake_engine = cell.engine(engine);
+                        fake_engine.fails = !fake_engine.fails;
                     }
                     3 => {
-                        wanted = target(roles[usize::from(value % 3)], u32::from(value % 2) + 1);
-                        cell.want(&wanted, 50);
+                        desired = target(roles[usize::from(value % 3)], u32::from(value % 2) + 1);
+                        cell.set_target(&desired, 50);
                     }
                     _ => {}
                 }
@@ -529,29 +533,29 @@
                 engine.fails = false;
                 engine.crash();
             }
-            // What was set aside is given another target, which begins its tries anew.
+            // A new target resets the attempts of engines that were set aside.
             cell.run(10);
-            wanted = target(EngineRole::Mixed, 3);
-            cell.want(&wanted, 50);
+            desired = target(EngineRole::Mixed, 3);
+            cell.set_target(&desired, 50);
             cell.run(200);
-            assert!(cell.all_at(&wanted));
+            assert!(cell.all_at(&desired));
         });
 }
 
 #[test]
-fn nothing_is_begun_before_each_engine_was_claimed_or_found_unreachable() {
-    let wanted = target(EngineRole::Decode, 1);
-    let wish = |number| DesiredEngine {
+fn no_drain_begins_before_each_engine_was_claimed_or_found_unreachable() {
+    let desired = target(EngineRole::Decode, 1);
+    let desired_engine = |number| DesiredEngine {
         engine: MachineId(number),
-        target: Some(wanted.clone()),
+        target: Some(desired.clone()),
     };
     let mut reconciler = Reconciler::new(OrdersSettings::default(), FencingToken(7));
     let now = Timestamp::from_millis(1);
-    let wanted = DesiredState {
-        engines: vec![wish(0), wish(1)],
+    let desired = DesiredState {
+        engines: vec![desired_engine(0), desired_engine(1)],
         rollouts: vec![],
     };
-    reconciler.handle(now, OrdersEvent::DesiredChanged(wanted));
+    reconciler.handle(now, OrdersEvent::DesiredChanged(desired));
     reconciler.handle(now, OrdersEvent::Tick);
     let mut report = Engine::new().report;
     report.token = FencingToken(7);
@@ -568,7 +572,10 @@
             .any(|action| matches!(action, OrdersAction::BeginDrain { .. }))
     };
     for second in 1..20 {
-        assert!(!begins(&mut reconciler, second), "begun after {second} s");
+        assert!(
+            !begins(&mut reconciler, second),
+            "a drain began after {second} s"
+        );
     }
     let unreachable = OrdersEvent::ClaimFailed {
         engine: MachineId(1),
