--- a/crates/core/examples/costs.rs
+++ b/crates/core/examples/costs.rs
@@ -1,7 +1,8 @@
-//! Processor time of single decisions at the size of `CONTRIBUTING.md`: 600 engines, 1,900 tenants, 8 models.
+//! Benchmarks single operations with 600 engines, 1,900 tenants and 8 models, the fleet size given
+//! in `CONTRIBUTING.md`.
 //!
-//! Each operation is repeated in several batches; printed are the median batch and the spread between the
-//! fastest and the slowest one, in microseconds for one operation, as one JSON document.
+//! Runs each operation in several batches and prints the median, fastest and slowest batch as JSON,
+//! in microseconds per operation.
 //!
 //! `cargo run --release -p ponddrift-core --example costs`
 #![allow(
@@ -46,12 +47,12 @@
 const ENGINES: u32 = 600;
 const TENANTS: u32 = 1_900;
 const MODELS: u32 = 8;
-const CELL: u32 = 48;
+const ENGINES_PER_CELL: u32 = 48;
 const BATCHES: usize = 9;
 const SECOND: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Serialize)]
-struct Cost {
+struct Measurement {
     operation: &'static str,
     median_us: f64,
     fastest_us: f64,
@@ -66,23 +67,23 @@
     text.parse().expect("a valid name")
 }
 
-/// Times `repeats` calls in each batch.
+/// Runs `repeats` calls in each batch and measures their mean duration.
 #[allow(
     clippy::disallowed_methods,
     reason = "this program measures the logic from outside"
 )]
-fn cost(operation: &'static str, repeats: u32, mut call: impl FnMut(u32)) -> Cost {
+fn measure(operation: &'static str, repeats: u32, mut call: impl FnMut(u32)) -> Measurement {
     let mut batches: Vec<f64> = (0..BATCHES as u32)
         .map(|batch| {
-            let begun = Instant::now();
+            let started = Instant::now();
             for repeat in 0..repeats {
                 call(batch * repeats + repeat);
             }
-            begun.elapsed().as_secs_f64() * 1e6 / f64::from(repeats)
+            started.elapsed().as_secs_f64() * 1e6 / f64::from(repeats)
         })
         .collect();
     batches.sort_by(f64::total_cmp);
-    Cost {
+    Measurement {
         operation,
         median_us: batches[BATCHES / 2],
         fastest_us: batches[0],
@@ -113,7 +114,7 @@
         let view = BackEndView {
             id: MachineId(engine),
             kind: BackEndKind::Engine(EngineView {
-                cell: name(&format!("cell-{}", engine / CELL)),
+                cell: name(&format!("cell-{}", engine / ENGINES_PER_CELL)),
                 incarnation: Incarnation(1),
                 role: Some(role(engine / MODELS)),
                 model: Some(model_name(engine)),
@@ -143,9 +144,9 @@
     }
 }
 
-fn routing() -> [Cost; 2] {
+fn routing() -> [Measurement; 2] {
     let mut router = router();
-    let choice = cost(
+    let choice = measure(
         "router: choose among 600 engines of 8 models",
         200,
         |number| {
@@ -172,14 +173,14 @@
             black_box(router.choose(at(number), &request).expect("an engine"));
         },
     );
-    let digests = cost("router: take one load digest", 20_000, |number| {
+    let digests = measure("router: take one load digest", 20_000, |number| {
         let digest = digest(number % ENGINES, 2 + number / ENGINES);
         router.handle(at(number), RoutingEvent::Digest(digest));
     });
     [choice, digests]
 }
 
-fn admission() -> Cost {
+fn admission() -> Measurement {
     let settings = AdmissionSettings::default();
     let mut admission = Admission::new(settings, 1);
     admission.handle(
@@ -199,7 +200,7 @@
         Timestamp::ZERO,
         AdmissionEvent::LimitsChanged { tenants, services },
     );
-    cost(
+    measure(
         "admission: one request in and out, 1,900 tenants",
         20_000,
         |number| {
@@ -224,7 +225,7 @@
     )
 }
 
-fn claims() -> Cost {
+fn claims() -> Measurement {
     let to = ClaimMember {
         machine: MachineId(1),
         incarnation: Incarnation(1),
@@ -239,7 +240,7 @@
         quarantined: false,
     };
     replica.handle(Timestamp::ZERO, begin);
-    cost("claims: one claim at one replica", 2_000, |number| {
+    measure("claims: one claim at one replica", 2_000, |number| {
         let claimant = ClaimantId {
             daemon: ClaimMember {
                 machine: MachineId(2),
@@ -256,7 +257,7 @@
             claimant,
             fingerprint: 1,
         };
-        // Spread in time: the table holds what came within the retention, as in use.
+        // Spread the claims in time, so that the table expires old ones as in production.
         black_box(replica.handle(at(number * 50), claim));
     })
 }
@@ -296,19 +297,19 @@
     configuration
 }
 
-fn configuration() -> Vec<Cost> {
+fn configuration() -> Vec<Measurement> {
     let first = first_configuration();
     let bytes = borsh::to_vec(&first).expect("memory");
     eprintln!("snapshot of {TENANTS} tenants: {} bytes", bytes.len());
-    let decode = cost("configuration: decode a snapshot", 20, |_number| {
+    let decode = measure("configuration: decode a snapshot", 20, |_number| {
         black_box(borsh::from_slice::<Configuration>(&bytes).expect("own bytes"));
     });
-    let copy = cost("configuration: copy for publishing", 50, |_number| {
+    let copy = measure("configuration: copy for publishing", 50, |_number| {
         black_box(first.clone());
     });
     let mut state = ConfigurationState::default();
     state.take_snapshot(first);
-    let apply = cost("configuration: apply one change", 2_000, |number| {
+    let apply = measure("configuration: apply one change", 2_000, |number| {
         let revision = state.revision();
         let change = ConfigurationChange {
             id: ChangeId(u128::from(number)),
@@ -349,25 +350,25 @@
     }
 }
 
-fn reconciler() -> Cost {
+fn reconciler() -> Measurement {
     let mut reconciler = Reconciler::new(OrdersSettings::default(), FencingToken(7));
     let target = TargetState {
         role: EngineRole::Mixed,
         model: report(7).model.expect("a model"),
     };
-    let wish = |engine| DesiredEngine {
+    let desired_engine = |engine| DesiredEngine {
         engine: MachineId(engine),
         target: Some(target.clone()),
     };
-    let wanted = DesiredState {
-        engines: (0..CELL).map(wish).collect(),
+    let desired = DesiredState {
+        engines: (0..ENGINES_PER_CELL).map(desired_engine).collect(),
         rollouts: vec![RolloutLimit {
             model: name("model-0"),
             percent: 10,
         }],
     };
-    let mut pending = reconciler.handle(at(0), OrdersEvent::DesiredChanged(wanted));
-    cost(
+    let mut pending = reconciler.handle(at(0), OrdersEvent::DesiredChanged(desired));
+    measure(
         "reconciler: a tick of 48 engines with its reads",
         500,
         |number| {
@@ -392,10 +393,10 @@
     )
 }
 
-fn planner() -> Cost {
+fn planner() -> Measurement {
     let mut planner = RolePlanner::new(PlannerSettings::of(PlannerProfile::Hanbit));
     let mut engines: BTreeMap<u32, EngineState> = BTreeMap::new();
-    for number in 0..CELL {
+    for number in 0..ENGINES_PER_CELL {
         let engine = EngineState {
             id: MachineId(number),
             model: model_name(number),
@@ -408,7 +409,7 @@
         engines.insert(number, engine);
     }
     let engines: Vec<EngineState> = engines.into_values().collect();
-    cost("planner: a plan for 48 engines of 8 models", 20, |number| {
+    measure("planner: a plan for 48 engines of 8 models", 20, |number| {
         let now = Timestamp::ZERO + SECOND * (1_000 + number * 2);
         for model in 0..MODELS {
             let sample = DemandSample {
@@ -431,7 +432,7 @@
 }
 
 fn main() {
-    let mut costs: Vec<Cost> = routing().into();
+    let mut costs: Vec<Measurement> = routing().into();
     costs.push(admission());
     costs.push(claims());
     costs.extend(configuration());
--- a/crates/core/src/roles.rs
+++ b/crates/core/src/roles.rs
@@ -1,8 +1,9 @@
-//! Planning the role of each engine.
+//! Plans the role of each engine: prefill, decode or mixed.
 //!
-//! [`RolePlanner`] takes samples of demand and of engines, forecasts the demand over a horizon, and
-//! compares role splits by the share of the demand that they serve within the latency targets. It changes
-//! a role only where the gain pays for the time that the engine is away. Pure and deterministic.
+//! [`RolePlanner`] forecasts demand from samples and compares role splits by the share of requests
+//! that they are expected to serve within the latency targets. It changes roles only if the gain
+//! outweighs the time during which the changed engines are unavailable. Planning is deterministic
+//! and performs no I/O.
 
 mod candidates;
 mod capacity;
--- a/crates/core/src/roles/candidates.rs
+++ b/crates/core/src/roles/candidates.rs
@@ -1,4 +1,4 @@
-//! The splits that can be reached by one plan.
+//! Enumerates the role splits that a single plan can reach.
 
 use super::sample::{EngineAvailability, EngineState};
 use super::settings::PlannerSettings;
@@ -6,61 +6,61 @@
 use super::value::Transition;
 use crate::{EngineRole, Timestamp};
 
-/// The roles, in the order in which splits are listed.
+/// All roles, in a fixed order that keeps planning deterministic.
 pub(super) const ROLES: [EngineRole; 3] =
     [EngineRole::Prefill, EngineRole::Decode, EngineRole::Mixed];
 
-/// A model's engines, counted.
+/// Numbers of a model's engines by role and availability.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(super) struct Census {
-    /// Engines that serve.
+pub(super) struct EngineCounts {
+    /// Serving engines.
     pub serving: RoleSplit,
-    /// Engines that serve or will once their change is done.
+    /// Engines that serve, or will serve once their current change completes.
     pub settled: RoleSplit,
-    /// Engines that serve and may be changed.
+    /// Serving engines whose role may be changed now.
     pub movable: RoleSplit,
-    /// Engines that may be changed now in all, by the share that may be away.
-    pub budget: u32,
-    /// Engines away.
-    pub away: u32,
+    /// Number of engines that this plan may change, given the limit on unavailable engines.
+    pub change_budget: u32,
+    /// Engines that are draining or changing.
+    pub unavailable: u32,
 }
 
-impl Census {
+impl EngineCounts {
     pub fn new(now: Timestamp, engines: &[&EngineState], settings: &PlannerSettings) -> Self {
-        let mut census = Self::default();
+        let mut counts = Self::default();
         for engine in engines {
             match (engine.availability, engine.role) {
                 (EngineAvailability::Serving, Some(role)) => {
-                    census.serving = census.serving.with(role);
-                    census.settled = census.settled.with(role);
+                    counts.serving = counts.serving.with(role);
+                    counts.settled = counts.settled.with(role);
                     if is_movable(now, engine, settings) {
-                        census.movable = census.movable.with(role);
+                        counts.movable = counts.movable.with(role);
                     }
                 }
                 (EngineAvailability::Changing { to }, _) => {
-                    census.settled = census.settled.with(to);
-                    census.away += 1;
+                    counts.settled = counts.settled.with(to);
+                    counts.unavailable += 1;
                 }
                 _ => {}
             }
         }
-        census.budget = allowed_away(census.settled.total(), settings)
-            .saturating_sub(census.away)
+        counts.change_budget = unavailable_limit(counts.settled.total(), settings)
+            .saturating_sub(counts.unavailable)
             .min(settings.maximum_changes);
-        census
+        counts
     }
 
-    /// Nothing is changed; engines that are away come back.
-    pub fn stay(&self) -> Transition {
+    /// The transition that starts no change; changes in progress complete.
+    pub fn without_changes(&self) -> Transition {
         Transition {
-            meanwhile: self.serving,
+            during: self.serving,
             after: self.settled,
-            changes: self.away,
-            changed_readers: 0,
+            changes: self.unavailable,
+            cold_cache_engines: 0,
         }
     }
 
-    /// Every other split that the budget, dwell times and pins allow.
+    /// Transitions to every other split that the change budget, dwell times and pins allow.
     pub fn reachable(&self) -> Vec<Transition> {
         let total = self.settled.total();
         let mut found = Vec::new();
@@ -77,38 +77,41 @@
         found
     }
 
+    /// The transition to `after`; `None` if it is not allowed, changes nothing or interrupts
+    /// service.
     fn transition(&self, after: RoleSplit) -> Option<Transition> {
         let changes = self.settled.changes_to(after);
-        if changes == 0 || changes > self.budget || !after.can_serve() {
+        if changes == 0 || changes > self.change_budget || !after.can_serve() {
             return None;
         }
-        let mut meanwhile = RoleSplit::default();
+        let mut during = RoleSplit::default();
         for role in ROLES {
             let leaving = self.settled.of(role).saturating_sub(after.of(role));
             if leaving > self.movable.of(role) {
                 return None;
             }
             for _ in 0..self.serving.of(role) - leaving {
-                meanwhile = meanwhile.with(role);
+                during = during.with(role);
             }
         }
-        let new_decoders = after.decode.saturating_sub(self.settled.decode);
-        (meanwhile.can_serve() || !self.serving.can_serve()).then_some(Transition {
-            meanwhile,
+        let added_decode_engines = after.decode.saturating_sub(self.settled.decode);
+        (during.can_serve() || !self.serving.can_serve()).then_some(Transition {
+            during,
             after,
             changes,
-            changed_readers: changes - new_decoders,
+            cold_cache_engines: changes - added_decode_engines,
         })
     }
 }
 
-/// Engines of a model that may be away at once.
-pub(super) fn allowed_away(engines: u32, settings: &PlannerSettings) -> u32 {
-    let share = f64::from(engines) * settings.maximum_away_share;
+/// Number of a model's engines that may be unavailable at once.
+pub(super) fn unavailable_limit(engines: u32, settings: &PlannerSettings) -> u32 {
+    let share = f64::from(engines) * settings.maximum_unavailable_share;
     (share.floor() as u32).max(1)
 }
 
-/// Whether an engine's role may be changed for the split's sake.
+/// Whether the planner may change an engine's role: it serves, is not pinned, and has kept its
+/// role for the minimum dwell time.
 pub(super) fn is_movable(now: Timestamp, engine: &EngineState, settings: &PlannerSettings) -> bool {
     engine.availability == EngineAvailability::Serving
         && engine.pinned.is_none()
--- a/crates/core/src/roles/capacity.rs
+++ b/crates/core/src/roles/capacity.rs
@@ -1,28 +1,28 @@
-//! What a role split can serve within the latency targets.
+//! Estimates the demand that a role split can serve within the latency targets.
 
 use std::time::Duration;
 
 use super::split::RoleSplit;
 
-/// Steps of the bisection for mixed engines; 2^-20 of the answer is left.
+/// Number of bisection steps for the served share; leaves an error of 2^-20 of the range.
 const BISECTION_STEPS: u32 = 20;
-/// Largest multiple of the demand that is told apart: more than enough is enough.
-const LARGEST_SHARE: f64 = 4.0;
-/// Smallest demand that is reckoned with, in tokens a second.
-const SMALLEST_DEMAND: f64 = 1.0;
-/// Share of requests lost to queues where capacity just equals the mean demand.
+/// Upper bound of the served share; more spare capacity than this makes no difference.
+const MAXIMUM_SERVED_SHARE: f64 = 4.0;
+/// Lower bound of the demand; avoids division by zero.
+const MINIMUM_TOKENS_PER_SECOND: f64 = 1.0;
+/// Share of requests that miss their targets due to queueing when capacity equals mean demand.
 const LOSS_AT_FULL_LOAD: f64 = 0.11;
-/// How fast that loss falls with the spare capacity.
+/// Exponential decay rate of that loss with the spare share of capacity.
 const LOSS_DECAY: f64 = 5.0;
-/// Power of the served share by which goodput falls when capacity is short: queues waste some of it.
-const SHORTAGE_POWER: f64 = 1.5;
+/// Exponent applied to the served share when capacity is short, because queueing wastes some of it.
+const SHORTAGE_EXPONENT: f64 = 1.5;
 
 /// Latency targets of interactive requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatencyTargets {
-    /// Time to the first token.
+    /// Time to first token.
     pub first_token: Duration,
-    /// Time between tokens.
+    /// Time between output tokens.
     pub token_interval: Duration,
 }
 
@@ -35,16 +35,16 @@
     }
 }
 
-/// Demand in tokens a second.
+/// Demand as rates per second.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TokenDemand {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Prompt tokens a second that have to be read (not found in a prefix cache).
+    /// Prompt tokens per second that require prefill because no prefix cache holds them.
     pub uncached_prompt_tokens: f64,
-    /// All prompt tokens a second.
+    /// Prompt tokens per second, cached or not.
     pub prompt_tokens: f64,
-    /// Tokens a second to generate.
+    /// Output tokens per second.
     pub output_tokens: f64,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The mean a second, when this is a sum over `seconds`.
+    /// Converts totals over `seconds` to mean rates.
     #[must_use]
     pub fn over(self, seconds: f64) -> Self {
         let seconds = seconds.max(f64::MIN_POSITIVE);
@@ -72,25 +72,25 @@
         }
     }
 
-    /// Mean KV cache of a request half way through its answer, in tokens.
+    /// Tokens of KV cache that a request needs on average for its prompt and output; at least 1.
     fn cache_tokens(self) -> f64 {
         let requests = self.requests.max(f64::MIN_POSITIVE);
         ((self.prompt_tokens + self.output_tokens) / requests).max(1.0)
     }
 }
 
-/// What one engine can do.
+/// Capacity of one engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineCapacity {
-    /// Prompt tokens read a second.
+    /// Prefill throughput in prompt tokens per second.
     pub prefill_tokens_per_second: f64,
-    /// Seconds of a decode step without any sequence.
+    /// Fixed duration of a decode step, in seconds.
     pub decode_base_seconds: f64,
-    /// Seconds that each sequence adds to a decode step.
+    /// Additional duration of a decode step per sequence, in seconds.
     pub decode_sequence_seconds: f64,
-    /// Most sequences at once.
+    /// Maximum number of concurrent sequences.
     pub maximum_sequences: f64,
-    /// Tokens that the KV cache holds.
+    /// Capacity of the KV cache in tokens.
     pub kv_cache_tokens: f64,
 }
 
@@ -107,7 +107,10 @@
 }
 
 impl EngineCapacity {
-    /// Share of the demand that a split can serve, 1 for just all of it, at most 4.
+    /// Share of the demand that a split can serve: 1 means exactly all of it; at most 4.
+    ///
+    /// The mean of two estimates: dedicated and mixed engines serving separate requests, and mixed
+    /// engines serving only what exceeds the capacity of the dedicated ones.
     #[must_use]
     pub fn served_share(
         &self,
@@ -115,80 +118,94 @@
         demand: TokenDemand,
         targets: LatencyTargets,
     ) -> f64 {
-        let alike = self.handover_share(split, demand, targets)
+        let without_overflow = self.disaggregated_share(split, demand, targets)
             + self.largest_share(|share| {
-                let read = share * demand.uncached_prompt_tokens;
-                let generated = share * demand.output_tokens;
-                self.mixed_can_serve(split.mixed, demand, targets, read, generated)
+                let prefill_rate = share * demand.uncached_prompt_tokens;
+                let decode_rate = share * demand.output_tokens;
+                self.mixed_can_serve(split.mixed, demand, targets, prefill_rate, decode_rate)
             });
-        let divided = self.divided_share(split, demand, targets);
-        f64::midpoint(alike, divided).min(LARGEST_SHARE)
+        let with_overflow = self.overflow_to_mixed_share(split, demand, targets);
+        f64::midpoint(without_overflow, with_overflow).min(MAXIMUM_SERVED_SHARE)
     }
 
-    /// Share of the demand's requests that end in time: queues cost some even before the capacity is
-    /// used up.
+    /// Share of requests expected to meet the latency targets. Queueing causes some losses even
+    /// below full load.
     #[must_use]
     pub fn goodput(&self, split: RoleSplit, demand: TokenDemand, targets: LatencyTargets) -> f64 {
         let share = self.served_share(split, demand, targets);
         if share < 1.0 {
-            return share.powf(SHORTAGE_POWER) * (1.0 - LOSS_AT_FULL_LOAD);
+            return share.powf(SHORTAGE_EXPONENT) * (1.0 - LOSS_AT_FULL_LOAD);
         }
         1.0 - LOSS_AT_FULL_LOAD * (-LOSS_DECAY * (share - 1.0)).exp()
     }
 
-    fn handover_share(
+    /// Share of the demand that dedicated prefill and decode engines can serve.
+    fn disaggregated_share(
         &self,
         split: RoleSplit,
         demand: TokenDemand,
         targets: LatencyTargets,
     ) -> f64 {
-        let read = f64::from(split.prefill) * self.prefill_tokens_per_second;
-        let generated = self.generated(split.decode, demand, targets);
-        let read_share = read / demand.uncached_prompt_tokens.max(SMALLEST_DEMAND);
-        let generated_share = generated / demand.output_tokens.max(SMALLEST_DEMAND);
-        read_share.min(generated_share)
+        let prefill_rate = f64::from(split.prefill) * self.prefill_tokens_per_second;
+        let decode_rate = self.decode_rate(split.decode, demand, targets);
+        let prefill_share =
+            prefill_rate / demand.uncached_prompt_tokens.max(MINIMUM_TOKENS_PER_SECOND);
+        let decode_share = decode_rate / demand.output_tokens.max(MINIMUM_TOKENS_PER_SECOND);
+        prefill_share.min(decode_share)
     }
 
-    /// Tokens a second that decode engines generate.
-    fn generated(&self, engines: u32, demand: TokenDemand, targets: LatencyTargets) -> f64 {
+    /// Output tokens per second of the given number of decode engines.
+    fn decode_rate(&self, engines: u32, demand: TokenDemand, targets: LatencyTargets) -> f64 {
         let sequences = self.sequences(demand, targets.token_interval.as_secs_f64());
         let step = self.decode_base_seconds + self.decode_sequence_seconds * sequences;
         f64::from(engines) * sequences / step
     }
 
-    /// Sequences decoded at once within a time for each step, the KV cache and the engine's bound.
+    /// Number of concurrent sequences that fit the step duration, the KV cache and the engine's
+    /// limit.
     fn sequences(&self, demand: TokenDemand, step_seconds: f64) -> f64 {
-        let in_time = (step_seconds - self.decode_base_seconds) / self.decode_sequence_seconds;
-        let in_cache = self.kv_cache_tokens / demand.cache_tokens();
-        in_time.min(in_cache).min(self.maximum_sequences).max(0.0)
+        let latency_limit =
+            (step_seconds - self.decode_base_seconds) / self.decode_sequence_seconds;
+        let cache_limit = self.kv_cache_tokens / demand.cache_tokens();
+        latency_limit
+            .min(cache_limit)
+            .min(self.maximum_sequences)
+            .max(0.0)
     }
 
-    /// Share served when mixed engines take just what the dedicated ones leave: requests with long prompts
-    /// are handed over, the others go to mixed engines.
-    fn divided_share(&self, split: RoleSplit, demand: TokenDemand, targets: LatencyTargets) -> f64 {
-        let has_pair = split.prefill > 0 && split.decode > 0;
-        let dedicated = if has_pair { 1.0 } else { 0.0 };
-        let reads = dedicated * f64::from(split.prefill) * self.prefill_tokens_per_second;
-        let generates = dedicated * self.generated(split.decode, demand, targets);
+    /// Share of the demand served if mixed engines take only the work that exceeds the capacity of
+    /// the dedicated prefill and decode engines.
+    fn overflow_to_mixed_share(
+        &self,
+        split: RoleSplit,
+        demand: TokenDemand,
+        targets: LatencyTargets,
+    ) -> f64 {
+        let has_dedicated_pair = split.prefill > 0 && split.decode > 0;
+        let pair_factor = if has_dedicated_pair { 1.0 } else { 0.0 };
+        let dedicated_prefill_rate =
+            pair_factor * f64::from(split.prefill) * self.prefill_tokens_per_second;
+        let dedicated_decode_rate = pair_factor * self.decode_rate(split.decode, demand, targets);
         self.largest_share(|share| {
-            let read = share * demand.uncached_prompt_tokens - reads;
-            let generated = share * demand.output_tokens - generates;
+            let prefill_rate = share * demand.uncached_prompt_tokens - dedicated_prefill_rate;
+            let decode_rate = share * demand.output_tokens - dedicated_decode_rate;
             self.mixed_can_serve(
                 split.mixed,
                 demand,
                 targets,
-                read.max(0.0),
-                generated.max(0.0),
+                prefill_rate.max(0.0),
+                decode_rate.max(0.0),
             )
         })
     }
 
-    /// The largest share for which `serves` holds; it must hold for every smaller one too.
-    fn largest_share(&self, serves: impl Fn(f64) -> bool) -> f64 {
-        let (mut low, mut high) = (0.0, LARGEST_SHARE);
+    /// The largest share for which `is_served` holds. The predicate must be monotonic: if it holds
+    /// for a share, it must hold for every smaller one.
+    fn largest_share(&self, is_served: impl Fn(f64) -> bool) -> f64 {
+        let (mut low, mut high) = (0.0, MAXIMUM_SERVED_SHARE);
         for _ in 0..BISECTION_STEPS {
             let middle = f64::midpoint(low, high);
-            if serves(middle) {
+            if is_served(middle) {
                 low = middle;
             } else {
                 high = middle;
@@ -197,30 +214,30 @@
         low
     }
 
-    /// Whether mixed engines can read and generate so many tokens a second: one that reads for a part of
-    /// its time has the rest for decode steps.
+    /// Whether mixed engines can sustain the given prefill and decode rates, in tokens per second.
+    /// Time that an engine spends on prefill is not available for decode steps.
     fn mixed_can_serve(
         &self,
         engines: u32,
         demand: TokenDemand,
         targets: LatencyTargets,
-        read: f64,
-        generated: f64,
+        prefill_rate: f64,
+        decode_rate: f64,
     ) -> bool {
-        if read <= 0.0 && generated <= 0.0 {
+        if prefill_rate <= 0.0 && decode_rate <= 0.0 {
             return true;
         }
         if engines == 0 {
             return false;
         }
         let engines = f64::from(engines);
-        let reading = read / engines / self.prefill_tokens_per_second;
-        if reading >= 1.0 {
+        let prefill_time_share = prefill_rate / engines / self.prefill_tokens_per_second;
+        if prefill_time_share >= 1.0 {
             return false;
         }
         let interval = targets.token_interval.as_secs_f64();
-        let sequences = self.sequences(demand, interval * (1.0 - reading));
+        let sequences = self.sequences(demand, interval * (1.0 - prefill_time_share));
         let step = self.decode_base_seconds + self.decode_sequence_seconds * sequences;
-        generated <= engines * (1.0 - reading) * sequences / step
+        decode_rate <= engines * (1.0 - prefill_time_share) * sequences / step
     }
 }
--- a/crates/core/src/roles/demand.rs
+++ b/crates/core/src/roles/demand.rs
@@ -1,4 +1,4 @@
-//! History and forecast of the demand for one model.
+//! Demand history and forecast for one model.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,44 +11,44 @@
 use super::trend::{Trend, TrendPoint, estimate_trend};
 use crate::Timestamp;
 
-/// Newest samples whose median is the level where no trend is clear.
+/// Number of newest samples whose median is used as the level if no trend is significant.
 const RECENT_SAMPLES: usize = 5;
-/// Samples kept at most, whatever the window.
-const MOST_SAMPLES: usize = 64;
+/// Bounds memory and computation independently of the trend window.
+const MAXIMUM_SAMPLES: usize = 64;
 
 #[derive(Debug, Clone)]
-struct Entry {
+struct StoredSample {
     at: Timestamp,
     window: Duration,
     levels: Vec<LevelDemand>,
 }
 
-/// Samples of the last window of time.
+/// Recent demand samples and coarser snapshots of earlier demand.
 #[derive(Debug, Clone, Default)]
 pub struct DemandHistory {
-    entries: VecDeque<Entry>,
+    samples: VecDeque<StoredSample>,
     waiting_prompt_tokens: u64,
     past: VecDeque<Vec<PastLevel>>,
-    open_snapshot: Snapshot,
+    current_snapshot: SnapshotBuilder,
 }
 
-/// Mean demand of one priority level in a snapshot of the past.
+/// Mean demand of one priority level in a past snapshot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PastLevel {
-    /// Level of the priority.
+    /// Priority level; 0 is served first.
     pub level: u8,
-    /// Its demand.
+    /// Mean demand of the level.
     pub demand: TokenDemand,
 }
 
-/// A snapshot that is being added up.
+/// Accumulates samples into the next snapshot.
 #[derive(Debug, Clone, Default)]
-struct Snapshot {
+struct SnapshotBuilder {
     seconds: f64,
     sums: BTreeMap<u8, TokenDemand>,
 }
 
-impl Snapshot {
+impl SnapshotBuilder {
     fn add(&mut self, sample: &DemandSample) {
         self.seconds += sample.window.as_secs_f64();
         for level in &sample.levels {
@@ -62,6 +62,7 @@
         }
     }
 
+    /// Returns the mean demand of each level and starts a new snapshot.
     fn close(&mut self) -> Vec<PastLevel> {
         let seconds = self.seconds;
         self.seconds = 0.0;
@@ -74,10 +75,10 @@
     }
 }
 
-/// Expected demand of one priority level.
+/// Demand forecast of one priority level.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LevelForecast {
-    /// Level of the priority.
+    /// Priority level; 0 is served first.
     pub level: u8,
     requests: Trend,
     uncached_prompt_tokens: Trend,
@@ -85,98 +86,98 @@
     output_tokens: Trend,
 }
 
-/// Expected demand of a model, for decisions' reasons. Tokens a second.
+/// Demand forecast of a model, as included in decision reasons. Rates are in tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct DemandForecast {
-    /// Prompt tokens to be read now.
+    /// Current rate of prompt tokens that require prefill.
     pub prompt_tokens_now: f64,
-    /// Prompt tokens to be read at the end of the horizon.
+    /// Rate of prompt tokens that require prefill at the end of the horizon.
     pub prompt_tokens_ahead: f64,
-    /// Tokens to be generated now.
+    /// Current rate of output tokens.
     pub output_tokens_now: f64,
-    /// Tokens to be generated at the end of the horizon.
+    /// Rate of output tokens at the end of the horizon.
     pub output_tokens_ahead: f64,
-    /// Whether a clear trend was found.
+    /// Whether any level has a statistically significant trend.
     pub trend_clear: bool,
 }
 
 impl DemandHistory {
-    /// Takes a sample that ends now. One without length is ignored.
+    /// Adds a sample whose window ends now. Rates of a sample with an empty window are ignored.
     pub fn add(&mut self, now: Timestamp, sample: &DemandSample, settings: &PlannerSettings) {
         self.waiting_prompt_tokens = sample.waiting_prompt_tokens;
         if sample.window.is_zero() {
             return;
         }
-        self.entries.push_back(Entry {
+        self.samples.push_back(StoredSample {
             at: now,
             window: sample.window,
             levels: sample.levels.clone(),
         });
-        let is_old = |entry: &Entry| now.since(entry.at) > settings.trend_window;
-        while self.entries.len() > MOST_SAMPLES || self.entries.front().is_some_and(is_old) {
-            self.entries.pop_front();
+        let is_old = |stored: &StoredSample| now.since(stored.at) > settings.trend_window;
+        while self.samples.len() > MAXIMUM_SAMPLES || self.samples.front().is_some_and(is_old) {
+            self.samples.pop_front();
         }
-        self.open_snapshot.add(sample);
-        if self.open_snapshot.seconds >= settings.past_snapshot.as_secs_f64() {
-            self.past.push_back(self.open_snapshot.close());
+        self.current_snapshot.add(sample);
+        if self.current_snapshot.seconds >= settings.past_snapshot.as_secs_f64() {
+            self.past.push_back(self.current_snapshot.close());
         }
         while self.past.len() > settings.past_snapshots {
             self.past.pop_front();
         }
     }
 
-    /// Snapshots of the past, the oldest first; the priorities of each from the highest on.
+    /// Past snapshots, oldest first. Each lists its levels from the highest priority down.
     pub fn past(&self) -> impl Iterator<Item = &[PastLevel]> {
         self.past.iter().map(Vec::as_slice)
     }
 
-    /// Samples held.
+    /// Number of stored samples.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.samples.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no samples are stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.samples.is_empty()
     }
 
-    /// Prompt tokens that waited at the end of the newest sample.
+    /// Number of prompt tokens that were waiting at the end of the newest sample.
     #[must_use]
     pub const fn waiting_prompt_tokens(&self) -> u64 {
         self.waiting_prompt_tokens
     }
 
-    /// Forecast of each priority level, the highest priority first.
+    /// Forecast for each priority level, highest priority first.
     #[must_use]
     pub fn forecast(&self, now: Timestamp, settings: &PlannerSettings) -> Vec<LevelForecast> {
         let levels: BTreeMap<u8, ()> = self
-            .entries
+            .samples
             .iter()
-            .flat_map(|entry| entry.levels.iter().map(|level| (level.level, ())))
+            .flat_map(|stored| stored.levels.iter().map(|level| (level.level, ())))
             .collect();
-        let series = |level: u8, value: fn(&LevelDemand) -> u64| {
+        let estimate = |level: u8, value: fn(&LevelDemand) -> u64| {
             let points: Vec<TrendPoint> = self
-                .entries
+                .samples
                 .iter()
-                .map(|entry| entry.point(now, level, value))
+                .map(|stored| stored.point(now, level, value))
                 .collect();
             estimate_trend(&points, settings.trend_significance, RECENT_SAMPLES)
         };
         let forecast = |level: u8| LevelForecast {
             level,
-            requests: series(level, |demand| demand.requests),
-            uncached_prompt_tokens: series(level, LevelDemand::uncached_prompt_tokens),
-            prompt_tokens: series(level, |demand| demand.prompt_tokens),
-            output_tokens: series(level, |demand| demand.output_tokens),
+            requests: estimate(level, |demand| demand.requests),
+            uncached_prompt_tokens: estimate(level, LevelDemand::uncached_prompt_tokens),
+            prompt_tokens: estimate(level, |demand| demand.prompt_tokens),
+            output_tokens: estimate(level, |demand| demand.output_tokens),
         };
         levels.into_keys().map(forecast).collect()
     }
 }
 
-impl Entry {
-    /// Rate of one level; the sample stands for the middle of its window.
+impl StoredSample {
+    /// Rate of one level as a point at the middle of the sample's window.
     fn point(&self, now: Timestamp, level: u8, value: fn(&LevelDemand) -> u64) -> TrendPoint {
         let of_level = self.levels.iter().filter(|demand| demand.level == level);
         let sum: u64 = of_level.map(value).sum();
@@ -189,25 +190,28 @@
 }
 
 impl LevelForecast {
-    /// Demand expected after `ahead`.
+    /// Expected demand after `ahead`.
     #[must_use]
     pub fn after(&self, ahead: Duration, settings: &PlannerSettings) -> TokenDemand {
-        let fades = settings.trend_fades_after;
+        let decay = settings.trend_decay_time;
         TokenDemand {
-            requests: self.requests.after(ahead, fades),
-            uncached_prompt_tokens: self.uncached_prompt_tokens.after(ahead, fades),
-            prompt_tokens: self.prompt_tokens.after(ahead, fades),
-            output_tokens: self.output_tokens.after(ahead, fades),
+            requests: self.requests.after(ahead, decay),
+            uncached_prompt_tokens: self.uncached_prompt_tokens.after(ahead, decay),
+            prompt_tokens: self.prompt_tokens.after(ahead, decay),
+            output_tokens: self.output_tokens.after(ahead, decay),
         }
     }
 
     const fn trend_clear(&self) -> bool {
-        self.uncached_prompt_tokens.clear || self.output_tokens.clear
+        self.uncached_prompt_tokens.is_significant || self.output_tokens.is_significant
     }
 }
 
-/// What decisions tell of a forecast.
-pub(super) fn summary(forecast: &[LevelForecast], settings: &PlannerSettings) -> DemandForecast {
+/// Sums a forecast over all levels for decision reasons.
+pub(super) fn summarize_forecast(
+    forecast: &[LevelForecast],
+    settings: &PlannerSettings,
+) -> DemandForecast {
     let total = |ahead| {
         forecast
             .iter()
--- a/crates/core/src/roles/measured.rs
+++ b/crates/core/src/roles/measured.rs
@@ -1,20 +1,21 @@
-//! Capacity of a model's engines as measured.
+//! Measures the capacity of a model's engines.
 
 use super::capacity::EngineCapacity;
 use super::sample::EngineSample;
 use crate::EngineRole;
 use crate::routing::MovingAverage;
 
-/// Fewest sequences at which the time between tokens is measured.
-const FEWEST_SEQUENCES: u32 = 4;
-/// Fewest requests that must have waited throughout for a prefill rate to count as the engine's limit.
-const FEWEST_WAITING: u32 = 2;
-/// Observations that the assumed capacity counts for.
-const ASSUMED_WEIGHT: f64 = 5.0;
-/// Largest factor between measured and assumed capacity that is believed.
-const LARGEST_FACTOR: f64 = 10.0;
+/// Minimum number of running sequences for a measurement of the decode step duration.
+const MINIMUM_SEQUENCES: u32 = 4;
+/// Minimum number of requests that must wait throughout a window for the prefill rate to count as
+/// the engine's limit.
+const MINIMUM_WAITING: u32 = 2;
+/// Weight of the assumed capacity, as a number of observations.
+const PRIOR_OBSERVATIONS: f64 = 5.0;
+/// Bounds the ratio of measured to assumed capacity, in either direction.
+const MAXIMUM_FACTOR: f64 = 10.0;
 
-/// Assumed capacity with factors that dedicated engines showed.
+/// Assumed capacity, corrected by factors measured on dedicated engines.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct MeasuredCapacity {
     assumed: EngineCapacity,
@@ -31,11 +32,12 @@
         }
     }
 
-    /// Learns from dedicated engines only: a mixed one's time is divided in unknown parts.
+    /// Updates the factors from dedicated engines only. How a mixed engine divides its time between
+    /// prefill and decode is unknown.
     pub fn observe(&mut self, sample: &EngineSample) {
         let window = sample.window.as_secs_f64();
         match sample.role {
-            EngineRole::Prefill if sample.waiting >= FEWEST_WAITING => {
+            EngineRole::Prefill if sample.waiting >= MINIMUM_WAITING => {
                 let rate = sample.prompt_tokens as f64 / window;
                 observe(
                     &mut self.prefill,
@@ -43,7 +45,7 @@
                 );
             }
             EngineRole::Decode
-                if sample.running >= FEWEST_SEQUENCES && sample.output_tokens > 0 =>
+                if sample.running >= MINIMUM_SEQUENCES && sample.output_tokens > 0 =>
             {
                 let running = f64::from(sample.running);
                 let step = window * running / sample.output_tokens as f64;
@@ -56,8 +58,8 @@
     }
 
     pub fn capacity(&self) -> EngineCapacity {
-        let prefill = drawn(self.prefill);
-        let step = drawn(self.step);
+        let prefill = shrink_to_prior(self.prefill);
+        let step = shrink_to_prior(self.step);
         EngineCapacity {
             prefill_tokens_per_second: self.assumed.prefill_tokens_per_second * prefill,
             decode_base_seconds: self.assumed.decode_base_seconds * step,
@@ -69,12 +71,12 @@
 
 fn observe(average: &mut MovingAverage, factor: f64) {
     if factor.is_finite() {
-        average.observe(factor.clamp(1.0 / LARGEST_FACTOR, LARGEST_FACTOR));
+        average.observe(factor.clamp(1.0 / MAXIMUM_FACTOR, MAXIMUM_FACTOR));
     }
 }
 
-/// Drawn towards the assumed capacity while it rests on few observations.
-fn drawn(average: MovingAverage) -> f64 {
-    let own = average.observations() as f64;
-    (average.value() * own + ASSUMED_WEIGHT) / (own + ASSUMED_WEIGHT)
+/// The measured factor, weighted against the assumed factor of 1 by the number of observations.
+fn shrink_to_prior(average: MovingAverage) -> f64 {
+    let observed = average.observations() as f64;
+    (average.value() * observed + PRIOR_OBSERVATIONS) / (observed + PRIOR_OBSERVATIONS)
 }
--- a/crates/core/src/roles/plan.rs
+++ b/crates/core/src/roles/plan.rs
@@ -1,4 +1,4 @@
-//! The planner's answer: targets and the typed reasons for them.
+//! Result of planning: target roles and the reasons for them.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,119 +6,121 @@
 use super::split::RoleSplit;
 use crate::{EngineRole, MachineId, ModelName};
 
-/// The role that an engine shall have.
+/// Target role of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleTarget {
-    /// The engine.
+    /// Engine concerned.
     pub engine: MachineId,
-    /// Its role.
+    /// Target role.
     pub role: EngineRole,
 }
 
-/// What a change was judged on.
+/// Comparison on which a role change was decided.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct SplitComparison {
-    /// The split before, with engines that are changing already in their new roles.
+    /// Current split; engines that are changing count in their new roles.
     pub from: RoleSplit,
-    /// The split after.
+    /// Split after the change.
     pub to: RoleSplit,
-    /// Share of the horizon's requests expected to end in time without the change.
+    /// Expected share of requests within the horizon that meet the latency targets without the
+    /// change.
     pub goodput_kept: f64,
-    /// The same with the change, less what is lost while engines are away.
+    /// The same share with the change, including losses while engines are unavailable.
     pub goodput_changed: f64,
-    /// Gain that was asked for.
+    /// Minimum gain for the change.
     pub gain_needed: f64,
-    /// The demand expected.
+    /// Forecast on which the comparison is based.
     pub demand: DemandForecast,
 }
 
 impl SplitComparison {
-    /// Share of the horizon's requests that the change gains.
+    /// Gain of the change, as a share of the requests within the horizon.
     #[must_use]
     pub fn gain(&self) -> f64 {
         self.goodput_changed - self.goodput_kept
     }
 }
 
-/// Why an engine gets a role.
+/// Why an engine was given a role.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "reason", rename_all = "snake_case")]
 pub enum RoleReason {
-    /// The split after the change serves more, also after the seconds away.
+    /// The new split serves more requests, including the losses while engines are unavailable.
     Gain(SplitComparison),
-    /// An operator pinned it.
+    /// An operator pinned the engine to the role.
     Pinned,
-    /// It had no role.
+    /// The engine had no role.
     Unassigned {
-        /// The split with this engine.
+        /// Split that includes this engine.
         split: RoleSplit,
     },
-    /// Without the change no engine would serve one part of the requests.
+    /// Without the change, prefill or decode would have no serving engine.
     Unserved {
-        /// The split without the change.
+        /// Split without the change.
         split: RoleSplit,
     },
 }
 
-/// One engine's change of role.
+/// Role change of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RoleDecision {
-    /// The engine.
+    /// Engine concerned.
     pub engine: MachineId,
-    /// Its role before; `None` without one.
+    /// Previous role; `None` if the engine had none.
     pub from: Option<EngineRole>,
-    /// Its role to be.
+    /// New role.
     pub to: EngineRole,
-    /// Why.
+    /// Reason of the change.
     #[serde(flatten)]
     pub reason: RoleReason,
 }
 
-/// Why a model's roles were left as they are.
+/// Why the roles of a model's engines were kept.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kept", rename_all = "snake_case")]
 pub enum KeepReason {
-    /// No split serves enough more. The best other one is given.
+    /// No other split gains enough.
     NoGain {
-        /// The best other split.
+        /// Best alternative split.
         best: SplitComparison,
     },
-    /// A split would pay, but plans in a row have to agree on it first.
+    /// Another split gains enough, but more consecutive plans must confirm the change.
     Unconfirmed {
-        /// The split that would pay.
+        /// Proposed split.
         best: SplitComparison,
-        /// Plans in a row that wanted it.
+        /// Number of consecutive plans that proposed the same direction of change.
         agreed: u32,
     },
-    /// Too few samples of demand.
+    /// Too few demand samples are available.
     TooFewSamples {
-        /// Samples there are.
+        /// Number of available samples.
         samples: usize,
     },
-    /// No other split can be reached now: pins, dwell times, engines away or too few engines.
+    /// No other split can be reached now because of pins, dwell times, unavailable engines or too
+    /// few engines.
     NoneReachable,
 }
 
-/// What was found for one model.
+/// Planning result for one model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelAssessment {
-    /// The model.
+    /// Model concerned.
     pub model: ModelName,
-    /// Its split once running changes are done.
+    /// Split of the model's engines once changes in progress complete.
     pub split: RoleSplit,
-    /// Its engines away now.
+    /// Number of engines that are draining or changing now.
     pub away: u32,
-    /// Why its roles were kept; `None` when some were changed.
+    /// Why the roles were kept; `None` if the plan changes some.
     pub kept: Option<KeepReason>,
 }
 
-/// Roles of all engines.
+/// Target roles of all engines.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Plan {
-    /// The role that each engine shall have, by engine. Lost engines are left out.
+    /// Target role of each engine, sorted by engine. Lost engines are omitted.
     pub targets: Vec<RoleTarget>,
-    /// The changes among them, with their reasons.
+    /// Role changes and their reasons.
     pub decisions: Vec<RoleDecision>,
-    /// What was found for each model.
+    /// Planning result for each model.
     pub models: Vec<ModelAssessment>,
 }
--- a/crates/core/src/roles/planner.rs
+++ b/crates/core/src/roles/planner.rs
@@ -1,22 +1,22 @@
-//! The planner: samples in, plans out.
+//! Role planner that turns demand and engine samples into plans.
 
 use std::collections::BTreeMap;
 
-use super::candidates::{Census, ROLES, allowed_away};
+use super::candidates::{EngineCounts, ROLES, unavailable_limit};
 use super::capacity::EngineCapacity;
-use super::demand::{DemandHistory, summary};
+use super::demand::{DemandHistory, summarize_forecast};
 use super::measured::MeasuredCapacity;
 use super::plan::{
     KeepReason, ModelAssessment, Plan, RoleDecision, RoleReason, RoleTarget, SplitComparison,
 };
 use super::sample::{DemandSample, EngineAvailability, EngineSample, EngineState};
-use super::selection::select;
+use super::selection::select_engines;
 use super::settings::PlannerSettings;
 use super::split::RoleSplit;
 use super::value::{ChangeCost, Horizon, Transition};
 use crate::{EngineRole, MachineId, ModelName, Timestamp};
 
-/// Which roles a plan wanted to grow and which to shrink.
+/// Direction in which a plan proposes to change the number of engines in each role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Direction {
     prefill: std::cmp::Ordering,
@@ -24,30 +24,30 @@
     mixed: std::cmp::Ordering,
 }
 
-/// What is kept of a model between plans.
+/// State of a model that is kept between plans.
 #[derive(Debug, Clone)]
-struct ModelMemory {
+struct ModelState {
     history: DemandHistory,
     measured: MeasuredCapacity,
-    wanted: Option<Direction>,
+    proposed_direction: Option<Direction>,
     agreed: u32,
 }
 
-/// Plans the roles of a cell's engines, each model by itself.
+/// Plans the roles of a cell's engines, independently for each model.
 #[derive(Debug, Clone)]
 pub struct RolePlanner {
     settings: PlannerSettings,
-    models: BTreeMap<ModelName, ModelMemory>,
+    models: BTreeMap<ModelName, ModelState>,
 }
 
-/// Changes decided so far for one model.
+/// Role changes decided so far for one model.
 #[derive(Debug, Default)]
 struct Changes {
     decisions: Vec<RoleDecision>,
 }
 
 impl RolePlanner {
-    /// A planner that knows no demand yet.
+    /// Creates a planner without demand history.
     #[must_use]
     pub const fn new(settings: PlannerSettings) -> Self {
         Self {
@@ -56,32 +56,34 @@
         }
     }
 
-    /// The settings.
+    /// Settings of this planner.
     #[must_use]
     pub const fn settings(&self) -> &PlannerSettings {
         &self.settings
     }
 
-    /// Takes the demand of a window that ends now.
+    /// Adds a demand sample whose window ends now.
     pub fn observe(&mut self, now: Timestamp, sample: &DemandSample) {
         let settings = self.settings.clone();
-        let memory = self.memory(&sample.model);
-        memory.history.add(now, sample, &settings);
+        let model_state = self.model_state(&sample.model);
+        model_state.history.add(now, sample, &settings);
     }
 
-    /// Takes the work of an engine in a window that ends now.
+    /// Updates the measured capacity from an engine sample whose window ends now.
     pub fn observe_engine(&mut self, _now: Timestamp, sample: &EngineSample) {
-        self.memory(&sample.model).measured.observe(sample);
+        self.model_state(&sample.model).measured.observe(sample);
     }
 
-    /// The capacity of one engine of a model, as far as it was measured.
+    /// Estimated capacity of one engine of a model; the configured assumption without measurements.
     #[must_use]
     pub fn capacity(&self, model: &ModelName) -> EngineCapacity {
-        let memory = self.models.get(model);
-        memory.map_or(self.settings.engine, |memory| memory.measured.capacity())
+        let model_state = self.models.get(model);
+        model_state.map_or(self.settings.engine, |model_state| {
+            model_state.measured.capacity()
+        })
     }
 
-    /// Plans the roles of all engines. Engines of different models are planned apart.
+    /// Plans the roles of all engines, and forgets models without engines.
     pub fn plan(&mut self, now: Timestamp, engines: &[EngineState]) -> Plan {
         let mut by_model: BTreeMap<&ModelName, Vec<&EngineState>> = BTreeMap::new();
         for engine in engines {
@@ -97,14 +99,14 @@
         plan
     }
 
-    fn memory(&mut self, model: &ModelName) -> &mut ModelMemory {
+    fn model_state(&mut self, model: &ModelName) -> &mut ModelState {
         let engine = self.settings.engine;
         self.models
             .entry(model.clone())
-            .or_insert_with(|| ModelMemory {
+            .or_insert_with(|| ModelState {
                 history: DemandHistory::default(),
                 measured: MeasuredCapacity::new(engine),
-                wanted: None,
+                proposed_direction: None,
                 agreed: 0,
             })
     }
@@ -117,22 +119,22 @@
         plan: &mut Plan,
     ) {
         let settings = self.settings.clone();
-        let memory = self.memory(model);
-        let census = Census::new(now, engines, &settings);
+        let model_state = self.model_state(model);
+        let counts = EngineCounts::new(now, engines, &settings);
         let mut changes = Changes::default();
-        changes.obey_pins(engines, &settings, census);
+        changes.apply_pins(engines, &settings, counts);
         let pins_changed = !changes.decisions.is_empty();
-        changes.assign(engines, &settings, memory, now, census.settled);
+        changes.assign_roles(engines, &settings, model_state, now, counts.settled);
         let kept = if pins_changed {
             None
         } else {
-            memory.rebalance(now, engines, &settings, census, &mut changes)
+            model_state.rebalance(now, engines, &settings, counts, &mut changes)
         };
         plan.targets.extend(changes.targets(engines));
         plan.models.push(ModelAssessment {
             model: model.clone(),
-            split: census.settled,
-            away: census.away,
+            split: counts.settled,
+            away: counts.unavailable,
             kept,
         });
         plan.decisions.extend(changes.decisions);
@@ -140,10 +142,16 @@
 }
 
 impl Changes {
-    /// Changes serving engines to the roles they are pinned to, as far as the share away allows.
-    fn obey_pins(&mut self, engines: &[&EngineState], settings: &PlannerSettings, census: Census) {
-        let mut serving = census.serving;
-        let mut budget = allowed_away(census.settled.total(), settings).saturating_sub(census.away);
+    /// Changes serving engines to their pinned roles, within the limit on unavailable engines.
+    fn apply_pins(
+        &mut self,
+        engines: &[&EngineState],
+        settings: &PlannerSettings,
+        counts: EngineCounts,
+    ) {
+        let mut serving = counts.serving;
+        let mut budget =
+            unavailable_limit(counts.settled.total(), settings).saturating_sub(counts.unavailable);
         for engine in engines {
             let (Some(pinned), Some(role)) = (engine.pinned, engine.role) else {
                 continue;
@@ -159,24 +167,24 @@
         }
     }
 
-    /// Gives engines without a role the one that serves most.
-    fn assign(
+    /// Assigns each engine without a role the role that increases goodput most.
+    fn assign_roles(
         &mut self,
         engines: &[&EngineState],
         settings: &PlannerSettings,
-        memory: &ModelMemory,
+        model_state: &ModelState,
         now: Timestamp,
         settled: RoleSplit,
     ) {
         let mut split = settled;
-        let horizon = memory.horizon(now, settings);
+        let horizon = model_state.horizon(now, settings);
         for engine in engines {
             if engine.availability != EngineAvailability::Unassigned {
                 continue;
             }
             let role = engine
                 .pinned
-                .unwrap_or_else(|| memory.best_role(&horizon, split, settings));
+                .unwrap_or_else(|| model_state.best_role(&horizon, split, settings));
             split = split.with(role);
             let reason = match engine.pinned {
                 Some(_) => RoleReason::Pinned,
@@ -224,7 +232,7 @@
     }
 }
 
-impl ModelMemory {
+impl ModelState {
     fn horizon(&self, now: Timestamp, settings: &PlannerSettings) -> Horizon {
         let forecast = self.history.forecast(now, settings);
         let backlog = self.history.waiting_prompt_tokens() as f64;
@@ -249,66 +257,66 @@
 
     fn value(&self, horizon: &Horizon, transition: &Transition, settings: &PlannerSettings) -> f64 {
         let cost = ChangeCost {
-            away: settings.drain + settings.role_change,
-            cold: settings.cold_cache,
+            unavailable: settings.drain + settings.role_change,
+            cold_cache: settings.cold_cache,
         };
         horizon.goodput(transition, cost, &self.measured.capacity(), settings)
     }
 
-    /// Looks for a split that pays. Returns why the roles were kept, if they were.
+    /// Searches for a split with sufficient gain. Returns the reason if the roles are kept.
     fn rebalance(
         &mut self,
         now: Timestamp,
         engines: &[&EngineState],
         settings: &PlannerSettings,
-        census: Census,
+        counts: EngineCounts,
         changes: &mut Changes,
     ) -> Option<KeepReason> {
-        let reachable = census.reachable();
+        let reachable = counts.reachable();
         if reachable.is_empty() {
             return Some(KeepReason::NoneReachable);
         }
         let samples = self.history.len();
-        let is_served = census.settled.can_serve();
+        let is_served = counts.settled.can_serve();
         if is_served && samples < settings.minimum_samples {
             return Some(KeepReason::TooFewSamples { samples });
         }
-        let best = self.best(now, settings, census, &reachable)?;
+        let best = self.best(now, settings, counts, &reachable)?;
         let reason = if is_served {
             if best.gain() <= best.gain_needed {
-                self.wanted = None;
+                self.proposed_direction = None;
                 return Some(KeepReason::NoGain { best });
             }
-            let agreed = self.agree(direction(best.from, best.to));
+            let agreed = self.record_agreement(direction(best.from, best.to));
             if agreed < settings.confirmations {
                 return Some(KeepReason::Unconfirmed { best, agreed });
             }
             RoleReason::Gain(best)
         } else {
             RoleReason::Unserved {
-                split: census.settled,
+                split: counts.settled,
             }
         };
-        for selected in select(now, engines, best.from, best.to, settings) {
+        for selected in select_engines(now, engines, best.from, best.to, settings) {
             changes.push(selected.engine, Some(selected.from), selected.to, reason);
         }
         None
     }
 
-    /// The split with the largest gain beyond what its changes must gain.
+    /// The split whose gain exceeds its required gain by the most.
     fn best(
         &self,
         now: Timestamp,
         settings: &PlannerSettings,
-        census: Census,
+        counts: EngineCounts,
         reachable: &[Transition],
     ) -> Option<SplitComparison> {
         let forecast = self.history.forecast(now, settings);
         let horizon = self.horizon(now, settings);
-        let demand = summary(&forecast, settings);
-        let goodput_kept = self.value(&horizon, &census.stay(), settings);
+        let demand = summarize_forecast(&forecast, settings);
+        let goodput_kept = self.value(&horizon, &counts.without_changes(), settings);
         let compare = |transition: &Transition| SplitComparison {
-            from: census.settled,
+            from: counts.settled,
             to: transition.after,
             goodput_kept,
             goodput_changed: self.value(&horizon, transition, settings),
@@ -322,11 +330,11 @@
             .max_by(|left, right| surplus(left).total_cmp(&surplus(right)))
     }
 
-    fn agree(&mut self, direction: Direction) -> u32 {
-        if self.wanted == Some(direction) {
+    fn record_agreement(&mut self, direction: Direction) -> u32 {
+        if self.proposed_direction == Some(direction) {
             self.agreed += 1;
         } else {
-            self.wanted = Some(direction);
+            self.proposed_direction = Some(direction);
             self.agreed = 1;
         }
         self.agreed
@@ -344,9 +352,9 @@
 /// A transition that changes nothing.
 const fn settled(split: RoleSplit) -> Transition {
     Transition {
-        meanwhile: split,
+        during: split,
         after: split,
         changes: 0,
-        changed_readers: 0,
+        cold_cache_engines: 0,
     }
 }
--- a/crates/core/src/roles/sample.rs
+++ b/crates/core/src/roles/sample.rs
@@ -1,99 +1,99 @@
-//! What the planner is told.
+//! Input of the planner.
 
 use std::time::Duration;
 
 use crate::{EngineRole, MachineId, ModelName, Timestamp};
 
-/// Demand of one priority level in a window.
+/// Demand of one priority level within a window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LevelDemand {
-    /// Level of the priority; 0 is served first.
+    /// Priority level; 0 is served first.
     pub level: u8,
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub requests: u64,
-    /// Tokens of their prompts.
+    /// Prompt tokens of these requests.
     pub prompt_tokens: u64,
-    /// Those of them that engines found in their prefix caches.
+    /// Prompt tokens that engines found in their prefix caches.
     pub cached_prompt_tokens: u64,
-    /// Tokens that they are expected to generate.
+    /// Expected output tokens of these requests.
     pub output_tokens: u64,
 }
 
 impl LevelDemand {
-    /// Tokens that have to be read.
+    /// Prompt tokens that require prefill.
     #[must_use]
     pub const fn uncached_prompt_tokens(&self) -> u64 {
         self.prompt_tokens.saturating_sub(self.cached_prompt_tokens)
     }
 }
 
-/// Demand for one model in a window, summed over all daemons. Refused requests count too.
+/// Demand for one model within a window, summed over all daemons. Includes refused requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DemandSample {
-    /// The model.
+    /// Requested model.
     pub model: ModelName,
-    /// Length of the window; it ends at the time of the observation.
+    /// Length of the window, which ends at the time of the observation.
     pub window: Duration,
-    /// What arrived, by priority.
+    /// Demand by priority level.
     pub levels: Vec<LevelDemand>,
-    /// Requests that wait in the daemons at the end of the window.
+    /// Requests waiting in daemons at the end of the window.
     pub waiting_requests: u64,
-    /// Prompt tokens that wait in daemons and engines at the end of the window.
+    /// Prompt tokens waiting in daemons and engines at the end of the window.
     pub waiting_prompt_tokens: u64,
 }
 
-/// Work of one engine in a window.
+/// Work of one engine within a window.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineSample {
-    /// The engine.
+    /// Engine concerned.
     pub engine: MachineId,
-    /// The model it holds.
+    /// Loaded model.
     pub model: ModelName,
-    /// Its role during the whole window.
+    /// Role of the engine, which must not change within the window.
     pub role: EngineRole,
     /// Length of the window.
     pub window: Duration,
-    /// Prompt tokens read in the window.
+    /// Prompt tokens processed within the window.
     pub prompt_tokens: u64,
-    /// Tokens generated in the window.
+    /// Output tokens generated within the window.
     pub output_tokens: u64,
-    /// Requests that waited for their prefill throughout the window (the fewest seen).
+    /// Smallest number of requests waiting for prefill at any time within the window.
     pub waiting: u32,
-    /// Sequences decoded at the end of the window.
+    /// Number of sequences in decode at the end of the window.
     pub running: u32,
 }
 
-/// Whether an engine can be planned with.
+/// Whether an engine is available for planning.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineAvailability {
-    /// It serves in its role.
+    /// The engine serves in its role.
     Serving,
-    /// It drains or changes, and will serve in this role.
+    /// The engine is draining or changing and will serve in another role.
     Changing {
-        /// The role it will have.
+        /// Role after the change.
         to: EngineRole,
     },
-    /// It is there and has no role yet.
+    /// The engine is available and has no role yet.
     Unassigned,
-    /// It is lost, or leaving.
+    /// The engine is unreachable or leaving.
     Lost,
 }
 
-/// An engine as the controller sees it.
+/// State of an engine as known to the controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineState {
-    /// The engine.
+    /// Id of the engine.
     pub id: MachineId,
-    /// The model it holds or will hold.
+    /// Model that is loaded or being loaded.
     pub model: ModelName,
-    /// Its role now; `None` without one.
+    /// Current role, if any.
     pub role: Option<EngineRole>,
-    /// Since when it has this role.
+    /// Time since which the engine has its role.
     pub since: Timestamp,
-    /// The role that an operator pinned it to.
+    /// Role to which an operator pinned the engine.
     pub pinned: Option<EngineRole>,
-    /// Whether it can be planned with.
+    /// Whether the engine is available for planning.
     pub availability: EngineAvailability,
-    /// Sequences on it, waiting and running: fewer drain faster.
+    /// Waiting and running sequences; an engine with fewer drains faster.
     pub sequences: u32,
 }
--- a/crates/core/src/roles/settings.rs
+++ b/crates/core/src/roles/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the planner.
+//! Settings of the role planner.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 
 use super::capacity::{EngineCapacity, LatencyTargets};
 
-/// How goodput is weighed against role changes.
+/// Trade-off between goodput and the number of role changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlannerProfile {
-    /// Goodput through shifts counts more.
+    /// Favours goodput when demand shifts.
     #[default]
     Hanbit,
-    /// Few role changes count more.
+    /// Favours few role changes.
     HeadOffice,
 }
 
 impl PlannerProfile {
-    /// The profile's name in settings and on the command line.
+    /// Name of the profile in settings and on the command line.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -31,53 +31,54 @@
 /// Settings of a [`super::RolePlanner`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannerSettings {
-    /// Time between two plans.
+    /// Interval between plans.
     pub interval: Duration,
-    /// Shortest time that an engine keeps a role.
+    /// Minimum time for which an engine keeps a role.
     pub minimum_dwell: Duration,
-    /// Time over which a change must pay.
+    /// Period over which the gain of a change is evaluated.
     pub horizon: Duration,
-    /// Points of the horizon at which splits are compared.
+    /// Number of points within the horizon at which splits are compared.
     pub horizon_points: u32,
-    /// Time of history that the level and the trend are estimated from.
+    /// Length of the history from which level and trend are estimated.
     pub trend_window: Duration,
-    /// Standard deviations of Kendall's statistic from which a trend is taken as clear.
+    /// Significance threshold of a trend, in standard deviations of Kendall's statistic.
     pub trend_significance: f64,
-    /// Time after which a trend is expected to have faded to 1/e.
-    pub trend_fades_after: Duration,
-    /// Weight of the demand of the past against the forecast when splits are compared: a split that would
-    /// also have served what came before needs fewer changes when it comes again.
+    /// Time constant of the exponential decay of a trend.
+    pub trend_decay_time: Duration,
+    /// Weight of past demand relative to the forecast when splits are compared. A split that also
+    /// serves past demand needs fewer changes when that demand recurs.
     pub past_weight: f64,
-    /// Time that one snapshot of the past covers.
+    /// Period covered by one snapshot of past demand.
     pub past_snapshot: Duration,
-    /// Snapshots kept.
+    /// Number of snapshots that are kept.
     pub past_snapshots: usize,
-    /// Samples needed before the first change.
+    /// Minimum number of samples before the first change.
     pub minimum_samples: usize,
-    /// Share of the horizon's requests that any change must gain.
+    /// Minimum gain of any plan, as a share of the requests within the horizon.
     pub minimum_gain: f64,
-    /// Further share that each engine changed must gain.
+    /// Additional gain required for each changed engine.
     pub gain_per_change: f64,
-    /// Plans in a row that must agree on the direction before a change, against noise.
+    /// Number of consecutive plans that must propose the same direction; suppresses noise.
     pub confirmations: u32,
-    /// Largest share of a model's engines away at once (one engine always may be).
-    pub maximum_away_share: f64,
-    /// Most engines of a model changed by one plan.
+    /// Maximum share of a model's engines that are unavailable at once. One engine is always
+    /// allowed.
+    pub maximum_unavailable_share: f64,
+    /// Maximum number of a model's engines that one plan changes.
     pub maximum_changes: u32,
-    /// Expected time of a drain.
+    /// Expected duration of a drain.
     pub drain: Duration,
-    /// Expected time of a change of role.
+    /// Expected duration of a role change.
     pub role_change: Duration,
-    /// Time after a change in which the prefix cache of an engine is cold.
+    /// Time after a change during which an engine's prefix cache is considered cold.
     pub cold_cache: Duration,
     /// Latency targets of interactive requests.
     pub targets: LatencyTargets,
-    /// Capacity of an engine assumed before the first measurement.
+    /// Engine capacity assumed before the first measurement.
     pub engine: EngineCapacity,
 }
 
 impl PlannerSettings {
-    /// The settings of a profile.
+    /// Settings of a profile.
     #[must_use]
     pub fn of(profile: PlannerProfile) -> Self {
         let goodput_first = Self {
@@ -87,7 +88,7 @@
             horizon_points: 6,
             trend_window: Duration::from_secs(30),
             trend_significance: 2.6,
-            trend_fades_after: Duration::from_secs(20),
+            trend_decay_time: Duration::from_secs(20),
             past_weight: 0.7,
             past_snapshot: Duration::from_secs(20),
             past_snapshots: 30,
@@ -95,7 +96,7 @@
             minimum_gain: 0.015,
             gain_per_change: 0.002,
             confirmations: 2,
-            maximum_away_share: 0.25,
+            maximum_unavailable_share: 0.25,
             maximum_changes: 4,
             drain: Duration::from_secs(6),
             role_change: Duration::from_secs(4),
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Share of the horizon's requests that a plan with so many changes must gain.
+    /// Minimum gain of a plan with the given number of changes, as a share of the requests within
+    /// the horizon.
     #[must_use]
     pub fn gain_needed(&self, changes: u32) -> f64 {
         self.minimum_gain + self.gain_per_change * f64::from(changes)
--- a/crates/core/src/roles/split.rs
+++ b/crates/core/src/roles/split.rs
@@ -1,24 +1,24 @@
-//! Numbers of engines by role.
+//! Number of engines in each role.
 
 use serde::{Deserialize, Serialize};
 
 use crate::EngineRole;
 
-/// How many engines play each role.
+/// Number of engines in each role.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct RoleSplit {
-    /// Engines that read prompts.
+    /// Engines that only run prefill.
     pub prefill: u32,
-    /// Engines that generate.
+    /// Engines that only run decode.
     pub decode: u32,
-    /// Engines that do both.
+    /// Engines that run both prefill and decode.
     pub mixed: u32,
 }
 
 impl RoleSplit {
-    /// A split of mixed engines only.
+    /// A split with only mixed engines.
     #[must_use]
     pub const fn all_mixed(engines: u32) -> Self {
         Self {
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Engines in all.
+    /// Total number of engines.
     #[must_use]
     pub const fn total(self) -> u32 {
         self.prefill + self.decode + self.mixed
     }
 
-    /// Engines of a role.
+    /// Number of engines in a role.
     #[must_use]
     pub const fn of(self, role: EngineRole) -> u32 {
         match role {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// This split with one engine of a role more.
+    /// This split with one engine added to a role.
     #[must_use]
     pub const fn with(mut self, role: EngineRole) -> Self {
         match role {
@@ -55,7 +55,7 @@
         self
     }
 
-    /// This split with one engine of a role less.
+    /// This split with one engine removed from a role, unless it has none.
     #[must_use]
     pub const fn without(mut self, role: EngineRole) -> Self {
         match role {
@@ -66,7 +66,7 @@
         self
     }
 
-    /// The engines that both splits leave in their roles.
+    /// Engines that keep their roles between both splits.
     #[must_use]
     pub fn in_common(self, other: Self) -> Self {
         Self {
@@ -76,13 +76,14 @@
         }
     }
 
-    /// Role changes from this split to another of the same size.
+    /// Number of role changes from this split to another of the same size.
     #[must_use]
     pub fn changes_to(self, other: Self) -> u32 {
         self.total().saturating_sub(self.in_common(other).total())
     }
 
-    /// Whether every request can be served: a mixed engine, or a pair for the hand-over.
+    /// Whether all requests can be served: there is a mixed engine, or both a prefill and a decode
+    /// engine.
     #[must_use]
     pub const fn can_serve(self) -> bool {
         self.mixed > 0 || (self.prefill > 0 && self.decode > 0)
--- a/crates/core/src/roles/trend.rs
+++ b/crates/core/src/roles/trend.rs
@@ -1,60 +1,62 @@
-//! A line through noisy points that a lone outlier does not move.
+//! Trend estimation that is robust against outliers.
 
 use std::time::Duration;
 
-/// One measured value.
+/// Data point of a time series.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TrendPoint {
-    /// Age of the point in seconds; 0 is now.
+    /// Age of the point in seconds; 0 means now.
     pub age_seconds: f64,
-    /// The value.
+    /// Measured value.
     pub value: f64,
 }
 
-/// Level now and slope of a series.
+/// Current level and slope of a time series.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Trend {
-    /// The level now.
+    /// Current level.
     pub level: f64,
-    /// Change a second; 0 unless the trend is clear.
+    /// Change per second; 0 unless the trend is significant.
     pub slope: f64,
-    /// Whether the trend is clear.
-    pub clear: bool,
+    /// Whether the trend is statistically significant.
+    pub is_significant: bool,
 }
 
 impl Trend {
-    /// Value expected after `ahead`, when the slope fades with the time constant `fades_after`.
+    /// Expected value after `ahead`, with a slope that decays with the time constant `decay_time`.
     ///
-    /// Never below zero, and never more than twice the level: a ramp that long is measured again first.
+    /// Limited to between zero and twice the level, because a longer ramp is measured again first.
     #[must_use]
-    pub fn after(&self, ahead: Duration, fades_after: Duration) -> f64 {
-        let constant = fades_after.as_secs_f64().max(f64::MIN_POSITIVE);
-        let gone = constant * (1.0 - (-ahead.as_secs_f64() / constant).exp());
-        (self.level + self.slope * gone).clamp(0.0, 2.0 * self.level)
+    pub fn after(&self, ahead: Duration, decay_time: Duration) -> f64 {
+        let constant = decay_time.as_secs_f64().max(f64::MIN_POSITIVE);
+        let effective_seconds = constant * (1.0 - (-ahead.as_secs_f64() / constant).exp());
+        (self.level + self.slope * effective_seconds).clamp(0.0, 2.0 * self.level)
     }
 }
 
-/// Theil-Sen line (median of all pairwise slopes), accepted where Kendall's statistic lies
-/// `significance` standard deviations from zero. Without a clear trend the level is the median of the
-/// newest `recent` points.
+/// Estimates a trend with the Theil-Sen estimator (median of all pairwise slopes).
+///
+/// The trend is significant if there are more than `recent` points and Kendall's statistic is more
+/// than `significance` standard deviations from zero. Otherwise the level is the median of the
+/// newest `recent` points. Points must be in chronological order.
 #[must_use]
 pub fn estimate_trend(points: &[TrendPoint], significance: f64, recent: usize) -> Trend {
     let mut slopes = Vec::new();
-    let mut balance = 0.0;
+    let mut kendall_score = 0.0;
     for (index, later) in points.iter().enumerate() {
         for earlier in &points[..index] {
             let seconds = earlier.age_seconds - later.age_seconds;
             if seconds > 0.0 {
                 slopes.push((later.value - earlier.value) / seconds);
             }
-            balance += sign(later.value - earlier.value);
+            kendall_score += sign(later.value - earlier.value);
         }
     }
     let count = points.len() as f64;
     let deviation = (count * (count - 1.0) * (2.0 * count + 5.0) / 18.0).sqrt();
     let slope = median(&mut slopes);
-    let clear = points.len() > recent && balance.abs() > significance * deviation;
-    if clear {
+    let is_significant = points.len() > recent && kendall_score.abs() > significance * deviation;
+    if is_significant {
         let mut levels: Vec<f64> = points
             .iter()
             .map(|point| point.value + slope * point.age_seconds)
@@ -63,7 +65,7 @@
         return Trend {
             level,
             slope,
-            clear,
+            is_significant,
         };
     }
     let newest = points.len().saturating_sub(recent);
@@ -71,7 +73,7 @@
     Trend {
         level: median(&mut values),
         slope: 0.0,
-        clear: false,
+        is_significant: false,
     }
 }
 
@@ -79,7 +81,7 @@
     if value == 0.0 { 0.0 } else { value.signum() }
 }
 
-/// The median; 0 of nothing.
+/// The median, or 0 for no values.
 fn median(values: &mut [f64]) -> f64 {
     if values.is_empty() {
         return 0.0;
--- a/crates/core/src/roles/value.rs
+++ b/crates/core/src/roles/value.rs
@@ -1,4 +1,4 @@
-//! What a change of the split is worth over the horizon.
+//! Evaluates the expected goodput of a role split over the planning horizon.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use super::settings::PlannerSettings;
 use super::split::RoleSplit;
 
-/// The past has its full weight once this part of its snapshots, inverted, is there.
-const PAST_TRUSTED_AT: f64 = 3.0;
+/// Past demand has its full weight once 1 / `PAST_WEIGHT_RAMP` of its snapshots are available.
+const PAST_WEIGHT_RAMP: f64 = 3.0;
 
-/// Time that a changed engine is of less use.
+/// Time during which a changed engine has reduced capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChangeCost {
-    /// Time away: drain and change.
-    pub away: Duration,
-    /// Time after it with a cold prefix cache.
-    pub cold: Duration,
+    /// Time without service: drain and role change.
+    pub unavailable: Duration,
+    /// Subsequent time with a cold prefix cache.
+    pub cold_cache: Duration,
 }
 
-/// Demand at one point of the horizon, summed up to each priority level.
+/// Expected demand at one point of the horizon, by priority level.
 #[derive(Debug, Clone)]
 struct HorizonPoint {
     ahead: Duration,
@@ -29,11 +29,11 @@
 #[derive(Debug, Clone, Copy)]
 struct LevelPoint {
     requests: f64,
-    /// Demand of this level and all above it.
+    /// Demand of this level and all higher priorities.
     cumulative: TokenDemand,
 }
 
-/// The expected demand over the horizon.
+/// Expected demand over the horizon, and past demand.
 #[derive(Debug, Clone)]
 pub(super) struct Horizon {
     points: Vec<HorizonPoint>,
@@ -41,21 +41,21 @@
     past_weight: f64,
 }
 
-/// A way from one split to another.
+/// Transition from one split to another.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Transition {
-    /// Engines that serve while the changed ones are away.
-    pub meanwhile: RoleSplit,
-    /// Engines that serve in the end.
+    /// Engines that serve while the changed ones are unavailable.
+    pub during: RoleSplit,
+    /// Engines that serve after the transition.
     pub after: RoleSplit,
-    /// Engines that are away at its begin.
+    /// Number of engines that are unavailable at the start.
     pub changes: u32,
-    /// Engines that read prompts afterwards, with a cold prefix cache at first.
-    pub changed_readers: u32,
+    /// Changed engines that run prefill afterwards, at first with a cold prefix cache.
+    pub cold_cache_engines: u32,
 }
 
 impl Horizon {
-    /// `backlog` are prompt tokens that wait already; they are to be read within the horizon.
+    /// `backlog` is the number of prompt tokens already waiting, spread evenly over the horizon.
     pub fn new<'a>(
         forecast: &[LevelForecast],
         backlog: f64,
@@ -69,26 +69,26 @@
                 let ahead = step * index + step / 2;
                 HorizonPoint {
                     ahead,
-                    levels: levels_at(forecast, ahead, backlog, settings),
+                    levels: forecast_levels(forecast, ahead, backlog, settings),
                 }
             })
             .collect();
         let snapshots: Vec<&[PastLevel]> = past.collect();
-        let known = snapshots.len() as f64 / settings.past_snapshots.max(1) as f64;
+        let filled = snapshots.len() as f64 / settings.past_snapshots.max(1) as f64;
         Self {
             points,
             past: snapshots.into_iter().flat_map(past_levels).collect(),
-            past_weight: settings.past_weight * (known * PAST_TRUSTED_AT).min(1.0),
+            past_weight: settings.past_weight * (filled * PAST_WEIGHT_RAMP).min(1.0),
         }
     }
 
-    /// Whether anything is expected.
+    /// Whether no requests are expected.
     pub fn is_idle(&self) -> bool {
         let mut levels = self.points.iter().flat_map(|point| &point.levels);
         levels.all(|level| level.requests <= 0.0)
     }
 
-    /// Share of the horizon's requests that end in time.
+    /// Expected share of requests that meet the latency targets, weighted with past demand.
     pub fn goodput(
         &self,
         transition: &Transition,
@@ -97,58 +97,70 @@
         settings: &PlannerSettings,
     ) -> f64 {
         let width = settings.horizon.as_secs_f64() / self.points.len().max(1) as f64;
-        let (mut good, mut all) = (0.0, 0.0);
+        let (mut served_requests, mut total_requests) = (0.0, 0.0);
         for point in &self.points {
-            let mut away = overlap(point.ahead, width, Duration::ZERO, cost.away);
-            let mut cold = overlap(point.ahead, width, cost.away, cost.away + cost.cold);
+            let mut unavailable =
+                overlap_share(point.ahead, width, Duration::ZERO, cost.unavailable);
+            let mut cold_cache = overlap_share(
+                point.ahead,
+                width,
+                cost.unavailable,
+                cost.unavailable + cost.cold_cache,
+            );
             if transition.changes == 0 {
-                away = 0.0;
+                unavailable = 0.0;
             }
-            if transition.changed_readers == 0 {
-                cold = 0.0;
+            if transition.cold_cache_engines == 0 {
+                cold_cache = 0.0;
             }
             for level in &point.levels {
                 let goodput = |split, demand| capacity.goodput(split, demand, settings.targets);
                 let demand = level.cumulative;
-                let mut good_share = (1.0 - away - cold) * goodput(transition.after, demand);
-                if away > 0.0 {
-                    good_share += away * goodput(transition.meanwhile, demand);
+                let mut good_share =
+                    (1.0 - unavailable - cold_cache) * goodput(transition.after, demand);
+                if unavailable > 0.0 {
+                    good_share += unavailable * goodput(transition.during, demand);
                 }
-                if cold > 0.0 {
+                if cold_cache > 0.0 {
                     let demand = without_cache(demand, transition);
-                    good_share += cold * goodput(transition.after, demand);
+                    good_share += cold_cache * goodput(transition.after, demand);
                 }
-                good += level.requests * good_share;
-                all += level.requests;
+                served_requests += level.requests * good_share;
+                total_requests += level.requests;
             }
         }
-        let ahead = if all > 0.0 { good / all } else { 1.0 };
+        let ahead = if total_requests > 0.0 {
+            served_requests / total_requests
+        } else {
+            1.0
+        };
         let past = self.past_goodput(transition.after, capacity, settings);
         past.map_or(ahead, |past| {
             (1.0 - self.past_weight) * ahead + self.past_weight * past
         })
     }
 
-    /// Share of the past's requests that a split would have served in time.
+    /// Share of past requests that a split would have served within the latency targets.
     fn past_goodput(
         &self,
         split: RoleSplit,
         capacity: &EngineCapacity,
         settings: &PlannerSettings,
     ) -> Option<f64> {
-        let (mut good, mut all) = (0.0, 0.0);
+        let (mut served_requests, mut total_requests) = (0.0, 0.0);
         for level in &self.past {
-            good += level.requests * capacity.goodput(split, level.cumulative, settings.targets);
-            all += level.requests;
+            served_requests +=
+                level.requests * capacity.goodput(split, level.cumulative, settings.targets);
+            total_requests += level.requests;
         }
-        (all > 0.0).then(|| good / all)
+        (total_requests > 0.0).then(|| served_requests / total_requests)
     }
 }
 
-/// The demand when the changed readers find nothing in their prefix caches.
+/// Demand while the changed engines have cold prefix caches.
 fn without_cache(demand: TokenDemand, transition: &Transition) -> TokenDemand {
-    let readers = transition.after.prefill + transition.after.mixed;
-    let cold_share = f64::from(transition.changed_readers) / f64::from(readers.max(1));
+    let prefill_capable = transition.after.prefill + transition.after.mixed;
+    let cold_share = f64::from(transition.cold_cache_engines) / f64::from(prefill_capable.max(1));
     let cached = (demand.prompt_tokens - demand.uncached_prompt_tokens).max(0.0);
     TokenDemand {
         uncached_prompt_tokens: demand.uncached_prompt_tokens + cold_share.min(1.0) * cached,
@@ -156,8 +168,8 @@
     }
 }
 
-/// Part of a slice of the horizon that lies between two times.
-fn overlap(middle: Duration, width: f64, from: Duration, to: Duration) -> f64 {
+/// Fraction of an interval of the horizon that lies between two times.
+fn overlap_share(middle: Duration, width: f64, from: Duration, to: Duration) -> f64 {
     let begin = middle.as_secs_f64() - width / 2.0;
     let covered_from = from.as_secs_f64().max(begin);
     let covered_to = to.as_secs_f64().min(begin + width);
@@ -177,7 +189,7 @@
     points
 }
 
-fn levels_at(
+fn forecast_levels(
     forecast: &[LevelForecast],
     ahead: Duration,
     backlog: f64,
--- a/crates/core/tests/roles_planner.rs
+++ b/crates/core/tests/roles_planner.rs
@@ -1,4 +1,4 @@
-//! The role planner: shifts, ramps, spikes, pins.
+//! Guards against role plans that miss lasting demand changes or react to noise.
 
 #[path = "support/role_fleet.rs"]
 mod role_fleet;
@@ -10,14 +10,14 @@
 use ponddrift_core::{EngineRole, MachineId};
 use role_fleet::{Fleet, Rates, engine, engines, model};
 
-/// Long prompts, short answers.
-const READS: Rates = Rates {
+/// Long prompts and short outputs.
+const PREFILL_HEAVY: Rates = Rates {
     requests: 14,
     prompt_tokens: 120_000,
     output_tokens: 900,
 };
-/// Short prompts, longer answers.
-const WRITES: Rates = Rates {
+/// Short prompts and longer outputs.
+const DECODE_HEAVY: Rates = Rates {
     requests: 90,
     prompt_tokens: 30_000,
     output_tokens: 15_000,
@@ -32,8 +32,8 @@
     Fleet::new(PlannerSettings::of(profile), split)
 }
 
-/// Share of a demand that the fleet's split serves; 1 is just all of it.
-fn served(fleet: &Fleet, rates: Rates) -> f64 {
+/// Share of a demand that the fleet's split serves; 1 means exactly all of it.
+fn served_fraction(fleet: &Fleet, rates: Rates) -> f64 {
     let settings = fleet.planner.settings();
     let demand = TokenDemand {
         requests: rates.requests as f64,
@@ -46,65 +46,65 @@
 }
 
 #[test]
-fn a_lasting_shift_is_served_there_and_back() {
+fn a_lasting_demand_shift_is_served_in_both_directions() {
     for profile in [PlannerProfile::Hanbit, PlannerProfile::HeadOffice] {
         let mut fleet = fleet(profile);
-        let before = served(&fleet, READS);
+        let before = served_fraction(&fleet, PREFILL_HEAVY);
         assert!(before < 0.6, "{profile:?}: {before}");
         for _ in 0..60 {
-            fleet.step(READS);
+            fleet.step(PREFILL_HEAVY);
         }
-        let reading = served(&fleet, READS);
+        let prefill_share = served_fraction(&fleet, PREFILL_HEAVY);
         assert!(
-            reading > 1.1,
-            "{profile:?}: {reading} by {:?}",
+            prefill_share > 1.1,
+            "{profile:?}: {prefill_share} by {:?}",
             fleet.split()
         );
         for _ in 0..90 {
-            fleet.step(WRITES);
+            fleet.step(DECODE_HEAVY);
         }
-        let writing = served(&fleet, WRITES);
+        let decode_share = served_fraction(&fleet, DECODE_HEAVY);
         assert!(
-            writing > 1.1,
-            "{profile:?}: {writing} by {:?}",
+            decode_share > 1.1,
+            "{profile:?}: {decode_share} by {:?}",
             fleet.split()
         );
     }
 }
 
 #[test]
-fn a_steady_demand_settles() {
+fn a_steady_demand_causes_no_further_changes() {
     let mut fleet = fleet(PlannerProfile::Hanbit);
     for _ in 0..60 {
-        fleet.step(READS);
+        fleet.step(PREFILL_HEAVY);
     }
     let changes = fleet.changes;
     for _ in 0..300 {
-        fleet.step(READS);
+        fleet.step(PREFILL_HEAVY);
     }
     assert_eq!(fleet.changes, changes);
 }
 
 #[test]
-fn a_lone_spike_changes_nothing() {
+fn a_single_spike_changes_nothing() {
     for profile in [PlannerProfile::Hanbit, PlannerProfile::HeadOffice] {
         let mut fleet = fleet(profile);
         for _ in 0..60 {
-            fleet.step(WRITES);
+            fleet.step(DECODE_HEAVY);
         }
         let changes = fleet.changes;
         for _ in 0..2 {
-            fleet.step(READS);
+            fleet.step(PREFILL_HEAVY);
         }
         for _ in 0..30 {
-            fleet.step(WRITES);
+            fleet.step(DECODE_HEAVY);
         }
         assert_eq!(fleet.changes, changes, "{profile:?}");
     }
 }
 
 #[test]
-fn a_ramp_is_foreseen() {
+fn a_demand_ramp_is_served_in_advance() {
     let mut fleet = fleet(PlannerProfile::Hanbit);
     let step = |at: u64| Rates {
         requests: 10,
@@ -119,9 +119,9 @@
         fleet.step(step(at));
         let needed = step(at).prompt_tokens as f64 / capacity;
         let split = fleet.split();
-        let readers = f64::from(split.prefill + split.mixed);
+        let prefill_capable = f64::from(split.prefill + split.mixed);
         assert!(
-            readers >= needed,
+            prefill_capable >= needed,
             "step {at}: {split:?} for {needed} engines"
         );
     }
@@ -132,7 +132,11 @@
     let changes = |profile| {
         let mut fleet = fleet(profile);
         for at in 0..300 {
-            fleet.step(if at / 30 % 2 == 0 { READS } else { WRITES });
+            fleet.step(if at / 30 % 2 == 0 {
+                PREFILL_HEAVY
+            } else {
+                DECODE_HEAVY
+            });
         }
         fleet.changes
     };
@@ -143,19 +147,23 @@
 fn a_pinned_engine_takes_its_role_and_keeps_it() {
     let mut fleet = fleet(PlannerProfile::Hanbit);
     fleet.engines[5].pinned = Some(EngineRole::Mixed);
-    let plan = fleet.step(WRITES);
-    let decision = plan.decisions.first().expect("the pin is obeyed");
+    let plan = fleet.step(DECODE_HEAVY);
+    let decision = plan.decisions.first().expect("the pin is applied");
     assert_eq!(decision.engine, MachineId(5));
     assert_eq!(decision.reason, RoleReason::Pinned);
     for _ in 0..100 {
-        let plan = fleet.step(READS);
-        assert!(plan.decisions.iter().all(|one| one.engine != MachineId(5)));
+        let plan = fleet.step(PREFILL_HEAVY);
+        assert!(
+            plan.decisions
+                .iter()
+                .all(|change| change.engine != MachineId(5))
+        );
     }
     assert_eq!(fleet.engines[5].role, Some(EngineRole::Mixed));
 }
 
 #[test]
-fn a_part_without_engines_is_restored_at_once() {
+fn a_phase_without_engines_is_restored_immediately() {
     let mut planner = RolePlanner::new(PlannerSettings::default());
     let mut engines = engines(RoleSplit {
         prefill: 3,
@@ -191,7 +199,7 @@
 }
 
 #[test]
-fn models_are_planned_apart() {
+fn models_are_planned_independently() {
     let mut fleet = fleet(PlannerProfile::Hanbit);
     for id in 100..104 {
         let mut other = engine(id, EngineRole::Mixed);
@@ -199,9 +207,9 @@
         fleet.engines.push(other);
     }
     for _ in 0..60 {
-        let plan = fleet.step(READS);
+        let plan = fleet.step(PREFILL_HEAVY);
         assert_eq!(plan.models.len(), 2);
-        assert!(plan.decisions.iter().all(|one| one.engine.0 < 100));
+        assert!(plan.decisions.iter().all(|change| change.engine.0 < 100));
         assert!(matches!(
             plan.models[1].kept,
             Some(KeepReason::TooFewSamples { samples: 0 })
--- a/crates/core/tests/roles_properties.rs
+++ b/crates/core/tests/roles_properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold for every plan.
+//! Guards against plans that violate pins, dwell times or the limit on unavailable engines.
 
 #[path = "support/role_fleet.rs"]
 mod role_fleet;
@@ -11,7 +11,7 @@
 use role_fleet::{Fleet, Rates, WINDOW, engine, sample};
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
-struct DrawnEngine {
+struct GeneratedEngine {
     role: u8,
     availability: u8,
     pinned: u8,
@@ -20,38 +20,35 @@
 }
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
-struct DrawnRates {
+struct GeneratedRates {
     requests: u8,
     prompt_kilotokens: u8,
     output_kilotokens: u8,
 }
 
 #[derive(Debug, Clone, TypeGenerator)]
-struct Drawn {
-    engines: Vec<DrawnEngine>,
-    demand: Vec<DrawnRates>,
+struct GeneratedCase {
+    engines: Vec<GeneratedEngine>,
+    demand: Vec<GeneratedRates>,
     head_office: bool,
 }
 
-const MOST_ENGINES: usize = 24;
-const MOST_SAMPLES: usize = 20;
-const LONG_AGO: u64 = 1_000_000;
+const MAXIMUM_ENGINES: usize = 24;
+const MAXIMUM_SAMPLES: usize = 20;
+const START_MS: u64 = 1_000_000;
 
 fn role(number: u8) -> EngineRole {
     [EngineRole::Prefill, EngineRole::Decode, EngineRole::Mixed][usize::from(number % 3)]
 }
 
-fn engine_state(id: u32, drawn: DrawnEngine, now: Timestamp) -> EngineState {
-    let mut state = engine(id, role(drawn.role));
-    state.since = Timestamp(now.0 - u64::from(drawn.age_seconds) * 1_000_000);
-    state.sequences = u32::from(drawn.sequences);
-    state.pinned = drawn
-        .pinned
-        .is_multiple_of(4)
-        .then(|| role(drawn.pinned / 4));
-    state.availability = match drawn.availability % 8 {
+fn engine_state(id: u32, case: GeneratedEngine, now: Timestamp) -> EngineState {
+    let mut state = engine(id, role(case.role));
+    state.since = Timestamp(now.0 - u64::from(case.age_seconds) * 1_000_000);
+    state.sequences = u32::from(case.sequences);
+    state.pinned = case.pinned.is_multiple_of(4).then(|| role(case.pinned / 4));
+    state.availability = match case.availability % 8 {
         0 => EngineAvailability::Changing {
-            to: role(drawn.availability / 8),
+            to: role(case.availability / 8),
         },
         1 => EngineAvailability::Lost,
         2 => EngineAvailability::Unassigned,
@@ -63,16 +60,19 @@
     state
 }
 
-/// Runs the drawn samples through a planner; gives the engines and the plan.
-fn planned(drawn: &Drawn, settings: &PlannerSettings) -> (Timestamp, Vec<EngineState>, Plan) {
+/// Feeds the generated samples to a planner; returns the end time, the engines and the last plan.
+fn run_planner(
+    case: &GeneratedCase,
+    settings: &PlannerSettings,
+) -> (Timestamp, Vec<EngineState>, Plan) {
     let mut planner = RolePlanner::new(settings.clone());
-    let mut now = Timestamp::from_millis(LONG_AGO);
+    let mut now = Timestamp::from_millis(START_MS);
     let engines: Vec<EngineState> = (0..)
-        .zip(drawn.engines.iter().take(MOST_ENGINES))
+        .zip(case.engines.iter().take(MAXIMUM_ENGINES))
         .map(|(id, engine)| engine_state(id, *engine, now))
         .collect();
     let mut plan = planner.plan(now, &engines);
-    for rates in drawn.demand.iter().take(MOST_SAMPLES) {
+    for rates in case.demand.iter().take(MAXIMUM_SAMPLES) {
         now = now + WINDOW;
         planner.observe(
             now,
@@ -87,17 +87,17 @@
     (now, engines, plan)
 }
 
-fn settings(drawn: &Drawn) -> PlannerSettings {
-    PlannerSettings::of(if drawn.head_office {
+fn settings(case: &GeneratedCase) -> PlannerSettings {
+    PlannerSettings::of(if case.head_office {
         PlannerProfile::HeadOffice
     } else {
         PlannerProfile::Hanbit
     })
 }
 
-fn serving(engines: &[EngineState], without: &Plan) -> RoleSplit {
+fn serving(engines: &[EngineState], excluded_plan: &Plan) -> RoleSplit {
     let changed = |engine: &EngineState| {
-        let mut decisions = without.decisions.iter();
+        let mut decisions = excluded_plan.decisions.iter();
         decisions.any(|decision| decision.engine == engine.id)
     };
     engines
@@ -108,12 +108,17 @@
 }
 
 #[test]
-fn a_plan_keeps_pins_dwell_share_away_and_service() {
-    check!().with_type::<Drawn>().for_each(|drawn| {
-        let settings = settings(drawn);
-        let (now, engines, plan) = planned(drawn, &settings);
-        let state = |id| engines.iter().find(|one| one.id == id).expect("known");
-        let mut begun = 0;
+fn plans_respect_pins_dwell_times_the_unavailable_limit_and_service() {
+    check!().with_type::<GeneratedCase>().for_each(|case| {
+        let settings = settings(case);
+        let (now, engines, plan) = run_planner(case, &settings);
+        let state = |id| {
+            engines
+                .iter()
+                .find(|candidate| candidate.id == id)
+                .expect("known")
+        };
+        let mut started = 0;
         for decision in &plan.decisions {
             let engine = state(decision.engine);
             assert_eq!(decision.from, engine.role);
@@ -122,21 +127,22 @@
                 assert_eq!(decision.to, pinned);
             }
             if engine.availability == EngineAvailability::Serving {
-                begun += 1;
-                let dwelt = now.since(engine.since) >= settings.minimum_dwell;
-                assert!(dwelt || engine.pinned.is_some());
+                started += 1;
+                let dwell_elapsed = now.since(engine.since) >= settings.minimum_dwell;
+                assert!(dwell_elapsed || engine.pinned.is_some());
             } else {
                 assert_eq!(engine.availability, EngineAvailability::Unassigned);
             }
         }
-        let is_away =
-            |one: &&EngineState| matches!(one.availability, EngineAvailability::Changing { .. });
-        let away = engines.iter().filter(is_away).count();
-        let present = serving(&engines, &Plan::default()).total() as usize + away;
-        let allowed = (present as f64 * settings.maximum_away_share).max(1.0) as usize;
+        let is_changing = |candidate: &&EngineState| {
+            matches!(candidate.availability, EngineAvailability::Changing { .. })
+        };
+        let unavailable = engines.iter().filter(is_changing).count();
+        let present = serving(&engines, &Plan::default()).total() as usize + unavailable;
+        let allowed = (present as f64 * settings.maximum_unavailable_share).max(1.0) as usize;
         assert!(
-            begun == 0 || away + begun <= allowed,
-            "{away} {begun} {present}"
+            started == 0 || unavailable + started <= allowed,
+            "{unavailable} {started} {present}"
         );
         let before = serving(&engines, &Plan::default());
         let during = serving(&engines, &plan);
@@ -149,15 +155,18 @@
 
 #[test]
 fn equal_input_gives_an_equal_plan() {
-    check!().with_type::<Drawn>().for_each(|drawn| {
-        let settings = settings(drawn);
-        assert_eq!(planned(drawn, &settings).2, planned(drawn, &settings).2);
+    check!().with_type::<GeneratedCase>().for_each(|case| {
+        let settings = settings(case);
+        assert_eq!(
+            run_planner(case, &settings).2,
+            run_planner(case, &settings).2
+        );
     });
 }
 
 #[test]
-fn a_lone_spike_of_any_height_changes_nothing() {
-    check!().with_type::<DrawnRates>().for_each(|spike| {
+fn a_single_spike_of_any_height_changes_nothing() {
+    check!().with_type::<GeneratedRates>().for_each(|spike| {
         let steady = Rates {
             requests: 40,
             prompt_tokens: 50_000,
--- a/crates/core/tests/support/gossip_network.rs
+++ b/crates/core/tests/support/gossip_network.rs
@@ -1,4 +1,4 @@
-//! A small network of `Membership` structs on a virtual clock: loss, cuts, freezes and restarts.
+//! Simulated network of `Membership` instances with packet loss, partitions, freezes and restarts.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,7 +13,7 @@
 use rand::RngExt;
 
 pub const TICK: Duration = Duration::from_millis(100);
-/// Bytes of a UDP, IP and datagram header, added to each message.
+/// Bytes of the IP, UDP and datagram headers of each message.
 pub const HEADER_BYTES: usize = 28 + 26;
 
 pub struct Node {
@@ -33,7 +33,7 @@
     pub now: Timestamp,
     pub nodes: BTreeMap<MachineId, Node>,
     pub loss_permille: u32,
-    /// Daemons whose group differs cannot reach each other.
+    /// Partition of each daemon; daemons in different partitions cannot reach each other.
     pub group: BTreeMap<MachineId, u8>,
     pub sent_bytes: u64,
     in_flight: Vec<InFlight>,
@@ -116,14 +116,14 @@
         for action in actions {
             match action {
                 MembershipAction::Send { address, message } => {
-                    self.post(machine, incarnation, address, message);
+                    self.enqueue(machine, incarnation, address, message);
                 }
                 other => self.nodes.get_mut(&machine).unwrap().actions.push(other),
             }
         }
     }
 
-    fn post(
+    fn enqueue(
         &mut self,
         sender: MachineId,
         incarnation: Incarnation,
@@ -143,20 +143,20 @@
         });
     }
 
-    fn passes(&mut self, message: &InFlight) -> bool {
+    fn is_delivered(&mut self, message: &InFlight) -> bool {
         let is_cut = self.group.get(&message.to) != self.group.get(&message.sender);
         let is_lost = self.random.random_range(0..1_000) < self.loss_permille;
         !is_cut && !is_lost
     }
 
-    /// One tick: everything in flight arrives, then each daemon that runs gets its tick.
+    /// Runs one tick: delivers all messages in flight, then ticks each running daemon.
     pub fn step(&mut self) {
         self.now = self.now + TICK;
-        // Two exchanges a tick, so that an answer is back well before the direct time-out.
+        // Two rounds per tick, so that answers arrive well before the direct probe times out.
         for _ in 0..2 {
             for message in std::mem::take(&mut self.in_flight) {
                 let is_frozen = self.nodes.get(&message.to).is_none_or(|node| node.frozen);
-                if is_frozen || !self.passes(&message) {
+                if is_frozen || !self.is_delivered(&message) {
                     continue;
                 }
                 let event = MembershipEvent::Received {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Runs until `condition` holds; gives the time it took, or `None` after `limit`.
+    /// Runs until `condition` holds. Returns the elapsed time, or `None` after `limit`.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -202,7 +202,8 @@
         None
     }
 
-    /// Whether each running daemon holds exactly the running ones for alive, in their newest life.
+    /// Whether each running daemon sees exactly the running daemons as alive, with their current
+    /// incarnations.
     pub fn is_converged(&self) -> bool {
         self.nodes.values().all(|node| {
             let view: Vec<_> = node
@@ -211,11 +212,11 @@
                 .iter()
                 .map(|record| (record.machine, record.life.incarnation, record.state))
                 .collect();
-            let truth = self.nodes.iter().map(|(machine, node)| {
+            let expected = self.nodes.iter().map(|(machine, node)| {
                 let incarnation = node.membership.own().life.incarnation;
                 (*machine, incarnation, MemberState::Alive)
             });
-            view.into_iter().eq(truth)
+            view.into_iter().eq(expected)
         })
     }
 }
--- a/crates/core/tests/support/role_fleet.rs
+++ b/crates/core/tests/support/role_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet and a demand for tests of the role planner.
+//! Simulated fleet and demand for tests of the role planner.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 use ponddrift_core::{EngineRole, MachineId, ModelName, Timestamp};
 
 pub const WINDOW: Duration = Duration::from_secs(2);
-pub const CHANGE: Duration = Duration::from_secs(6);
+pub const CHANGE_DURATION: Duration = Duration::from_secs(6);
 
-/// Demand a second.
+/// Demand per second.
 #[derive(Debug, Clone, Copy)]
 pub struct Rates {
     pub requests: u64,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Engines that carry out each plan, [`CHANGE`] later.
+/// Engines that complete each planned change after [`CHANGE_DURATION`].
 pub struct Fleet {
     pub planner: RolePlanner,
     pub engines: Vec<EngineState>,
@@ -81,25 +81,25 @@
         }
     }
 
-    /// One interval with this demand.
+    /// Simulates one planning interval with the given demand.
     pub fn step(&mut self, rates: Rates) -> Plan {
         self.now = self.now + WINDOW;
         self.planner.observe(self.now, &sample(rates));
         self.finish_changes();
         let plan = self.planner.plan(self.now, &self.engines);
-        self.carry_out(&plan);
+        self.begin_changes(&plan);
         plan
     }
 
     #[allow(dead_code, reason = "only some of the test files look at it")]
     pub fn split(&self) -> RoleSplit {
-        let settled = |engine: &EngineState| match engine.availability {
+        let expected_role = |engine: &EngineState| match engine.availability {
             EngineAvailability::Changing { to } => Some(to),
             _ => engine.role,
         };
         self.engines
             .iter()
-            .filter_map(settled)
+            .filter_map(expected_role)
             .fold(RoleSplit::default(), RoleSplit::with)
     }
 
@@ -108,7 +108,7 @@
             let EngineAvailability::Changing { to } = engine.availability else {
                 continue;
             };
-            if self.now.since(engine.since) >= CHANGE {
+            if self.now.since(engine.since) >= CHANGE_DURATION {
                 engine.role = Some(to);
                 engine.since = self.now;
                 engine.availability = EngineAvailability::Serving;
@@ -116,7 +116,7 @@
         }
     }
 
-    fn carry_out(&mut self, plan: &Plan) {
+    fn begin_changes(&mut self, plan: &Plan) {
         for decision in &plan.decisions {
             let engine = self
                 .engines
