--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -1,8 +1,8 @@
-//! Reconciling the engines of one cell with their wanted state by fenced orders.
+//! Reconciles the engines of one cell with their desired state by means of fenced orders.
 //!
-//! [`Reconciler`] is level-triggered: it compares what each engine reports with what is wanted, and
-//! carries nothing over from an earlier controller. `docs/design/authority-and-orders.md` gives the
-//! reasons and the window that remains.
+//! [`Reconciler`] is level-triggered: it compares the state that each engine reports with the
+//! desired state and inherits nothing from an earlier controller. The safety argument and its
+//! limits are in `docs/design/authority-and-orders.md`.
 
 mod draining;
 mod engine;
@@ -15,11 +15,11 @@
 mod types;
 
 pub use engine::EnginePhase;
-pub use event::{CallProblem, OrdersAction, OrdersEvent, ReadNumber};
+pub use event::{EngineCallError, OrdersAction, OrdersEvent, ReadNumber};
 pub use reason::{OrderDecision, SetAsideReason};
 pub use reconciler::Reconciler;
 pub use settings::OrdersSettings;
 pub use types::{
-    EndedOrder, EngineReport, EngineWish, LoadedModel, Order, OrderRefusal, RolloutLimit,
-    RunningOrder, TargetState, WantedState, order_id,
+    DesiredEngine, DesiredState, EndedOrder, EngineReport, LoadedModel, Order, OrderRefusal,
+    RolloutLimit, RunningOrder, TargetState, order_id,
 };
