--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -10,7 +10,7 @@
     snapshot_from_entries,
 };
 use ponddrift_platform::store::{KeyValueStore, RangeResult, StoreError, StoredValue, WatchEvent};
-use ponddrift_runtime::watch::{self, WhileEnd};
+use ponddrift_runtime::watch::{self, RunWhileOutcome};
 use xtra::Address;
 
 use crate::actors::ask;
@@ -57,9 +57,9 @@
             .run_while(|is_watcher| *is_watcher, following)
             .await
         {
-            WhileEnd::Done(ended) => ended,
-            WhileEnd::Changed => continue,
-            WhileEnd::Closed => return,
+            RunWhileOutcome::Done(ended) => ended,
+            RunWhileOutcome::Changed => continue,
+            RunWhileOutcome::Closed => return,
         };
         if let Err(error) = ended {
             tracing::info!(%error, "following the configuration was interrupted");
--- a/crates/daemon/src/gateway/plain_attempt.rs
+++ b/crates/daemon/src/gateway/plain_attempt.rs
@@ -138,7 +138,7 @@
 
 async fn refused_as_not_run(response: Response<Incoming>) -> Result<Response<Incoming>, CallError> {
     if says_not_run(response.headers()) {
-        return ponddrift_engine::completions::accepted(response).await;
+        return ponddrift_engine::completions::ensure_success(response).await;
     }
     Ok(response)
 }
--- a/crates/daemon/src/settings/load.rs
+++ b/crates/daemon/src/settings/load.rs
@@ -188,17 +188,17 @@
         first.is_some_and(|address| address.port() != 0) && first == second
     };
     if same(gateway, operator) {
-        reader.clash("listen.operator", same_address("listen.gateway"));
+        reader.report_conflict("listen.operator", same_address("listen.gateway"));
     }
     if same(gateway, peer) {
-        reader.clash("listen.peer", same_address("listen.gateway"));
+        reader.report_conflict("listen.peer", same_address("listen.gateway"));
     }
     if same(operator, peer) {
-        reader.clash("listen.peer", same_address("listen.operator"));
+        reader.report_conflict("listen.peer", same_address("listen.operator"));
     }
     if peer.is_some_and(|address| address.ip().is_unspecified()) {
         let remedy = "other daemons cannot send to an unspecified address: set this machine's IP";
-        reader.clash("listen.peer", remedy.to_owned());
+        reader.report_conflict("listen.peer", remedy.to_owned());
     }
     Some(ListenSettings {
         gateway: gateway?,
@@ -281,7 +281,7 @@
     };
     if membership.probe_time_limit >= membership.probe_interval {
         let remedy = "must be shorter than membership.probe_interval_ms: set about a third of it";
-        reader.clash("membership.probe_time_limit_ms", remedy.to_owned());
+        reader.report_conflict("membership.probe_time_limit_ms", remedy.to_owned());
     }
     membership
 }
@@ -302,7 +302,7 @@
     };
     if control.lease_time < control.order_time_limit * 4 {
         let remedy = "must be at least four times control.order_time_limit_ms: raise it";
-        reader.clash("control.lease_ms", remedy.to_owned());
+        reader.report_conflict("control.lease_ms", remedy.to_owned());
     }
     control
 }
@@ -318,7 +318,7 @@
     };
     if planner.minimum_dwell > planner.horizon {
         let remedy = "must not be longer than planner.horizon_ms: lower it, or raise the horizon";
-        reader.clash("planner.minimum_dwell_ms", remedy.to_owned());
+        reader.report_conflict("planner.minimum_dwell_ms", remedy.to_owned());
     }
     planner
 }
--- a/crates/engine/src/cache_events.rs
+++ b/crates/engine/src/cache_events.rs
@@ -8,7 +8,7 @@
 use http::Request;
 use ponddrift_http::{Client, body};
 
-use crate::completions::{accepted, events};
+use crate::completions::{ensure_success, events};
 use crate::error::CallError;
 use crate::wire::cache_events::{CACHE_EVENTS_PATH, CacheEvent};
 
@@ -27,7 +27,7 @@
     let request = Request::get(format!("http://{engine}{CACHE_EVENTS_PATH}"))
         .body(body::empty())
         .map_err(|error| CallError::NotSent(error.to_string()))?;
-    let opening = async { accepted(client.send(request).await?).await };
+    let opening = async { ensure_success(client.send(request).await?).await };
     let response = tokio::time::timeout(time_limit, opening)
         .await
         .map_err(|_elapsed| CallError::TimedOut(time_limit))??;
--- a/crates/engine/src/completions.rs
+++ b/crates/engine/src/completions.rs
@@ -91,7 +91,7 @@
         let request = request
             .body(body::full(bytes))
             .map_err(|error| CallError::NotSent(error.to_string()))?;
-        accepted(self.client.send(request).await?).await
+        ensure_success(self.client.send(request).await?).await
     }
 
     /// Asks for the rest of a stream that was cut after event `last_event_id`.
@@ -109,7 +109,7 @@
             .header(headers::LAST_EVENT_ID, last_event_id.to_string())
             .body(body::empty())
             .map_err(|error| CallError::NotSent(error.to_string()))?;
-        accepted(self.client.send(request).await?).await
+        ensure_success(self.client.send(request).await?).await
     }
 
     /// Cancels a completion whose caller has gone.
@@ -120,7 +120,9 @@
         let request = Request::delete(format!("http://{engine}{STREAMS_PATH}{request_id}"))
             .body(body::empty())
             .map_err(|error| CallError::NotSent(error.to_string()))?;
-        accepted(self.client.send(request).await?).await.map(drop)
+        ensure_success(self.client.send(request).await?)
+            .await
+            .map(drop)
     }
 }
 
@@ -147,7 +149,7 @@
 ///
 /// # Errors
 /// [`CallError::Refused`].
-pub async fn accepted(response: Response<Incoming>) -> Result<Response<Incoming>, CallError> {
+pub async fn ensure_success(response: Response<Incoming>) -> Result<Response<Incoming>, CallError> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
--- a/crates/engine/src/control.rs
+++ b/crates/engine/src/control.rs
@@ -10,7 +10,7 @@
 use ponddrift_http::{Body, Client, body};
 use serde::Serialize;
 
-use crate::completions::accepted;
+use crate::completions::ensure_success;
 use crate::error::CallError;
 use crate::wire::control::{
     CLAIM_PATH, ClaimRequest, ControlRefusal, EngineReport, ORDERS_PATH, OrderRequest, STATE_PATH,
@@ -97,7 +97,7 @@
         if response.status() == StatusCode::CONFLICT {
             return Err(ControlError::Refused(self.read(response).await?));
         }
-        let response = accepted(response).await?;
+        let response = ensure_success(response).await?;
         Ok(self.read(response).await?)
     }
 
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -8,7 +8,7 @@
 use ponddrift_http::{Client, body};
 use prometheus_parse::{Scrape, Value};
 
-use crate::completions::accepted;
+use crate::completions::ensure_success;
 use crate::error::CallError;
 use crate::wire::load as names;
 
@@ -64,7 +64,7 @@
         let request = Request::get(format!("http://{engine}{}", names::METRICS_PATH))
             .body(body::empty())
             .map_err(|error| CallError::NotSent(error.to_string()))?;
-        let response = accepted(self.client.send(request).await?).await?;
+        let response = ensure_success(self.client.send(request).await?).await?;
         let bytes = body::read_all(response.into_body(), PAGE_SIZE_LIMIT, self.time_limit).await?;
         parse(&String::from_utf8_lossy(&bytes))
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -61,7 +61,7 @@
     pub header_size_limit: usize,
     /// Most time in which a stopping server still takes requests and tells callers to close their
     /// connections; it ends when none is open.
-    pub close_notice: Duration,
+    pub shutdown_grace: Duration,
 }
 
 impl Default for ServerSettings {
@@ -69,7 +69,7 @@
         Self {
             header_time_limit: Duration::from_secs(10),
             header_size_limit: 64 * 1024,
-            close_notice: Duration::from_secs(5),
+            shutdown_grace: Duration::from_secs(5),
         }
     }
 }
@@ -159,7 +159,7 @@
     }
 
     /// Takes no new connection, lets every request in progress end, and returns when all have. For
-    /// [`ServerSettings::close_notice`] requests are still taken on open connections, each answered with `Connection: close`: a request that is on its way on an
+    /// [`ServerSettings::shutdown_grace`] requests are still taken on open connections, each answered with `Connection: close`: a request that is on its way on an
     /// open connection when that is closed is lost to its caller, who cannot know whether it ran.
     pub async fn stop(&self) {
         self.stop.cancel();
@@ -204,7 +204,7 @@
 
     /// Returns when callers have had time to close their connections.
     async fn give_notice(&self) {
-        let end = Instant::now() + self.settings.close_notice;
+        let end = Instant::now() + self.settings.shutdown_grace;
         while self.connections.count() > 0 && Instant::now() < end {
             tokio::time::sleep(CLOSE_LOOK_INTERVAL).await;
         }
--- a/crates/runtime/src/watch.rs
+++ b/crates/runtime/src/watch.rs
@@ -17,7 +17,7 @@
 
 /// How work ended that was done while a watched value was as wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WhileEnd<T> {
+pub enum RunWhileOutcome<T> {
     /// It came to its end.
     Done(T),
     /// The value is no longer as wanted.
@@ -196,14 +196,14 @@
         &mut self,
         is_wanted: impl Fn(&T) -> bool,
         work: W,
-    ) -> WhileEnd<W::Output> {
+    ) -> RunWhileOutcome<W::Output> {
         tokio::select! {
             biased;
             changed = self.wait_for(|value| !is_wanted(value)) => match changed {
-                Ok(_value) => WhileEnd::Changed,
-                Err(Closed) => WhileEnd::Closed,
+                Ok(_value) => RunWhileOutcome::Changed,
+                Err(Closed) => RunWhileOutcome::Closed,
             },
-            output = work => WhileEnd::Done(output),
+            output = work => RunWhileOutcome::Done(output),
         }
     }
 }
--- a/crates/runtime/tests/watch.rs
+++ b/crates/runtime/tests/watch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex};
 
-use ponddrift_runtime::watch::{self, Closed, WhileEnd};
+use ponddrift_runtime::watch::{self, Closed, RunWhileOutcome};
 use tokio::task::LocalSet;
 
 #[tokio::test(flavor = "current_thread")]
@@ -76,16 +76,16 @@
     let (end, ()) = tokio::join!(receiver.run_while(|wanted| *wanted, forever), async {
         drop(sender);
     });
-    assert_eq!(end, WhileEnd::Closed);
+    assert_eq!(end, RunWhileOutcome::Closed);
 }
 
 #[tokio::test]
 async fn work_ends_with_its_value_or_by_itself() {
     let (sender, mut receiver) = watch::channel(true);
     let end = receiver.run_while(|wanted| *wanted, async { 7 }).await;
-    assert_eq!(end, WhileEnd::Done(7));
+    assert_eq!(end, RunWhileOutcome::Done(7));
     sender.send_replace(false);
     let forever = std::future::pending::<()>();
     let end = receiver.run_while(|wanted| *wanted, forever).await;
-    assert_eq!(end, WhileEnd::Changed);
+    assert_eq!(end, RunWhileOutcome::Changed);
 }
--- a/crates/serve/src/settings.rs
+++ b/crates/serve/src/settings.rs
@@ -249,11 +249,11 @@
     let exit_deadline = Duration::from_secs_f64(grace_period_s).saturating_sub(GRACE_PERIOD_MARGIN);
     if notice_period > accept_period {
         let remedy = String::from("is longer than stop.accept_ms: set a smaller value");
-        reader.clash("stop.notice_ms", remedy);
+        reader.report_conflict("stop.notice_ms", remedy);
     }
     if accept_period > exit_deadline {
         let remedy = String::from("is longer than stop.grace_s allows: set a smaller value");
-        reader.clash("stop.accept_ms", remedy);
+        reader.report_conflict("stop.accept_ms", remedy);
     }
     StopSettings {
         notice_period,
--- a/crates/serving/src/listeners.rs
+++ b/crates/serving/src/listeners.rs
@@ -33,7 +33,7 @@
 ) -> io::Result<Server> {
     let settings = ServerSettings {
         header_time_limit: IDLE_TIMEOUT,
-        close_notice: SHUTDOWN_GRACE,
+        shutdown_grace: SHUTDOWN_GRACE,
         ..ServerSettings::default()
     };
     let handler = Arc::new(CallerHandler(Arc::clone(pipeline)));
@@ -56,7 +56,7 @@
     });
     let settings = ServerSettings {
         header_time_limit: IDLE_TIMEOUT,
-        close_notice: Duration::ZERO,
+        shutdown_grace: Duration::ZERO,
         ..ServerSettings::default()
     };
     Server::start(runtime, address, settings, handler).await
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -36,7 +36,7 @@
     }
 
     /// Reports a fault that involves more than one key.
-    pub fn clash(&mut self, key: &str, remedy: String) {
+    pub fn report_conflict(&mut self, key: &str, remedy: String) {
         let value = self.find(key).map(Value::to_string);
         self.faults.push(Fault {
             key: key.to_owned(),
