--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must always hold, looked at after a run.
+//! Checks of the invariants, made after a run.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -8,101 +8,114 @@
 use ponddrift_platform_stand_ins::{OrderNote, Run};
 use tokio::time::Instant;
 
-use crate::load::Asked;
-use crate::platform::Member;
+use crate::load::RequestRecord;
+use crate::platform::EngineMember;
 
-/// An engine gets nothing new this long after it left, as the platform's bound says, and a little for the runs that
-/// were on their way.
-const DRAIN_BOUND: Duration = Duration::from_millis(2_200);
-/// Time in which all daemons learn what one of them found out.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Tries of a request that has crashed three engines which may reach engines after that.
-const FORGIVEN_TRIES: usize = 3;
-/// How a daemon words the refusal of a request that is quarantined.
-const QUARANTINED: &str = "engines ended while they ran this request: it is not run for now";
-/// Life of the lease under which engines are ordered: nobody sees orders of A, then of B, then of A within it.
-const ORDER_LEASE: Duration = Duration::from_secs(3);
-/// The last order of a holder arrives so long before its lease can lapse, after which another may take it.
-const HANDOVER: Duration = Duration::from_millis(400);
-/// Events of a whole stream.
-const EVENTS: [&str; 4] = ["1", "2", "3", "4"];
+/// Time after an engine starts to drain from which it must not receive new requests: the platform's
+/// limit plus a margin for requests in flight.
+const DRAIN_LIMIT: Duration = Duration::from_millis(2_200);
+/// Time for information found by one daemon to reach all daemons.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
+/// Attempts of a request that may still reach engines after it has crashed three of them.
+const ALLOWED_LATE_ATTEMPTS: usize = 3;
+/// Text in a daemon's rejection of a quarantined request.
+const QUARANTINE_MESSAGE: &str = "engines ended while they ran this request: it is not run for now";
+/// Duration of the lease for sending orders. Within it, control must not pass from one holder to
+/// another and back.
+const ORDER_LEASE_DURATION: Duration = Duration::from_secs(3);
+/// Minimum time between the last order of one holder and the first order of the next: a holder
+/// stops sending orders before its lease can expire.
+const MIN_HANDOVER_GAP: Duration = Duration::from_millis(400);
+/// Event ids of a complete stream.
+const FULL_STREAM_EVENT_IDS: [&str; 4] = ["1", "2", "3", "4"];
 
-/// One thing that did not hold.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which rule.
+    /// The violated rule.
     pub rule: &'static str,
-    /// What was seen.
-    pub seen: String,
+    /// What was observed.
+    pub observed: String,
 }
 
-/// Times in which the store was in trouble, or every daemon was disturbed.
+/// Periods in which the store or the daemons were disrupted.
 #[derive(Debug, Default, Clone)]
-pub struct Troubles(pub Vec<(Instant, Instant)>);
+pub struct Disruptions(pub Vec<(Instant, Instant)>);
 
-impl Troubles {
-    /// Whether any of them touches the time between `from` and `to`.
+impl Disruptions {
+    /// Whether any of these periods overlaps the time between `from` and `to`.
     #[must_use]
-    pub fn touch(&self, from: Instant, to: Instant) -> bool {
+    pub fn overlaps(&self, from: Instant, to: Instant) -> bool {
         self.0
             .iter()
             .any(|(begin, end)| *begin <= to && *end >= from)
     }
 }
 
-/// A time in which a daemon's process was killed or stood still: what it had is lost then.
+/// A period in which a daemon's process was killed or suspended. Its requests may be lost.
 #[derive(Debug, Clone, Copy)]
 pub struct Outage {
-    /// The daemon, by where callers connect.
+    /// The daemon's address for callers.
     pub daemon: SocketAddr,
-    /// When it began.
+    /// Start of the outage.
     pub from: Instant,
-    /// When the process ran again.
+    /// End of the outage, including the time to recover.
     pub to: Instant,
 }
 
-/// Whatever an engine was given has an answer, and whatever a running daemon took as well, in time. Planned stops excuse
-/// nothing: callers keep using their connections until the process is gone.
+/// Checks that every request that a daemon accepted or forwarded to an engine got an answer in
+/// time.
+///
+/// Requests to a daemon that was killed or suspended meanwhile are exempt. A planned shutdown is no
+/// exemption: callers keep using their connections until the process exits.
 #[must_use]
-pub fn check_answers(asked: &[Asked], members: &[Member], outages: &[Outage]) -> Vec<Violation> {
+pub fn check_every_request_answered(
+    records: &[RequestRecord],
+    members: &[EngineMember],
+    outages: &[Outage],
+) -> Vec<Violation> {
     let runs = members.iter().flat_map(|member| member.engine.runs());
-    let passed_on: HashSet<String> = runs.map(|run| run.request).collect();
-    let is_excused = |one: &Asked| {
+    let forwarded: HashSet<String> = runs.map(|run| run.request).collect();
+    let is_during_outage = |record: &RequestRecord| {
         outages.iter().any(|outage| {
-            outage.daemon == one.daemon && outage.from <= one.ended && outage.to >= one.at
+            outage.daemon == record.daemon && outage.from <= record.ended && outage.to >= record.at
         })
     };
-    let unanswered = asked
+    let unanswered_requests = records
         .iter()
-        .filter(|one| one.answer.is_none() && !one.left)
-        .filter(|one| !is_excused(one));
-    unanswered
-        .filter_map(|one| {
-            let limit = Duration::from_millis(one.request.deadline_ms);
-            let rule = if one.ended - one.at > limit {
-                "an answer comes in time"
-            } else if passed_on.contains(&one.request.id) {
-                "what was passed on is answered"
+        .filter(|record| record.answer.is_none() && !record.abandoned)
+        .filter(|record| !is_during_outage(record));
+    unanswered_requests
+        .filter_map(|record| {
+            let limit = Duration::from_millis(record.request.deadline_ms);
+            let rule = if record.ended - record.at > limit {
+                "requests are answered in time"
+            } else if forwarded.contains(&record.request.id) {
+                "forwarded requests are answered"
             } else {
-                // It crossed the end of the connection.
+                // The request was sent while the daemon closed the connection.
                 return None;
             };
             Some(Violation {
                 rule,
-                seen: format!(
+                observed: format!(
                     "{} at {} after {:?}",
-                    one.request.id,
-                    one.daemon,
-                    one.ended - one.at
+                    record.request.id,
+                    record.daemon,
+                    record.ended - record.at
                 ),
             })
         })
         .collect()
 }
 
-/// Checks all that was asked against all that ran.
+/// Compares the recorded requests with the runs that the engines recorded.
 #[must_use]
-pub fn check(asked: &[Asked], members: &[Member], troubles: &Troubles) -> Vec<Violation> {
+pub fn check(
+    records: &[RequestRecord],
+    members: &[EngineMember],
+    disruptions: &Disruptions,
+) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut runs: HashMap<String, Vec<(String, Run)>> = HashMap::new();
     for member in members {
@@ -111,22 +124,28 @@
             of_request.push((run.engine.clone(), run));
         }
     }
-    for one in asked {
+    for record in records {
         let none = Vec::new();
-        let of_request = runs.get(&one.request.id).unwrap_or(&none);
-        check_request(one, of_request, &mut violations);
-        check_innocence(one, &mut violations);
+        let of_request = runs.get(&record.request.id).unwrap_or(&none);
+        check_request(record, of_request, &mut violations);
+        check_not_quarantined(record, &mut violations);
     }
-    check_drains(members, troubles, &mut violations);
+    check_departed_engines(members, disruptions, &mut violations);
     check_orders(members, &mut violations);
     violations
 }
 
-/// A request that has crashed three engines reaches engines in no more than three tries later than all daemons must know,
-/// daemons that have just started among them. Not where the store was in trouble meanwhile: a daemon that starts then may
-/// learn of the request only from the engine that it costs.
+/// Checks that a request that has crashed three engines reaches engines in at most
+/// [`ALLOWED_LATE_ATTEMPTS`] attempts once all daemons must know of it, newly started ones
+/// included.
+///
+/// Attempts during a disruption of the store are exempt: a daemon that starts then may learn of the
+/// request only when it crashes another engine.
 #[must_use]
-pub fn check_crashing_requests(members: &[Member], store_troubles: &Troubles) -> Vec<Violation> {
+pub fn check_crashing_requests(
+    members: &[EngineMember],
+    store_disruptions: &Disruptions,
+) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut tries: BTreeMap<String, Vec<Run>> = BTreeMap::new();
     for run in members.iter().flat_map(|member| member.engine.runs()) {
@@ -143,15 +162,15 @@
         };
         let late: BTreeSet<&str> = runs
             .iter()
-            .filter(|run| run.begun > third + CONTACT)
-            .filter(|run| !store_troubles.touch(third, run.begun))
+            .filter(|run| run.begun > third + PROPAGATION_LIMIT)
+            .filter(|run| !store_disruptions.overlaps(third, run.begun))
             .map(|run| run.request.as_str())
             .collect();
-        if late.len() > FORGIVEN_TRIES {
+        if late.len() > ALLOWED_LATE_ATTEMPTS {
             violations.push(Violation {
-                rule: "a request that crashes engines is run no more",
-                seen: format!(
-                    "{name} reached engines in {} tries more: {late:?}",
+                rule: "requests that crash engines are quarantined",
+                observed: format!(
+                    "{name} reached engines in {} further attempts: {late:?}",
                     late.len()
                 ),
             });
@@ -160,106 +179,111 @@
     violations
 }
 
-fn check_request(asked: &Asked, runs: &[(String, Run)], violations: &mut Vec<Violation>) {
-    let id = &asked.request.id;
-    let whole_runs = runs.iter().filter(|(_engine, run)| !run.is_prefill).count();
-    let is_repeatable = matches!(asked.request.route, "fetch" | "tag");
-    if !is_repeatable && whole_runs > 1 {
+fn check_request(record: &RequestRecord, runs: &[(String, Run)], violations: &mut Vec<Violation>) {
+    let id = &record.request.id;
+    let full_runs = runs.iter().filter(|(_engine, run)| !run.is_prefill).count();
+    let is_repeatable = matches!(record.request.route, "fetch" | "tag");
+    if !is_repeatable && full_runs > 1 {
         violations.push(Violation {
-            rule: "at most once",
-            seen: format!("{id} ran {whole_runs} times"),
+            rule: "requests that must not be repeated run at most once",
+            observed: format!("{id} ran {full_runs} times"),
         });
     }
-    let Some(answer) = &asked.answer else {
+    let Some(answer) = &record.answer else {
         return;
     };
-    let promises = matches!(
+    let claims_not_run = matches!(
         answer.status,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
     );
-    if promises && !is_repeatable && whole_runs > 0 {
+    if claims_not_run && !is_repeatable && full_runs > 0 {
         violations.push(Violation {
-            rule: "a refusal did not run",
-            seen: format!("{id} got {} and ran", answer.status),
+            rule: "rejected requests did not run",
+            observed: format!("{id} was answered {} but ran", answer.status),
         });
     }
     if !answer.status.is_success() {
         return;
     }
-    let ran_there = answer.signed_by().is_some_and(|engine| {
+    let ran_on_signer = answer.signed_by().is_some_and(|engine| {
         let mut engines = runs.iter().map(|(engine, _run)| engine);
         engines.any(|ran| ran == engine)
     });
-    if !ran_there {
+    if !ran_on_signer {
         violations.push(Violation {
-            rule: "an answer is its engine's",
-            seen: format!("{id} signed by {:?}", answer.signed_by()),
+            rule: "answers are signed by the engine that ran the request",
+            observed: format!("{id} signed by {:?}", answer.signed_by()),
         });
     }
-    check_body(asked, violations);
+    check_body(record, violations);
 }
 
-/// No request of the callers crashes engines: none of them is taken for one that does.
-fn check_innocence(asked: &Asked, violations: &mut Vec<Violation>) {
-    let Some(answer) = &asked.answer else {
+/// Checks that the callers' ordinary requests, none of which crashes engines, are not quarantined.
+fn check_not_quarantined(record: &RequestRecord, violations: &mut Vec<Violation>) {
+    let Some(answer) = &record.answer else {
         return;
     };
-    if answer.text().contains(QUARANTINED) {
+    if answer.text().contains(QUARANTINE_MESSAGE) {
         violations.push(Violation {
-            rule: "no innocent request is quarantined",
-            seen: format!("{} got {}", asked.request.id, answer.status),
+            rule: "requests that crash no engine are not quarantined",
+            observed: format!("{} was answered {}", record.request.id, answer.status),
         });
     }
 }
 
-fn check_body(asked: &Asked, violations: &mut Vec<Violation>) {
-    let (Some(answer), id) = (&asked.answer, &asked.request.id) else {
+fn check_body(record: &RequestRecord, violations: &mut Vec<Violation>) {
+    let (Some(answer), id) = (&record.answer, &record.request.id) else {
         return;
     };
     let text = answer.text();
-    let is_right = if asked.request.prompt.is_some() {
+    let is_valid = if record.request.prompt.is_some() {
         let ids: Vec<&str> = text
             .lines()
             .filter_map(|line| line.strip_prefix("id: "))
             .collect();
-        EVENTS.starts_with(&ids) && (!answer.is_whole || ids == EVENTS)
+        FULL_STREAM_EVENT_IDS.starts_with(&ids)
+            && (!answer.is_whole || ids == FULL_STREAM_EVENT_IDS)
     } else {
         !answer.is_whole || text.ends_with(&format!(" to {id}"))
     };
-    if !is_right {
+    if !is_valid {
         violations.push(Violation {
-            rule: "an answer is whole and its own",
-            seen: format!("{id} got {text:?}, whole: {}", answer.is_whole),
+            rule: "answers are complete and belong to their request",
+            observed: format!("{id} got {text:?}, complete: {}", answer.is_whole),
         });
     }
 }
 
-fn check_drains(members: &[Member], troubles: &Troubles, violations: &mut Vec<Violation>) {
+fn check_departed_engines(
+    members: &[EngineMember],
+    disruptions: &Disruptions,
+    violations: &mut Vec<Violation>,
+) {
     for member in members {
-        let Some(left) = member.left else {
+        let Some(left_at) = member.left_at else {
             continue;
         };
         let late = member
             .engine
             .runs()
             .into_iter()
-            .filter(|run| run.begun > left + DRAIN_BOUND)
-            .filter(|run| !troubles.touch(left, run.begun));
+            .filter(|run| run.begun > left_at + DRAIN_LIMIT)
+            .filter(|run| !disruptions.overlaps(left_at, run.begun));
         for run in late {
             violations.push(Violation {
-                rule: "an engine that leaves gets nothing new",
-                seen: format!(
+                rule: "departed engines get no new requests",
+                observed: format!(
                     "{} at {} {:?} after it left",
                     run.request,
                     member.engine.id(),
-                    run.begun - left
+                    run.begun - left_at
                 ),
             });
         }
     }
 }
 
-fn check_orders(members: &[Member], violations: &mut Vec<Violation>) {
+fn check_orders(members: &[EngineMember], violations: &mut Vec<Violation>) {
     let mut orders: Vec<OrderNote> = members
         .iter()
         .flat_map(|member| member.engine.orders())
@@ -267,25 +291,25 @@
     orders.sort_by_key(|order| order.at);
     for pair in orders.windows(2) {
         let changes = pair[0].holder != pair[1].holder;
-        let too_soon = pair[1].at - pair[0].at <= HANDOVER;
+        let too_soon = pair[1].at - pair[0].at <= MIN_HANDOVER_GAP;
         if changes && (too_soon || pair[1].fence <= pair[0].fence) {
             violations.push(Violation {
-                rule: "one holder orders at a time",
-                seen: format!("{pair:?}"),
+                rule: "only one holder sends orders at a time",
+                observed: format!("{pair:?}"),
             });
         }
     }
     for (index, first) in orders.iter().enumerate() {
         let within = orders[index..]
             .iter()
-            .take_while(|order| order.at - first.at <= ORDER_LEASE);
-        let mut others_came = false;
+            .take_while(|order| order.at - first.at <= ORDER_LEASE_DURATION);
+        let mut saw_other_holder = false;
         for order in within {
-            others_came |= order.holder != first.holder;
-            if others_came && order.holder == first.holder {
+            saw_other_holder |= order.holder != first.holder;
+            if saw_other_holder && order.holder == first.holder {
                 violations.push(Violation {
-                    rule: "holders do not take turns",
-                    seen: format!("{first:?}, then others, then {order:?}"),
+                    rule: "control does not alternate between holders",
+                    observed: format!("{first:?}, then others, then {order:?}"),
                 });
             }
         }
--- a/crates/soak/src/daemons.rs
+++ b/crates/soak/src/daemons.rs
@@ -1,4 +1,4 @@
-//! The daemons: real processes that faults strike from outside.
+//! Daemon processes, controlled through signals.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,49 +10,50 @@
 use tokio::process::{Child, Command};
 use tokio::time::Instant;
 
-use crate::platform::{Platform, own_address};
+use crate::platform::{Platform, unique_loopback_address};
 
-/// Name of the binary, which stands beside this one.
-const BINARY: &str = "ponddrift-serve";
+/// File name of the daemon's binary, expected in the directory of this program.
+const SERVE_BINARY_NAME: &str = "ponddrift-serve";
 
-/// One daemon, over all its lives.
+/// A daemon, across restarts of its process.
 pub struct DaemonProcess {
-    /// Its name.
+    /// The name in the daemon's settings.
     pub name: String,
-    /// Where callers connect.
-    pub callers: SocketAddr,
-    /// Where its readiness is asked for.
-    pub readiness: SocketAddr,
-    /// Its way to the store.
-    pub door: StoreDoor,
-    /// Until when something was done to it: what callers see of it then proves nothing.
+    /// Address for callers' requests.
+    pub caller_address: SocketAddr,
+    /// Address of the readiness and metrics endpoints.
+    pub readiness_address: SocketAddr,
+    /// The daemon's link to the store, where store faults for this daemon are injected.
+    pub store_link: StoreDoor,
+    /// End of the effects of the last fault. Until then, exits are expected and checks are skipped.
     pub disturbed_until: Option<Instant>,
-    /// Ends of its process that nobody brought about.
-    pub own_ends: u32,
-    binary: PathBuf,
+    /// Number of times the process exited without a fault that explains it.
+    pub unexpected_exits: u32,
+    serve_binary_path: PathBuf,
     settings: PathBuf,
     log: PathBuf,
     child: Option<Child>,
 }
 
 impl DaemonProcess {
-    /// Starts a daemon with settings of its own in `folder`.
+    /// Writes the daemon's settings to `folder` and starts its process.
     ///
     /// # Errors
-    /// When it cannot be started.
+    /// When the settings cannot be written, the store link's address cannot be bound or the process
+    /// cannot be started.
     pub async fn start(number: usize, platform: &Platform, folder: &Path) -> Result<Self> {
         let name = format!("daemon-{number}");
-        let callers = own_address();
-        let readiness = own_address();
-        let peers = own_address();
-        let store = own_address();
-        let (server, door) = platform.store.serve_door(&platform.runtime, store).await?;
-        // The server lives as long as the process.
+        let caller_address = unique_loopback_address();
+        let readiness_address = unique_loopback_address();
+        let peers = unique_loopback_address();
+        let store = unique_loopback_address();
+        let (server, store_link) = platform.store.serve_door(&platform.runtime, store).await?;
+        // The server must run until this process exits.
         std::mem::forget(server);
         let settings = folder.join(format!("{name}.toml"));
         let text = format!(
             "[daemon]\nname = \"{name}\"\nzone = \"a\"\n\
-             [listen]\ncallers = \"{callers}\"\nreadiness = \"{readiness}\"\npeers = \"{peers}\"\n\
+             [listen]\ncallers = \"{caller_address}\"\nreadiness = \"{readiness_address}\"\npeers = \"{peers}\"\n\
              [store]\naddress = \"{store}\"\n\
              [retry]\nbudget_ratio = 0.2\nbudget_slack = 40\n[stop]\ngrace_s = 8\n"
         );
@@ -60,12 +61,12 @@
         let mut daemon = Self {
             log: folder.join(format!("{name}.log")),
             name,
-            callers,
-            readiness,
-            door,
+            caller_address,
+            readiness_address,
+            store_link,
             disturbed_until: None,
-            own_ends: 0,
-            binary: binary()?,
+            unexpected_exits: 0,
+            serve_binary_path: serve_binary_path()?,
             settings,
             child: None,
         };
@@ -78,7 +79,7 @@
             .create(true)
             .append(true)
             .open(&self.log)?;
-        let child = Command::new(&self.binary)
+        let child = Command::new(&self.serve_binary_path)
             .arg("--config")
             .arg(&self.settings)
             .stdin(Stdio::null())
@@ -86,16 +87,17 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()
-            .wrap_err_with(|| format!("{} cannot be started", self.name))?;
+            .wrap_err_with(|| format!("cannot start the process of {}", self.name))?;
         self.child = Some(child);
         Ok(())
     }
 
-    /// Starts it again where its process has ended. `expected`: somebody ended it.
+    /// Restarts the process if it has exited. If the exit was not `expected`, counts it in
+    /// `unexpected_exits`.
     ///
     /// # Errors
-    /// When it cannot be started.
-    pub fn keep_running(&mut self, expected: bool) -> Result<()> {
+    /// When the process cannot be started.
+    pub fn restart_if_exited(&mut self, expected: bool) -> Result<()> {
         let ended = match &mut self.child {
             Some(child) => child.try_wait()?.is_some(),
             None => true,
@@ -104,39 +106,42 @@
             return Ok(());
         }
         if !expected {
-            self.own_ends += 1;
+            self.unexpected_exits += 1;
         }
         self.spawn()
     }
 
-    /// Sends its process a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// When it has none.
+    /// When the process is not running or the signal cannot be sent.
     pub fn signal(&self, signal: Signal) -> Result<()> {
-        let child = self.child.as_ref().wrap_err("no process")?;
-        let id = child.id().wrap_err("it has ended")?;
-        let pid = Pid::from_raw(i32::try_from(id)?).wrap_err("no process id")?;
+        let child = self.child.as_ref().wrap_err("the daemon has no process")?;
+        let id = child.id().wrap_err("the daemon's process has exited")?;
+        let pid = Pid::from_raw(i32::try_from(id)?).wrap_err("invalid process id")?;
         kill_process(pid, signal)?;
         Ok(())
     }
 }
 
-/// Path of the daemon's binary, which stands beside this program.
+/// Path of the daemon's binary in the directory of this program.
 ///
 /// # Errors
-/// When it is not there: build the workspace's binaries first.
-pub fn binary() -> Result<PathBuf> {
+/// When the binary does not exist: build the workspace's binaries first.
+pub fn serve_binary_path() -> Result<PathBuf> {
     let this = std::env::current_exe()?;
-    let mut folder = this.parent().wrap_err("no folder")?.to_path_buf();
-    // A test's binary lies one folder deeper.
+    let mut folder = this
+        .parent()
+        .wrap_err("the path of this program has no parent directory")?
+        .to_path_buf();
+    // Cargo places test binaries in the `deps` subdirectory.
     if folder.ends_with("deps") {
         folder.pop();
     }
-    let path = folder.join(BINARY);
+    let path = folder.join(SERVE_BINARY_NAME);
     eyre::ensure!(
         path.exists(),
-        "{BINARY} is not built beside this program: run cargo build --workspace --bins"
+        "{SERVE_BINARY_NAME} does not exist in the directory of this program: run cargo build --workspace --bins"
     );
     Ok(path)
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Which faults strike, drawn from a seed.
+//! Faults, drawn from a seeded random number generator.
 
 use std::time::Duration;
 
@@ -6,47 +6,47 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, RngExt};
 
-/// One fault.
+/// A fault. Numbers are indexes of daemons or of active engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// A daemon's process is killed and started again after a while.
+    /// Kills a daemon's process, which is then restarted.
     Kill(usize),
-    /// Every daemon's process is killed at once.
+    /// Kills the processes of all daemons at the same time.
     KillAll,
-    /// A daemon's process stands still.
+    /// Suspends a daemon's process.
     Freeze(usize),
-    /// A planned stop and a new start.
+    /// Stops a daemon gracefully, which is then restarted.
     Terminate(usize),
-    /// The settings file is read again.
-    HangUp(usize),
-    /// The store has troubles with everybody.
+    /// Makes a daemon reload its settings file.
+    ReloadSettings(usize),
+    /// Degrades the store for all daemons.
     Store(StoreMode),
-    /// The store has troubles with one daemon.
-    Door(usize, StoreMode),
-    /// The store forgets its history.
+    /// Degrades the store for one daemon.
+    StoreLink(usize, StoreMode),
+    /// Makes the store drop its change history.
     DropHistory,
-    /// An engine misbehaves with all requests.
+    /// Makes an engine misbehave for all requests.
     Engine(usize, Behaviour),
-    /// An engine misbehaves with a few requests.
-    EngineBriefly(usize, Behaviour),
-    /// A request that crashes engines comes again and again.
+    /// Makes an engine misbehave for its next few requests.
+    EngineRequests(usize, Behaviour),
+    /// Sends a request that crashes engines repeatedly.
     CrashingRequest,
-    /// An engine drains, and another comes.
+    /// Drains an engine and adds a replacement.
     Drain(usize),
-    /// An engine's entry vanishes though it serves on, and another comes.
-    Vanish(usize),
-    /// The operator adds or removes a route.
+    /// Removes an engine's store entry while it keeps serving, and adds a replacement.
+    RemoveEntry(usize),
+    /// Adds or removes a route in the configuration.
     Configure,
 }
 
-/// A fault and how long it lasts.
+/// A fault with its timing.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DrawnFault {
-    /// What.
+pub struct ScheduledFault {
+    /// The fault.
     pub fault: Fault,
-    /// How long.
-    pub time: Duration,
-    /// Pause before the next.
+    /// How long the fault lasts, where it has a duration.
+    pub duration: Duration,
+    /// Pause before the next fault.
     pub pause: Duration,
 }
 
@@ -59,37 +59,37 @@
     Behaviour::Hang,
 ];
 
-const MODES: [StoreMode; 3] = [
+const STORE_MODES: [StoreMode; 3] = [
     StoreMode::Silent,
     StoreMode::Busy,
     StoreMode::Slow(Duration::from_millis(300)),
 ];
 
-/// Draws the next fault. `engines` counts those that have not left.
-pub fn draw(random: &mut impl Rng, daemons: usize, engines: usize) -> DrawnFault {
+/// Draws the next fault. `engines` is the number of active engines.
+pub fn draw_fault(random: &mut impl Rng, daemons: usize, engines: usize) -> ScheduledFault {
     let daemon = random.random_range(0..daemons);
     let engine = random.random_range(0..engines);
     let behaviour = *BEHAVIOURS.choose(random).unwrap_or(&Behaviour::Refuse);
-    let mode = *MODES.choose(random).unwrap_or(&StoreMode::Busy);
+    let mode = *STORE_MODES.choose(random).unwrap_or(&StoreMode::Busy);
     let fault = match random.random_range(0..18) {
         0 | 1 => Fault::Kill(daemon),
         2 => Fault::Freeze(daemon),
         3 | 4 => Fault::Terminate(daemon),
-        5 => Fault::HangUp(daemon),
+        5 => Fault::ReloadSettings(daemon),
         6 => Fault::Store(mode),
-        7 => Fault::Door(daemon, mode),
+        7 => Fault::StoreLink(daemon, mode),
         8 => Fault::DropHistory,
-        9 | 10 => Fault::EngineBriefly(engine, behaviour),
+        9 | 10 => Fault::EngineRequests(engine, behaviour),
         11 => Fault::Engine(engine, behaviour),
         12 => Fault::Drain(engine),
-        13 => Fault::Vanish(engine),
+        13 => Fault::RemoveEntry(engine),
         14 => Fault::KillAll,
         15 | 16 => Fault::CrashingRequest,
         _ => Fault::Configure,
     };
-    DrawnFault {
+    ScheduledFault {
         fault,
-        time: Duration::from_millis(random.random_range(300..4_000)),
+        duration: Duration::from_millis(random.random_range(300..4_000)),
         pause: Duration::from_millis(random.random_range(0..1_500)),
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,11 @@
-//! Randomized fault soak: real daemons as processes, stand-ins of the platform around them, faults from outside.
+//! Randomized soak test: runs real daemon processes against a simulated platform, injects faults
+//! and checks the results.
 //!
-//! A run draws its faults from a seed, drives load all the while, and checks afterwards what must always hold.
-//! The same seed draws the same faults; real time and scheduling differ from run to run.
+//! A run draws its faults from a seed, generates load throughout, and afterwards checks that no
+//! invariant was violated. The same seed draws the same faults, but real time and scheduling differ
+//! between runs.
 
 pub mod checks;
-pub mod crashable;
 pub mod daemons;
 pub mod faults;
 pub mod limits;
@@ -12,5 +13,6 @@
 pub mod platform;
 pub mod restorer;
 pub mod run;
+pub mod task_group;
 
 pub use run::{Report, SoakSettings, run};
--- a/crates/soak/src/limits.rs
+++ b/crates/soak/src/limits.rs
@@ -1,4 +1,5 @@
-//! Rate limits that engines set for a while, beside all faults, and what must hold of them.
+//! Rate limits that engines set temporarily in addition to the faults, and the check that they are
+//! kept.
 
 use std::time::Duration;
 
@@ -10,20 +11,20 @@
 
 use crate::checks::Violation;
 
-/// Time in which all daemons learn of a limit after it was first named.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Time over which requests are counted.
-const WINDOW: Duration = Duration::from_secs(4);
-/// What back ends bear within it: so many times what their rate allows,
-const BORNE_PARTS: f64 = 1.5;
-/// and so many requests more.
-const BORNE_MORE: f64 = 5.0;
-/// Rates that engines set, in requests a second, as they say them.
-const RATES: [&str; 5] = ["0", "0.5", "1", "3.3", "8"];
-/// Makes these draws differ from those of the faults, which stay what their seed makes them.
-const SEED_PART: u64 = 0x6c69_6d69;
+/// Time for a rate limit to reach all daemons after an engine first announced it.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
+/// Length of the sliding window in which requests are counted.
+const COUNT_WINDOW: Duration = Duration::from_secs(4);
+/// Factor by which the requests in a window may exceed the rate limit.
+const ALLOWED_RATE_FACTOR: f64 = 1.5;
+/// Number of requests allowed in a window in addition to the rate limit times the factor.
+const ALLOWED_EXTRA_REQUESTS: f64 = 5.0;
+/// Rate limits that engines announce, in requests per second.
+const RATES_PER_SECOND: [&str; 5] = ["0", "0.5", "1", "3.3", "8"];
+/// Separates this random sequence from that of the faults, so that both can use the same seed.
+const SEED_SALT: u64 = 0x6c69_6d69;
 
-/// A limit that an engine set.
+/// A period in which an engine announced a rate limit.
 struct LimitPeriod {
     engine: EngineStandIn,
     rate: &'static str,
@@ -31,35 +32,36 @@
     to: Option<Instant>,
 }
 
-/// Has one engine after the other set a limit.
-pub struct Limiter {
+/// Makes one engine at a time announce a rate limit.
+pub struct RateLimitInjector {
     random: Pcg64Mcg,
     periods: Vec<LimitPeriod>,
-    next: Instant,
+    next_change: Instant,
 }
 
-impl Limiter {
-    /// One whose draws the seed makes.
+impl RateLimitInjector {
+    /// Creates an injector whose random sequence depends only on `seed`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
-            random: Pcg64Mcg::seed_from_u64(seed ^ SEED_PART),
+            random: Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT),
             periods: Vec::new(),
-            next: Instant::now(),
+            next_change: Instant::now(),
         }
     }
 
-    /// Ends the limit in force where its time is over, and has one of these engines set another a moment later.
-    pub fn tend(&mut self, engines: &[EngineStandIn]) {
-        if Instant::now() < self.next {
+    /// Advances the schedule: clears the current limit when it is due, and after a pause makes one
+    /// of `engines` set another.
+    pub fn tick(&mut self, engines: &[EngineStandIn]) {
+        if Instant::now() < self.next_change {
             return;
         }
-        if self.lift() {
-            self.next = Instant::now() + self.time(500, 2_000);
+        if self.clear_limit() {
+            self.next_change = Instant::now() + self.random_duration(500, 2_000);
             return;
         }
         let engine = engines.choose(&mut self.random);
-        let rate = RATES.choose(&mut self.random);
+        let rate = RATES_PER_SECOND.choose(&mut self.random);
         if let (Some(engine), Some(rate)) = (engine, rate) {
             engine.limit_rate(&[rate]);
             self.periods.push(LimitPeriod {
@@ -69,11 +71,11 @@
                 to: None,
             });
         }
-        self.next = Instant::now() + self.time(4_000, 9_000);
+        self.next_change = Instant::now() + self.random_duration(4_000, 9_000);
     }
 
-    /// Ends the limit in force. Returns whether there was one.
-    pub fn lift(&mut self) -> bool {
+    /// Clears the current limit. Returns whether there was one.
+    pub fn clear_limit(&mut self) -> bool {
         let in_force = self.periods.last_mut().filter(|last| last.to.is_none());
         let Some(last) = in_force else {
             return false;
@@ -83,17 +85,20 @@
         true
     }
 
-    /// Limits that were set so far.
+    /// Number of limits set so far.
     #[must_use]
     pub const fn count(&self) -> usize {
         self.periods.len()
     }
 
-    fn time(&mut self, least_ms: u64, most_ms: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(least_ms..most_ms))
+    fn random_duration(&mut self, min_ms: u64, max_ms: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(min_ms..max_ms))
     }
 
-    /// No engine got more than it bears, from [`CONTACT`] after it first named its limit until that ended. A life after a crash counts by itself.
+    /// Checks that no engine received more requests than its rate limit allows.
+    ///
+    /// Requests count from [`PROPAGATION_LIMIT`] after the engine first announced the limit, or
+    /// announced it again after a crash, until the limit was cleared.
     #[must_use]
     pub fn check(&self) -> Vec<Violation> {
         let excesses = self.periods.iter().filter_map(LimitPeriod::excess);
@@ -113,21 +118,22 @@
             .rate_named()
             .into_iter()
             .find(|at| *at >= since)?;
-        let counted_from = first_named + CONTACT;
+        let counted_from = first_named + PROPAGATION_LIMIT;
         let mut times: Vec<Instant> = Vec::new();
         for arrival in self.engine.arrivals() {
             if arrival.at >= counted_from && arrival.at < to {
                 times.push(arrival.at);
             }
         }
-        let most = most_in_window(&times);
+        let max_count = max_in_window(&times);
         let rate: f64 = self.rate.parse().unwrap_or_default();
-        let borne = BORNE_PARTS * rate * WINDOW.as_secs_f64() + BORNE_MORE;
-        let count = f64::from(u32::try_from(most).unwrap_or(u32::MAX));
-        (count > borne).then(|| Violation {
-            rule: "a back end gets no more than its rate limit bears",
-            seen: format!(
-                "{} named {} a second: {most} requests in 4 s, {borne} are borne",
+        let allowed =
+            ALLOWED_RATE_FACTOR * rate * COUNT_WINDOW.as_secs_f64() + ALLOWED_EXTRA_REQUESTS;
+        let count = f64::from(u32::try_from(max_count).unwrap_or(u32::MAX));
+        (count > allowed).then(|| Violation {
+            rule: "back ends get no more requests than their rate limit allows",
+            observed: format!(
+                "{} announced {} requests per second but got {max_count} requests in 4 s; {allowed} are allowed",
                 self.engine.id(),
                 self.rate
             ),
@@ -135,10 +141,10 @@
     }
 }
 
-fn most_in_window(times: &[Instant]) -> usize {
+fn max_in_window(times: &[Instant]) -> usize {
     let in_window = |from: &Instant| {
         let later = times.iter().filter(|at| **at >= *from);
-        later.filter(|at| **at - *from < WINDOW).count()
+        later.filter(|at| **at - *from < COUNT_WINDOW).count()
     };
     times.iter().map(in_window).max().unwrap_or_default()
 }
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers: they ask all the while, and note what they were told.
+//! Load generation: callers that send requests throughout the run and record the outcomes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,57 +10,62 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::platform::CRASH_MARK;
+use crate::platform::CRASH_MARKER;
 
-/// What a caller waits beyond its deadline before it says that there was no answer.
-const BEYOND_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Pause between two tries of a request that crashes engines.
-const CRASHER_PAUSE: Duration = Duration::from_millis(120);
-/// Pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(40);
+/// Time that a caller waits after the deadline before it counts the request as unanswered.
+const ANSWER_GRACE: Duration = Duration::from_millis(1_500);
+/// Pause between two attempts of a request that crashes engines.
+const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_millis(120);
+/// Pause between two requests of the same caller.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What became of one request.
+/// A request and its outcome.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct RequestRecord {
     /// The request.
     pub request: ClientRequest,
-    /// Which daemon was asked.
+    /// Address of the daemon that the request was sent to.
     pub daemon: SocketAddr,
-    /// When.
+    /// When the request was sent.
     pub at: Instant,
-    /// When it ended.
+    /// When the caller got the answer or stopped waiting.
     pub ended: Instant,
-    /// The answer; none if the connection ended, or nothing came.
+    /// The answer; `None` if the connection was closed or no answer arrived.
     pub answer: Option<Answer>,
-    /// Whether the caller left early.
-    pub left: bool,
+    /// Whether the caller abandoned the request early, on purpose.
+    pub abandoned: bool,
 }
 
-/// Daemons that callers are sent to, and all that was asked.
+/// State shared by the callers: the daemons to use and the recorded requests.
 #[derive(Default)]
-pub struct LoadState {
-    /// Daemons that are in.
+pub struct CallerState {
+    /// Addresses of the daemons that are ready.
     pub targets: Mutex<Vec<SocketAddr>>,
-    /// What became of every request.
-    pub asked: Mutex<Vec<Asked>>,
+    /// Every finished request.
+    pub requests: Mutex<Vec<RequestRecord>>,
 }
 
-impl LoadState {
-    fn target(&self, random: &mut Pcg64Mcg) -> Option<SocketAddr> {
-        let targets = self.targets.lock().expect("no holder panics");
+impl CallerState {
+    fn random_target(&self, random: &mut Pcg64Mcg) -> Option<SocketAddr> {
+        let targets = self.targets.lock().expect("the lock is not poisoned");
         targets.choose(random).copied()
     }
 
-    fn note(&self, asked: Asked) {
-        self.asked.lock().expect("no holder panics").push(asked);
+    fn record(&self, request: RequestRecord) {
+        self.requests
+            .lock()
+            .expect("the lock is not poisoned")
+            .push(request);
     }
 }
 
-/// One caller, until `end`. Every second one keeps its connection and uses it for as long as it is open, also while its
-/// daemon stops.
-pub async fn call(
+/// Runs a caller until `end`.
+///
+/// Callers with an odd number keep a connection and reuse it as long as it is open, also while the
+/// daemon is shutting down.
+pub async fn run_caller(
     client: ClientStandIn,
-    state: Arc<LoadState>,
+    state: Arc<CallerState>,
     number: u64,
     seed: u64,
     end: Instant,
@@ -68,53 +73,53 @@
     let mut random = Pcg64Mcg::seed_from_u64(seed ^ (number + 1));
     let mut count = 0_u64;
     let keeps_connections = number % 2 == 1;
-    let mut kept: Option<KeptConnection> = None;
+    let mut kept_connection: Option<KeptConnection> = None;
     while Instant::now() < end {
-        sleep(PAUSE).await;
-        let is_open = match &mut kept {
+        sleep(REQUEST_INTERVAL).await;
+        let is_open = match &mut kept_connection {
             Some(connection) => connection.is_open().await,
             None => false,
         };
         if !is_open {
-            kept = None;
+            kept_connection = None;
         }
-        let next = kept.as_ref().map(KeptConnection::target);
-        let Some(daemon) = next.or_else(|| state.target(&mut random)) else {
+        let next = kept_connection.as_ref().map(KeptConnection::target);
+        let Some(daemon) = next.or_else(|| state.random_target(&mut random)) else {
             continue;
         };
-        if keeps_connections && kept.is_none() {
-            kept = client.connect(daemon).await;
+        if keeps_connections && kept_connection.is_none() {
+            kept_connection = client.connect(daemon).await;
         }
         count += 1;
-        let request = draw(&mut random, &format!("c{number}-{count}"));
-        let leaves = random.random_bool(0.05);
-        let wait_policy = if leaves {
+        let request = draw_request(&mut random, &format!("c{number}-{count}"));
+        let cancels_early = random.random_bool(0.05);
+        let time_limit = if cancels_early {
             Duration::from_millis(random.random_range(1..120))
         } else {
-            Duration::from_millis(request.deadline_ms) + BEYOND_DEADLINE
+            Duration::from_millis(request.deadline_ms) + ANSWER_GRACE
         };
         let at = Instant::now();
-        let answer = match &mut kept {
-            Some(connection) => timeout(wait_policy, connection.ask(&request)).await,
-            None => timeout(wait_policy, client.ask(daemon, &request)).await,
+        let answer = match &mut kept_connection {
+            Some(connection) => timeout(time_limit, connection.ask(&request)).await,
+            None => timeout(time_limit, client.ask(daemon, &request)).await,
         };
         if answer.is_err() {
-            // Leaving closes the connection.
-            kept = None;
+            // An abandoned request closes its connection.
+            kept_connection = None;
         }
-        let left = leaves && answer.is_err();
-        state.note(Asked {
+        let abandoned = cancels_early && answer.is_err();
+        state.record(RequestRecord {
             request,
             daemon,
             at,
             ended: Instant::now(),
             answer: answer.ok().flatten(),
-            left,
+            abandoned,
         });
     }
 }
 
-fn draw(random: &mut Pcg64Mcg, id: &str) -> ClientRequest {
+fn draw_request(random: &mut Pcg64Mcg, id: &str) -> ClientRequest {
     let request = match random.random_range(0..5) {
         0 => ClientRequest::plain(id, "post"),
         1 => ClientRequest::plain(id, "fetch"),
@@ -122,17 +127,18 @@
         3 => ClientRequest::prompt(id, "verdict", 40, 200),
         _ => ClientRequest::prompt(id, "verdict", 5_000, 900),
     };
-    // No two are the same, as far as their content goes.
+    // Each body is unique, so that no request counts as a repetition of another.
     ClientRequest {
         body: format!("question of {id}"),
         ..request
     }
 }
 
-/// A request that crashes engines, until `end`: another try each `pause`, at any daemon, whatever became of the one before.
-pub async fn crash_again_and_again(
+/// Repeats a request that crashes engines until `end`, each time at a random daemon and without
+/// waiting for the previous attempt.
+pub async fn repeat_crashing_request(
     client: ClientStandIn,
-    state: Arc<LoadState>,
+    state: Arc<CallerState>,
     name: String,
     seed: u64,
     end: Instant,
@@ -140,19 +146,19 @@
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut count = 0_u64;
     while Instant::now() < end {
-        sleep(CRASHER_PAUSE).await;
-        let Some(daemon) = state.target(&mut random) else {
+        sleep(CRASHING_REQUEST_INTERVAL).await;
+        let Some(daemon) = state.random_target(&mut random) else {
             continue;
         };
         count += 1;
         let request = ClientRequest {
-            body: format!("{name} {CRASH_MARK}"),
+            body: format!("{name} {CRASH_MARKER}"),
             ..ClientRequest::prompt(&format!("{name}-{count}"), "tag", 40, 200)
         };
         let client = client.clone();
-        let limit = Duration::from_millis(request.deadline_ms) + BEYOND_DEADLINE;
+        let limit = Duration::from_millis(request.deadline_ms) + ANSWER_GRACE;
         tokio::spawn(async move {
-            // What becomes of it shows at the engines.
+            // The outcome is checked at the engines.
             drop(timeout(limit, client.ask(daemon, &request)).await);
         });
     }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `ponddrift-soak`: one randomized run against real daemons.
+//! Command line of `ponddrift-soak`, which runs one randomized soak test against real daemons.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,16 +12,16 @@
 
 fn command() -> Command {
     Command::new("ponddrift-soak")
-        .about("Strikes real daemons with random faults under load, and checks what must hold")
+        .about("Injects random faults into real daemons under load, and checks invariants")
         .after_help(
-            "Needs ponddrift-serve beside it: cargo build --release -p ponddrift-serve -p ponddrift-soak\n\n\
+            "Requires the ponddrift-serve binary in the same directory: cargo build --release -p ponddrift-serve -p ponddrift-soak\n\n\
              Example: ponddrift-soak --seconds 120",
         )
         .arg(
             Arg::new("seed")
                 .long("seed")
                 .value_parser(value_parser!(u64))
-                .help("Draws the faults; a fresh one if not given"),
+                .help("Seed for drawing the faults; random if omitted"),
         )
         .arg(
             Arg::new("seconds")
@@ -45,29 +45,32 @@
             Arg::new("without-limits")
                 .long("without-limits")
                 .action(ArgAction::SetTrue)
-                .help("Engines set no rate limits beside the faults"),
+                .help("Disables the rate limits that engines set in addition to the faults"),
         )
         .arg(
             Arg::new("without-restores")
                 .long("without-restores")
                 .action(ArgAction::SetTrue)
-                .help("The store does not come back from older copies beside the faults"),
+                .help("Disables restoring the store from older copies in addition to the faults"),
         )
         .arg(
             Arg::new("folder")
                 .long("folder")
                 .value_parser(value_parser!(PathBuf))
-                .help("Where settings and logs of the daemons go; a folder of its own in the temporary one if not given"),
+                .help("Directory for the daemons' settings and logs; a new directory in the system's temporary directory if omitted"),
         )
 }
 
 #[tokio::main]
 async fn main() -> Result<ExitCode> {
     let matches = command().get_matches();
-    let fresh = SysRng
+    let random_seed = SysRng
         .try_next_u64()
-        .wrap_err("the system gives no random numbers")?;
-    let seed = matches.get_one("seed").copied().unwrap_or(fresh >> 16);
+        .wrap_err("the operating system's random number generator failed")?;
+    let seed = matches
+        .get_one("seed")
+        .copied()
+        .unwrap_or(random_seed >> 16);
     let seconds: u64 = matches.get_one("seconds").copied().unwrap_or(60);
     let daemons: u16 = matches.get_one("daemons").copied().unwrap_or(4);
     let callers: u64 = matches.get_one("callers").copied().unwrap_or(12);
@@ -77,7 +80,7 @@
         .unwrap_or_else(|| std::env::temp_dir().join(format!("ponddrift-soak-{seed}")));
     let settings = SoakSettings {
         seed,
-        time: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         daemons: usize::from(daemons),
         callers,
         limits: !matches.get_flag("without-limits"),
@@ -87,21 +90,21 @@
     println!("seed {seed}, {seconds} s, {daemons} daemons, {callers} callers");
     let report = run(&settings).await?;
     println!(
-        "{} requests, {} served, {} rate limits, {} returns of the store, {} faults",
-        report.asked,
+        "{} requests, {} served, {} rate limits, {} store restores, {} faults",
+        report.requests,
         report.served,
         report.limits,
         report.restores,
         report.faults.len()
     );
     for fault in &report.faults {
-        println!("  {:?} for {:?}", fault.fault, fault.time);
+        println!("  {:?} for {:?}", fault.fault, fault.duration);
     }
     for violation in &report.violations {
-        println!("VIOLATION {}: {}", violation.rule, violation.seen);
+        println!("VIOLATION {}: {}", violation.rule, violation.observed);
     }
     if report.violations.is_empty() {
-        println!("nothing that must hold was seen broken");
+        println!("no invariant violations");
         return Ok(ExitCode::SUCCESS);
     }
     println!("logs: {}", settings.folder.display());
--- a/crates/soak/src/platform.rs
+++ b/crates/soak/src/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-ins around the daemons.
+//! The simulated platform around the daemons: store, engines and configuration.
 
 use std::collections::HashSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,166 +14,171 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::crashable::TaskGroup;
+use crate::task_group::TaskGroup;
 
-/// What the store names before it has ever come back from a copy.
-const FIRST_ERA: u64 = 1;
-/// Service of plain servers.
-pub const RECORDS: &str = "records";
-/// Service of model engines.
-pub const MODELS: &str = "models";
-/// The route that configurations add and remove.
-pub const CHANGING: &str = "changing";
-/// Mark in the body of a request that crashes engines.
-pub const CRASH_MARK: &str = "crashes engines";
-/// How long an engine that crashed is down.
-const DOWN: Duration = Duration::from_millis(1_200);
-/// Tries to bind a port again,
-const PORT_TRIES: u32 = 20;
-/// and the pause between two.
-const PORT_PAUSE: Duration = Duration::from_millis(10);
-/// Time of a plain run.
-const RUN_TIME: Duration = Duration::from_millis(15);
+/// Era of the store before its first restore.
+const INITIAL_ERA: u64 = 1;
+/// Name of the service of plain back ends.
+pub const PLAIN_SERVICE: &str = "records";
+/// Name of the service of model engines.
+pub const MODEL_SERVICE: &str = "models";
+/// Name of the route that the configuration fault adds and removes.
+pub const TOGGLED_ROUTE: &str = "changing";
+/// Text in the body of a request that crashes engines.
+pub const CRASH_MARKER: &str = "crashes engines";
+/// Time between an engine's crash and its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(1_200);
+/// Number of retries to bind a restarted engine's port.
+const BIND_ATTEMPTS: u32 = 20;
+/// Pause before each retry to bind a port.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Time that an engine takes for a request.
+const RUN_DURATION: Duration = Duration::from_millis(15);
 
-/// An engine with what the run did to it.
-pub struct Member {
+/// An engine and its state in the run.
+pub struct EngineMember {
     /// The engine.
     pub engine: EngineStandIn,
-    /// When it said that it drains, or vanished.
-    pub left: Option<Instant>,
-    /// Whether it said that it drains.
-    pub drains: bool,
-    /// What its present life runs.
+    /// When the engine announced that it drains, or its entry was removed.
+    pub left_at: Option<Instant>,
+    /// Whether the engine announced that it drains.
+    pub announced_drain: bool,
+    /// Tasks of the running engine.
     tasks: Arc<TaskGroup>,
-    /// Where it has crashed: when it is back, and the entry that lapses then.
-    down: Option<(Instant, String)>,
+    /// Set after a crash: the time of the restart, and the store entry to remove then.
+    pending_restart: Option<(Instant, String)>,
 }
 
-/// Store and engines.
+/// The store and the engines.
 pub struct Platform {
-    /// Surroundings of the stand-ins.
+    /// Runtime of the stand-ins.
     pub runtime: Runtime,
     /// The store.
     pub store: StoreStandIn,
-    /// Every engine that was ever there.
-    pub members: Vec<Member>,
-    /// Version of the newest configuration.
+    /// All engines, including those that have left.
+    pub members: Vec<EngineMember>,
+    /// Version of the latest configuration.
     pub version: u64,
-    /// Whether the changing route is in it.
-    pub has_changing: bool,
+    /// Whether the latest configuration contains [`TOGGLED_ROUTE`].
+    pub has_toggled_route: bool,
 }
 
 impl Platform {
-    /// A platform with engines and a first configuration.
+    /// Starts a platform with engines and an initial configuration.
     ///
     /// # Errors
-    /// When no port is free.
+    /// When an engine's address cannot be bound.
     pub async fn start(seed: u64) -> Result<Self> {
         let mut platform = Self {
             runtime: Runtime::system(seed),
             store: StoreStandIn::default(),
             members: Vec::new(),
             version: 0,
-            has_changing: false,
+            has_toggled_route: false,
         };
-        platform.store.name_era(FIRST_ERA);
+        platform.store.name_era(INITIAL_ERA);
         for _ in 0..3 {
-            platform.add_engine(RECORDS, None).await?;
+            platform.add_engine(PLAIN_SERVICE, None).await?;
         }
         for _ in 0..2 {
-            platform.add_engine(MODELS, Some("prefill")).await?;
+            platform.add_engine(MODEL_SERVICE, Some("prefill")).await?;
         }
         for _ in 0..4 {
-            platform.add_engine(MODELS, Some("decode")).await?;
+            platform.add_engine(MODEL_SERVICE, Some("decode")).await?;
         }
         platform.configure(false);
         Ok(platform)
     }
 
-    /// Adds an engine that is ready.
+    /// Starts an engine and records it as ready.
     ///
     /// # Errors
-    /// When no port is free.
+    /// When the engine's address cannot be bound.
     pub async fn add_engine(&mut self, service: &str, stage: Option<&'static str>) -> Result<()> {
         let engine = EngineStandIn::new(EngineSettings {
             id: format!("i-{}", self.members.len() + 1),
             service: service.to_owned(),
-            address: own_address(),
+            address: unique_loopback_address(),
             zone: String::from("a"),
             stage,
-            run_time: RUN_TIME,
+            run_time: RUN_DURATION,
             spot: false,
         });
-        engine.crash_on(CRASH_MARK);
+        engine.crash_on(CRASH_MARKER);
         let tasks = self.serve(&engine).await?;
         engine.record(&self.store, "ready");
-        self.members.push(Member {
+        self.members.push(EngineMember {
             engine,
-            left: None,
-            drains: false,
+            left_at: None,
+            announced_drain: false,
             tasks,
-            down: None,
+            pending_restart: None,
         });
         Ok(())
     }
 
     async fn serve(&self, engine: &EngineStandIn) -> Result<Arc<TaskGroup>> {
         let (tasks, runtime) = TaskGroup::of(&self.runtime);
-        // The server lives as long as its tasks.
+        // The server must run until its tasks are aborted.
         std::mem::forget(engine.serve(&runtime).await?);
         Ok(tasks)
     }
 
-    /// Has engines crash that are about to, and starts those again that were down for long enough.
+    /// Crashes the engines that received a crashing request, and restarts those whose restart is
+    /// due.
     ///
     /// # Errors
-    /// When an engine's port is taken.
-    pub async fn tend_engines(&mut self) -> Result<()> {
+    /// When the address of a restarted engine cannot be bound.
+    pub async fn update_engines(&mut self) -> Result<()> {
         for index in 0..self.members.len() {
             let member = &mut self.members[index];
             if member.engine.is_crashing() {
                 member.tasks.crash();
                 let entry = member.engine.key();
                 member.engine.has_crashed();
-                member.down = Some((Instant::now() + DOWN, entry));
+                member.pending_restart = Some((Instant::now() + RESTART_DELAY, entry));
             }
-            let is_due = matches!(&member.down, Some((back, _entry)) if *back <= Instant::now());
-            if is_due && let Some((_back, entry)) = member.down.take() {
+            let is_due = matches!(&member.pending_restart, Some((restart_at, _entry)) if *restart_at <= Instant::now());
+            if is_due && let Some((_restart_at, entry)) = member.pending_restart.take() {
                 self.store.remove(&entry);
-                self.start_again(index).await?;
+                self.restart_engine(index).await?;
             }
         }
         Ok(())
     }
 
-    async fn start_again(&mut self, index: usize) -> Result<()> {
+    async fn restart_engine(&mut self, index: usize) -> Result<()> {
         let engine = self.members[index].engine.clone();
-        // The aborted tasks of its former life may hold the port for a moment.
+        // The aborted tasks may hold the port for a moment.
         let mut served = self.serve(&engine).await;
-        for _ in 0..PORT_TRIES {
+        for _ in 0..BIND_ATTEMPTS {
             if served.is_ok() {
                 break;
             }
-            sleep(PORT_PAUSE).await;
+            sleep(BIND_RETRY_DELAY).await;
             served = self.serve(&engine).await;
         }
         self.members[index].tasks = served?;
-        if self.members[index].left.is_none() {
+        if self.members[index].left_at.is_none() {
             engine.record(&self.store, "ready");
         }
         Ok(())
     }
 
-    /// The operator and the engines write what they last wrote, as after a return of the store from an older copy. Entries that are
-    /// nobody's lapse.
-    pub fn write_again(&self) {
-        let configuration = configuration(self.version, self.has_changing);
+    /// Writes the current configuration and engine entries again after the store was restored from
+    /// an older copy, and removes the entries of engines that no longer exist.
+    pub fn rewrite_entries(&self) {
+        let configuration = configuration(self.version, self.has_toggled_route);
         self.store.put("op/config", configuration);
         let mut own = HashSet::new();
-        for member in self.members.iter().filter(|member| member.down.is_none()) {
-            match member.left {
+        for member in self
+            .members
+            .iter()
+            .filter(|member| member.pending_restart.is_none())
+        {
+            match member.left_at {
                 None => member.engine.record(&self.store, "ready"),
-                Some(_) if member.drains => member.engine.record(&self.store, "draining"),
+                Some(_) if member.announced_drain => member.engine.record(&self.store, "draining"),
                 Some(_) => continue,
             }
             own.insert(member.engine.key());
@@ -185,60 +190,66 @@
         }
     }
 
-    /// Writes the next configuration, with or without the changing route.
-    pub fn configure(&mut self, has_changing: bool) {
+    /// Writes the next configuration, with or without [`TOGGLED_ROUTE`].
+    pub fn configure(&mut self, has_toggled_route: bool) {
         self.version += 3;
-        self.has_changing = has_changing;
+        self.has_toggled_route = has_toggled_route;
         self.store
-            .put("op/config", configuration(self.version, has_changing));
+            .put("op/config", configuration(self.version, has_toggled_route));
     }
 }
 
-fn configuration(version: u64, has_changing: bool) -> String {
+fn configuration(version: u64, has_toggled_route: bool) -> String {
     let mut routes = vec![
         RouteText {
             attempts: 1,
-            ..RouteText::new("post", "unsafe", RECORDS)
+            ..RouteText::new("post", "unsafe", PLAIN_SERVICE)
         },
-        RouteText::new("fetch", "safe", RECORDS),
+        RouteText::new("fetch", "safe", PLAIN_SERVICE),
         RouteText {
             attempts: 1,
-            ..RouteText::new("verdict", "streaming", MODELS)
+            ..RouteText::new("verdict", "streaming", MODEL_SERVICE)
         },
         RouteText {
             resumable: true,
-            ..RouteText::new("tag", "streaming", MODELS)
+            ..RouteText::new("tag", "streaming", MODEL_SERVICE)
         },
     ];
-    if has_changing {
-        routes.push(RouteText::new(CHANGING, "safe", RECORDS));
+    if has_toggled_route {
+        routes.push(RouteText::new(TOGGLED_ROUTE, "safe", PLAIN_SERVICE));
     }
     let services = [
         ServiceText {
-            name: RECORDS,
+            name: PLAIN_SERVICE,
             engine: None,
         },
         ServiceText {
-            name: MODELS,
+            name: MODEL_SERVICE,
             engine: Some(EngineTraitsText { slots: 16 }),
         },
     ];
     config(version, &routes, &services)
 }
 
-/// An address on loopback that nobody else uses: its IP belongs to this process, its last part and port to this call.
+/// Returns a loopback address that no other process or call uses.
 ///
-/// Asking the system for a free port does not do: a process that is started in that moment holds the socket for a while
-/// longer, and binding it again fails (seen twice with many tests at a time).
+/// The IP address depends on the process, and its last octet and the port on the call. Asking the
+/// system for a free port is not safe: a child process started at that moment inherits the probing
+/// socket, and binding the port again fails.
 #[must_use]
-pub fn own_address() -> SocketAddr {
+pub fn unique_loopback_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    const FIRST_PORT: u16 = 20_000;
-    const PART: u32 = 250;
+    const BASE_PORT: u16 = 20_000;
+    const OCTET_RANGE: u32 = 250;
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
-    let part = |value: u32| u8::try_from(value % PART + 1).unwrap_or(1);
-    let ip = Ipv4Addr::new(127, part(process), part(process / PART), part(number));
-    let port = FIRST_PORT + u16::try_from(number / PART).unwrap_or_default();
+    let octet = |value: u32| u8::try_from(value % OCTET_RANGE + 1).unwrap_or(1);
+    let ip = Ipv4Addr::new(
+        127,
+        octet(process),
+        octet(process / OCTET_RANGE),
+        octet(number),
+    );
+    let port = BASE_PORT + u16::try_from(number / OCTET_RANGE).unwrap_or_default();
     SocketAddr::from((ip, port))
 }
--- a/crates/soak/src/restorer.rs
+++ b/crates/soak/src/restorer.rs
@@ -1,4 +1,4 @@
-//! Has the store come back from older copies, beside the faults that the seed draws.
+//! Restores the store from older copies, in addition to the faults.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,108 +10,113 @@
 
 use crate::platform::Platform;
 
-/// Time between two copies,
+/// Time between two copies of the store.
 const COPY_INTERVAL: Duration = Duration::from_millis(500);
-/// and how many are kept: the oldest is some seconds old.
-const COPIES: usize = 8;
-/// The operator and the engines write again within this time after the return.
-const WRITTEN_AGAIN_WITHIN: Duration = Duration::from_millis(800);
-/// After the return, and what is written again, daemons have so long to know it all.
-const KNOWN_WITHIN: Duration = Duration::from_secs(2);
+/// Maximum number of copies kept.
+const MAX_COPIES: usize = 8;
+/// Time after a restore within which the operator and the engines write their entries again.
+const REWRITE_LIMIT: Duration = Duration::from_millis(800);
+/// Time for the rewritten entries to reach all daemons.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
 
-/// When the next return comes, and from which copy.
-pub struct Restorer {
+/// Schedules outages of the store that end with a restore from an older copy.
+pub struct StoreRestorer {
     random: Pcg64Mcg,
     copies: VecDeque<StoreCopy>,
     next_copy: Instant,
-    next_absence: Instant,
-    absence: Option<Absence>,
-    write_again_at: Option<Instant>,
-    returns: usize,
+    next_outage: Instant,
+    outage: Option<StoreOutage>,
+    rewrite_at: Option<Instant>,
+    restores: usize,
 }
 
-/// The store is away.
-struct Absence {
-    begun: Instant,
-    ends: Instant,
+/// A period in which the store does not answer.
+struct StoreOutage {
+    started_at: Instant,
+    ends_at: Instant,
 }
 
-impl Restorer {
-    /// The first return comes after some seconds.
+impl StoreRestorer {
+    /// Creates a restorer whose random sequence depends only on `seed`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
-        /// Makes this seed differ from that of the faults.
-        const SEED_PART: u64 = 0x7265_7374;
+        /// Separates this random sequence from that of the faults, so that both can use the same
+        /// seed.
+        const SEED_SALT: u64 = 0x7265_7374;
         let now = Instant::now();
         let mut restorer = Self {
-            random: Pcg64Mcg::seed_from_u64(seed ^ SEED_PART),
+            random: Pcg64Mcg::seed_from_u64(seed ^ SEED_SALT),
             copies: VecDeque::new(),
             next_copy: now,
-            next_absence: now,
-            absence: None,
-            write_again_at: None,
-            returns: 0,
+            next_outage: now,
+            outage: None,
+            rewrite_at: None,
+            restores: 0,
         };
-        restorer.next_absence = now + restorer.time(2_000..5_000);
+        restorer.next_outage = now + restorer.random_duration(2_000..5_000);
         restorer
     }
 
-    fn time(&mut self, milliseconds: std::ops::Range<u64>) -> Duration {
+    fn random_duration(&mut self, milliseconds: std::ops::Range<u64>) -> Duration {
         Duration::from_millis(self.random.random_range(milliseconds))
     }
 
-    /// Does what is due. Returns a time in which the store was away, and daemons had not yet to know what was written again.
-    pub fn tend(&mut self, platform: &Platform) -> Option<(Instant, Instant)> {
+    /// Advances the schedule. When an outage ends, returns its period, extended by the time for the
+    /// rewritten entries to reach all daemons.
+    pub fn tick(&mut self, platform: &Platform) -> Option<(Instant, Instant)> {
         let now = Instant::now();
-        if self.write_again_at.is_some_and(|at| at <= now) {
-            self.write_again_at = None;
-            platform.write_again();
+        if self.rewrite_at.is_some_and(|at| at <= now) {
+            self.rewrite_at = None;
+            platform.rewrite_entries();
         }
-        if let Some(absence) = self.absence.take_if(|absence| absence.ends <= now) {
-            self.come_back(platform);
-            return Some((absence.begun, now + WRITTEN_AGAIN_WITHIN + KNOWN_WITHIN));
+        if let Some(outage) = self.outage.take_if(|outage| outage.ends_at <= now) {
+            self.restore(platform);
+            return Some((outage.started_at, now + REWRITE_LIMIT + PROPAGATION_LIMIT));
         }
-        if self.absence.is_some() {
+        if self.outage.is_some() {
             return None;
         }
         if self.next_copy <= now {
             self.next_copy = now + COPY_INTERVAL;
-            self.copies.truncate(COPIES - 1);
+            self.copies.truncate(MAX_COPIES - 1);
             self.copies.push_front(platform.store.copy());
         }
-        if self.next_absence <= now && self.write_again_at.is_none() {
+        if self.next_outage <= now && self.rewrite_at.is_none() {
             platform.store.set_mode(StoreMode::Silent);
-            let ends = now + self.time(50..1_500);
-            self.absence = Some(Absence { begun: now, ends });
+            let ends_at = now + self.random_duration(50..1_500);
+            self.outage = Some(StoreOutage {
+                started_at: now,
+                ends_at,
+            });
         }
         None
     }
 
-    fn come_back(&mut self, platform: &Platform) {
+    fn restore(&mut self, platform: &Platform) {
         let index = self.random.random_range(0..self.copies.len());
         platform.store.come_back_from(&self.copies[index]);
         platform.store.set_mode(StoreMode::Up);
-        // What is newer than that is gone for later copies too.
+        // The store's history after this copy is lost, so newer copies must not be used any more.
         self.copies.drain(..index);
-        self.returns += 1;
+        self.restores += 1;
         let now = Instant::now();
-        self.write_again_at = Some(now + self.time(0..800).min(WRITTEN_AGAIN_WITHIN));
-        self.next_absence = now + self.time(3_000..9_000);
+        self.rewrite_at = Some(now + self.random_duration(0..800).min(REWRITE_LIMIT));
+        self.next_outage = now + self.random_duration(3_000..9_000);
     }
 
-    /// No more returns; whatever is still to be written again is.
-    pub fn end(&mut self, platform: &Platform) {
-        if self.absence.take().is_some() {
+    /// Ends a current outage without a restore, and makes a pending rewrite of the entries.
+    pub fn finish(&mut self, platform: &Platform) {
+        if self.outage.take().is_some() {
             platform.store.set_mode(StoreMode::Up);
         }
-        if self.write_again_at.take().is_some() {
-            platform.write_again();
+        if self.rewrite_at.take().is_some() {
+            platform.rewrite_entries();
         }
     }
 
-    /// Returns so far.
+    /// Number of restores so far.
     #[must_use]
     pub const fn count(&self) -> usize {
-        self.returns
+        self.restores
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: start, load and faults side by side, a calm end, checks.
+//! A run: start, load with concurrent faults, a recovery phase without faults, and the final
+//! checks.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -12,77 +13,79 @@
 use rustix::process::Signal;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::checks::{Outage, Troubles, Violation, check, check_answers, check_crashing_requests};
+use crate::checks::{
+    Disruptions, Outage, Violation, check, check_crashing_requests, check_every_request_answered,
+};
 use crate::daemons::DaemonProcess;
-use crate::faults::{DrawnFault, Fault, draw};
-use crate::limits::Limiter;
-use crate::load::{LoadState, call, crash_again_and_again};
-use crate::platform::{CHANGING, MODELS, Platform, RECORDS};
-use crate::restorer::Restorer;
-
-/// What a fault leaves behind is over after this long.
-const AFTERMATH: Duration = Duration::from_secs(5);
-/// Time for all daemons to be ready.
+use crate::faults::{Fault, ScheduledFault, draw_fault};
+use crate::limits::RateLimitInjector;
+use crate::load::{CallerState, repeat_crashing_request, run_caller};
+use crate::platform::{MODEL_SERVICE, PLAIN_SERVICE, Platform, TOGGLED_ROUTE};
+use crate::restorer::StoreRestorer;
+
+/// Time after a fault within which its effects must have ended.
+const RECOVERY_TIME: Duration = Duration::from_secs(5);
+/// Time for all daemons to become ready after the start.
 const READY_LIMIT: Duration = Duration::from_secs(20);
-/// Time in which a configuration is in force where nothing troubles.
-const CONFIGURATION_BOUND: Duration = Duration::from_secs(2);
-/// How long a request that crashes engines comes again.
-const CRASHER_TIME: Duration = Duration::from_secs(10);
-/// Time between two looks at processes and engines.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Requests that the calm end sends to each daemon.
-const CALM_REQUESTS: usize = 10;
+/// Time for a configuration change to take effect in the absence of disruptions.
+const CONFIGURATION_LIMIT: Duration = Duration::from_secs(2);
+/// How long a request that crashes engines is repeated.
+const CRASHING_REQUEST_DURATION: Duration = Duration::from_secs(10);
+/// Interval of the checks of processes and engines.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of requests sent to each daemon in the final check.
+const FINAL_REQUESTS_PER_DAEMON: usize = 10;
 
 /// Settings of a run.
 #[derive(Debug, Clone)]
 pub struct SoakSettings {
-    /// Draws faults and load.
+    /// Seed for the faults and the load.
     pub seed: u64,
-    /// How long faults strike.
-    pub time: Duration,
-    /// Daemons.
+    /// How long faults are injected.
+    pub duration: Duration,
+    /// Number of daemons.
     pub daemons: usize,
-    /// Callers.
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// Whether engines set rate limits beside the faults.
+    /// Whether engines set rate limits in addition to the faults.
     pub limits: bool,
-    /// Whether the store comes back from older copies beside the faults.
+    /// Whether the store is restored from older copies in addition to the faults.
     pub restores: bool,
-    /// Where settings and logs go.
+    /// Directory for the daemons' settings and logs.
     pub folder: PathBuf,
 }
 
-/// What a run saw.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Requests.
-    pub asked: usize,
-    /// Those answered with a success.
+    /// Number of requests.
+    pub requests: usize,
+    /// Number of requests with a complete, successful answer.
     pub served: usize,
-    /// Rate limits that engines set.
+    /// Number of rate limits that engines set.
     pub limits: usize,
-    /// Returns of the store from older copies.
+    /// Number of times the store was restored from an older copy.
     pub restores: usize,
-    /// Faults in order.
-    pub faults: Vec<DrawnFault>,
-    /// What did not hold.
+    /// Faults in the order of their injection.
+    pub faults: Vec<ScheduledFault>,
+    /// Violated invariants.
     pub violations: Vec<Violation>,
 }
 
-/// Runs a soak.
+/// Runs a soak test.
 ///
-/// # Errors
-/// When processes cannot be started; what does not hold is in the report.
+/// # Errors When daemons or stand-ins cannot be started or controlled. Violated invariants are no
+/// error; they are in the report.
 pub async fn run(settings: &SoakSettings) -> Result<Report> {
     let mut soak = Soak::start(settings).await?;
     soak.await_ready().await;
     let callers = soak.start_callers(settings);
-    soak.strike(settings).await?;
-    soak.calm_down().await?;
+    soak.inject_faults(settings).await?;
+    soak.end_faults().await?;
     for caller in callers {
         drop(caller.await);
     }
-    soak.check_calm().await;
+    soak.check_recovery().await;
     Ok(soak.report())
 }
 
@@ -90,17 +93,17 @@
     platform: Platform,
     daemons: Vec<DaemonProcess>,
     client: ClientStandIn,
-    load: Arc<LoadState>,
+    load: Arc<CallerState>,
     random: Pcg64Mcg,
-    faults: Vec<DrawnFault>,
+    faults: Vec<ScheduledFault>,
     outages: Vec<Outage>,
-    troubles: Troubles,
-    /// Those of them in which the store, or the way to it, was in trouble.
-    store_troubles: Troubles,
-    /// Has engines set rate limits; none where they do not.
-    limiter: Option<Limiter>,
-    /// Has the store come back from older copies; none where it does not.
-    restorer: Option<Restorer>,
+    disruptions: Disruptions,
+    /// The disruptions that affected the store or a daemon's link to it.
+    store_disruptions: Disruptions,
+    /// `None` if engines set no rate limits.
+    rate_limiter: Option<RateLimitInjector>,
+    /// `None` if the store is not restored.
+    restorer: Option<StoreRestorer>,
     violations: Vec<Violation>,
 }
 
@@ -121,350 +124,377 @@
             random: Pcg64Mcg::seed_from_u64(settings.seed),
             faults: Vec::new(),
             outages: Vec::new(),
-            troubles: Troubles::default(),
-            store_troubles: Troubles::default(),
-            limiter: settings.limits.then(|| Limiter::new(settings.seed)),
-            restorer: settings.restores.then(|| Restorer::new(settings.seed)),
+            disruptions: Disruptions::default(),
+            store_disruptions: Disruptions::default(),
+            rate_limiter: settings
+                .limits
+                .then(|| RateLimitInjector::new(settings.seed)),
+            restorer: settings.restores.then(|| StoreRestorer::new(settings.seed)),
             violations: Vec::new(),
         })
     }
 
     fn start_callers(&self, settings: &SoakSettings) -> Vec<tokio::task::JoinHandle<()>> {
-        let end = Instant::now() + settings.time;
+        let end = Instant::now() + settings.duration;
         (0..settings.callers)
             .map(|number| {
                 let (client, load) = (self.client.clone(), Arc::clone(&self.load));
-                tokio::spawn(call(client, load, number, settings.seed, end))
+                tokio::spawn(run_caller(client, load, number, settings.seed, end))
             })
             .collect()
     }
 
-    /// Asks every daemon whether it is ready, and sends callers to those that are.
-    async fn look_for_ready(&self) -> usize {
+    /// Queries every daemon's readiness, and directs callers to the ready ones. Returns their
+    /// number.
+    async fn update_targets(&self) -> usize {
         let mut targets = Vec::new();
         for daemon in &self.daemons {
-            let asked = self.client.status(daemon.readiness, "/readiness");
-            let status = timeout(Duration::from_millis(200), asked).await;
+            let response = self.client.status(daemon.readiness_address, "/readiness");
+            let status = timeout(Duration::from_millis(200), response).await;
             if matches!(status, Ok(Some(StatusCode::OK))) {
-                targets.push(daemon.callers);
+                targets.push(daemon.caller_address);
             }
         }
         let ready = targets.len();
-        *self.load.targets.lock().expect("no holder panics") = targets;
+        *self.load.targets.lock().expect("the lock is not poisoned") = targets;
         ready
     }
 
     async fn await_ready(&self) {
         let end = Instant::now() + READY_LIMIT;
-        while self.look_for_ready().await < self.daemons.len() && Instant::now() < end {
+        while self.update_targets().await < self.daemons.len() && Instant::now() < end {
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    async fn strike(&mut self, settings: &SoakSettings) -> Result<()> {
-        let end = Instant::now() + settings.time;
+    async fn inject_faults(&mut self, settings: &SoakSettings) -> Result<()> {
+        let end = Instant::now() + settings.duration;
         while Instant::now() < end {
-            let staying = self.staying();
-            let drawn = draw(&mut self.random, self.daemons.len(), staying.len());
-            self.faults.push(drawn.clone());
-            self.apply(&drawn, &staying).await?;
+            let active_engines = self.active_engines();
+            let scheduled = draw_fault(&mut self.random, self.daemons.len(), active_engines.len());
+            self.faults.push(scheduled.clone());
+            self.inject(&scheduled, &active_engines).await?;
         }
         Ok(())
     }
 
-    /// Engines that have not left.
-    fn staying(&self) -> Vec<usize> {
+    /// Indexes of the engines that have not left.
+    fn active_engines(&self) -> Vec<usize> {
         let members = self.platform.members.iter().enumerate();
         members
-            .filter(|(_index, member)| member.left.is_none())
+            .filter(|(_index, member)| member.left_at.is_none())
             .map(|(index, _member)| index)
             .collect()
     }
 
-    async fn apply(&mut self, drawn: &DrawnFault, staying: &[usize]) -> Result<()> {
-        let begun = Instant::now();
-        match &drawn.fault {
-            Fault::Kill(daemon) => self.kill(&[*daemon], drawn.time).await?,
+    async fn inject(&mut self, scheduled: &ScheduledFault, active_engines: &[usize]) -> Result<()> {
+        let started_at = Instant::now();
+        match &scheduled.fault {
+            Fault::Kill(daemon) => self.kill(&[*daemon], scheduled.duration).await?,
             Fault::KillAll => {
                 let all: Vec<usize> = (0..self.daemons.len()).collect();
-                self.kill(&all, drawn.time).await?;
+                self.kill(&all, scheduled.duration).await?;
             }
-            Fault::Freeze(daemon) => self.freeze(*daemon, drawn.time).await?,
+            Fault::Freeze(daemon) => self.freeze(*daemon, scheduled.duration).await?,
             Fault::Terminate(daemon) => self.terminate(*daemon).await?,
-            Fault::HangUp(daemon) => self.daemons[*daemon].signal(Signal::HUP)?,
+            Fault::ReloadSettings(daemon) => self.daemons[*daemon].signal(Signal::HUP)?,
             Fault::Store(mode) => {
                 self.platform.store.set_mode(*mode);
-                self.pass(drawn.time).await?;
+                self.run_for(scheduled.duration).await?;
                 self.platform.store.set_mode(StoreMode::Up);
-                self.store_trouble(begun);
+                self.add_store_disruption(started_at);
             }
-            Fault::Door(daemon, mode) => {
-                self.daemons[*daemon].door.set_mode(*mode);
-                self.pass(drawn.time).await?;
-                self.daemons[*daemon].door.set_mode(StoreMode::Up);
-                self.store_trouble(begun);
+            Fault::StoreLink(daemon, mode) => {
+                self.daemons[*daemon].store_link.set_mode(*mode);
+                self.run_for(scheduled.duration).await?;
+                self.daemons[*daemon].store_link.set_mode(StoreMode::Up);
+                self.add_store_disruption(started_at);
             }
             Fault::DropHistory => self.platform.store.drop_history(),
             Fault::Engine(index, behaviour) => {
-                let engine = self.platform.members[staying[*index]].engine.clone();
+                let engine = self.platform.members[active_engines[*index]].engine.clone();
                 engine.behave_always(*behaviour);
-                self.pass(drawn.time).await?;
+                self.run_for(scheduled.duration).await?;
                 engine.behave_well();
             }
-            Fault::EngineBriefly(index, behaviour) => {
-                let engine = &self.platform.members[staying[*index]].engine;
+            Fault::EngineRequests(index, behaviour) => {
+                let engine = &self.platform.members[active_engines[*index]].engine;
                 engine.behave_next(&[*behaviour; 6]);
             }
-            Fault::Drain(index) => self.leave(staying[*index], true).await?,
-            Fault::Vanish(index) => self.leave(staying[*index], false).await?,
-            Fault::CrashingRequest => self.send_crashing_request(drawn.time).await?,
+            Fault::Drain(index) => self.remove_engine(active_engines[*index], true).await?,
+            Fault::RemoveEntry(index) => self.remove_engine(active_engines[*index], false).await?,
+            Fault::CrashingRequest => self.send_crashing_request(scheduled.duration).await?,
             Fault::Configure => self.configure().await?,
         }
-        self.pass(drawn.pause).await
+        self.run_for(scheduled.pause).await
     }
 
-    /// Lets time pass while processes are kept running and callers sent to those that are ready.
-    async fn pass(&mut self, time: Duration) -> Result<()> {
-        let end = Instant::now() + time;
+    /// Waits for `duration`, meanwhile restarting exited processes, advancing the scheduled events
+    /// and directing callers to the ready daemons.
+    async fn run_for(&mut self, duration: Duration) -> Result<()> {
+        let end = Instant::now() + duration;
         loop {
             for daemon in &mut self.daemons {
                 let now = Instant::now();
                 let expected = daemon.disturbed_until.is_some_and(|until| until > now);
-                daemon.keep_running(expected)?;
+                daemon.restart_if_exited(expected)?;
             }
-            self.platform.tend_engines().await?;
-            self.tend_limits();
-            self.tend_restorer();
-            self.look_for_ready().await;
+            self.platform.update_engines().await?;
+            self.update_rate_limits();
+            self.update_restores();
+            self.update_targets().await;
             if Instant::now() >= end {
                 return Ok(());
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn tend_limits(&mut self) {
-        let staying = self.staying().into_iter();
-        let engines: Vec<EngineStandIn> = staying
+    fn update_rate_limits(&mut self) {
+        let active_engines = self.active_engines().into_iter();
+        let engines: Vec<EngineStandIn> = active_engines
             .map(|index| self.platform.members[index].engine.clone())
             .collect();
-        if let Some(limiter) = &mut self.limiter {
-            limiter.tend(&engines);
+        if let Some(rate_limiter) = &mut self.rate_limiter {
+            rate_limiter.tick(&engines);
         }
     }
 
-    fn tend_restorer(&mut self) {
+    fn update_restores(&mut self) {
         let Some(restorer) = &mut self.restorer else {
             return;
         };
-        if let Some(trouble) = restorer.tend(&self.platform) {
-            self.troubles.0.push(trouble);
-            self.store_troubles.0.push(trouble);
+        if let Some(disruption) = restorer.tick(&self.platform) {
+            self.disruptions.0.push(disruption);
+            self.store_disruptions.0.push(disruption);
         }
     }
 
-    /// The request goes on while later faults strike.
-    async fn send_crashing_request(&mut self, time: Duration) -> Result<()> {
+    /// Starts repeating a crashing request, which continues while later faults are injected.
+    async fn send_crashing_request(&mut self, duration: Duration) -> Result<()> {
         let name = format!("crasher{}", self.faults.len());
-        let end = Instant::now() + CRASHER_TIME;
+        let end = Instant::now() + CRASHING_REQUEST_DURATION;
         let seed = self.random.random();
-        tokio::spawn(crash_again_and_again(
+        tokio::spawn(repeat_crashing_request(
             self.client.clone(),
             Arc::clone(&self.load),
             name,
             seed,
             end,
         ));
-        self.pass(time).await
+        self.run_for(duration).await
     }
 
-    fn disturb(&mut self, daemon: usize, time: Duration) {
-        self.daemons[daemon].disturbed_until = Some(Instant::now() + time + AFTERMATH);
+    fn mark_disturbed(&mut self, daemon: usize, duration: Duration) {
+        self.daemons[daemon].disturbed_until = Some(Instant::now() + duration + RECOVERY_TIME);
     }
 
-    fn trouble(&mut self, begun: Instant) {
-        self.troubles.0.push((begun, Instant::now() + AFTERMATH));
+    fn add_disruption(&mut self, started_at: Instant) {
+        self.disruptions
+            .0
+            .push((started_at, Instant::now() + RECOVERY_TIME));
     }
 
-    fn note_outages(&mut self, daemons: &[usize], begun: Instant) {
+    fn record_outages(&mut self, daemons: &[usize], started_at: Instant) {
         for daemon in daemons {
             self.outages.push(Outage {
-                daemon: self.daemons[*daemon].callers,
-                from: begun,
-                to: Instant::now() + AFTERMATH,
+                daemon: self.daemons[*daemon].caller_address,
+                from: started_at,
+                to: Instant::now() + RECOVERY_TIME,
             });
         }
     }
 
-    fn store_trouble(&mut self, begun: Instant) {
-        self.trouble(begun);
-        self.store_troubles
+    fn add_store_disruption(&mut self, started_at: Instant) {
+        self.add_disruption(started_at);
+        self.store_disruptions
             .0
-            .push((begun, Instant::now() + AFTERMATH));
+            .push((started_at, Instant::now() + RECOVERY_TIME));
     }
 
-    async fn kill(&mut self, daemons: &[usize], _time: Duration) -> Result<()> {
-        let begun = Instant::now();
+    async fn kill(&mut self, daemons: &[usize], _duration: Duration) -> Result<()> {
+        let started_at = Instant::now();
         for daemon in daemons {
-            self.disturb(*daemon, Duration::ZERO);
+            self.mark_disturbed(*daemon, Duration::ZERO);
             self.daemons[*daemon].signal(Signal::KILL)?;
         }
-        self.pass(Duration::from_millis(500)).await?;
-        self.note_outages(daemons, begun);
-        self.trouble(begun);
+        self.run_for(Duration::from_millis(500)).await?;
+        self.record_outages(daemons, started_at);
+        self.add_disruption(started_at);
         Ok(())
     }
 
-    async fn freeze(&mut self, daemon: usize, time: Duration) -> Result<()> {
-        let begun = Instant::now();
-        self.disturb(daemon, time);
+    async fn freeze(&mut self, daemon: usize, duration: Duration) -> Result<()> {
+        let started_at = Instant::now();
+        self.mark_disturbed(daemon, duration);
         self.daemons[daemon].signal(Signal::STOP)?;
-        self.pass(time).await?;
+        self.run_for(duration).await?;
         self.daemons[daemon].signal(Signal::CONT)?;
-        self.note_outages(&[daemon], begun);
-        self.trouble(begun);
+        self.record_outages(&[daemon], started_at);
+        self.add_disruption(started_at);
         Ok(())
     }
 
     async fn terminate(&mut self, daemon: usize) -> Result<()> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let grace = Duration::from_secs(8);
-        self.disturb(daemon, grace);
+        self.mark_disturbed(daemon, grace);
         self.daemons[daemon].signal(Signal::TERM)?;
-        self.pass(Duration::from_millis(3_500)).await?;
-        self.trouble(begun);
+        self.run_for(Duration::from_millis(3_500)).await?;
+        self.add_disruption(started_at);
         Ok(())
     }
 
-    async fn leave(&mut self, index: usize, says_so: bool) -> Result<()> {
+    async fn remove_engine(&mut self, index: usize, announces_drain: bool) -> Result<()> {
         let engine = self.platform.members[index].engine.clone();
         let (service, stage) = if engine.is_model_engine() {
-            (MODELS, engine.stage())
+            (MODEL_SERVICE, engine.stage())
         } else {
-            (RECORDS, None)
+            (PLAIN_SERVICE, None)
         };
-        if says_so {
+        if announces_drain {
             engine.record(&self.platform.store, "draining");
         } else {
             engine.vanish(&self.platform.store);
         }
-        self.platform.members[index].left = Some(Instant::now());
-        self.platform.members[index].drains = says_so;
+        self.platform.members[index].left_at = Some(Instant::now());
+        self.platform.members[index].announced_drain = announces_drain;
         self.platform.add_engine(service, stage).await?;
-        self.pass(Duration::from_millis(300)).await
+        self.run_for(Duration::from_millis(300)).await
     }
 
     async fn configure(&mut self) -> Result<()> {
-        let begun = Instant::now();
-        let has_changing = !self.platform.has_changing;
-        self.platform.configure(has_changing);
-        self.pass(CONFIGURATION_BOUND).await?;
-        if self.troubles.touch(begun - AFTERMATH, Instant::now()) {
+        let started_at = Instant::now();
+        let has_toggled_route = !self.platform.has_toggled_route;
+        self.platform.configure(has_toggled_route);
+        self.run_for(CONFIGURATION_LIMIT).await?;
+        if self
+            .disruptions
+            .overlaps(started_at - RECOVERY_TIME, Instant::now())
+        {
             return Ok(());
         }
-        let expected = if has_changing {
+        let expected = if has_toggled_route {
             StatusCode::OK
         } else {
             StatusCode::NOT_FOUND
         };
         for index in 0..self.daemons.len() {
-            let request = ClientRequest::plain(&format!("probe-{begun:?}-{index}"), CHANGING);
-            let status = self.status_of(index, &request).await;
+            let request =
+                ClientRequest::plain(&format!("probe-{started_at:?}-{index}"), TOGGLED_ROUTE);
+            let status = self.request_status(index, &request).await;
             let is_undisturbed = self.daemons[index]
                 .disturbed_until
-                .is_none_or(|until| until < begun);
-            // An engine that misbehaves may fail it; only the wrong configuration is told here.
+                .is_none_or(|until| until < started_at);
+            // Other statuses may come from a misbehaving engine and do not show the configuration.
             let is_wrong = match status {
-                Some(StatusCode::NOT_FOUND) => has_changing,
-                Some(StatusCode::OK) => !has_changing,
+                Some(StatusCode::NOT_FOUND) => has_toggled_route,
+                Some(StatusCode::OK) => !has_toggled_route,
                 _ => false,
             };
             if is_undisturbed && is_wrong {
                 self.violations.push(Violation {
-                    rule: "a configuration is in force in time",
-                    seen: format!("{}: {status:?}, not {expected}", self.daemons[index].name),
+                    rule: "configuration changes take effect in time",
+                    observed: format!(
+                        "{}: {status:?}, expected {expected}",
+                        self.daemons[index].name
+                    ),
                 });
             }
         }
         Ok(())
     }
 
-    async fn status_of(&self, daemon: usize, request: &ClientRequest) -> Option<StatusCode> {
-        let asked = self.client.ask(self.daemons[daemon].callers, request);
-        let answer = timeout(Duration::from_secs(3), asked).await.ok()??;
+    async fn request_status(&self, daemon: usize, request: &ClientRequest) -> Option<StatusCode> {
+        let response = self
+            .client
+            .ask(self.daemons[daemon].caller_address, request);
+        let answer = timeout(Duration::from_secs(3), response).await.ok()??;
         Some(answer.status)
     }
 
-    async fn calm_down(&mut self) -> Result<()> {
-        if let Some(limiter) = &mut self.limiter {
-            limiter.lift();
+    async fn end_faults(&mut self) -> Result<()> {
+        if let Some(rate_limiter) = &mut self.rate_limiter {
+            rate_limiter.clear_limit();
         }
-        let limiter = self.limiter.take();
+        let rate_limiter = self.rate_limiter.take();
         let mut restorer = self.restorer.take();
         if let Some(restorer) = &mut restorer {
-            restorer.end(&self.platform);
+            restorer.finish(&self.platform);
         }
         self.platform.store.set_mode(StoreMode::Up);
         for daemon in &self.daemons {
-            daemon.door.set_mode(StoreMode::Up);
+            daemon.store_link.set_mode(StoreMode::Up);
         }
         for member in &self.platform.members {
             member.engine.behave_well();
         }
-        self.pass(AFTERMATH + Duration::from_secs(4)).await?;
-        self.limiter = limiter;
+        self.run_for(RECOVERY_TIME + Duration::from_secs(4)).await?;
+        self.rate_limiter = rate_limiter;
         self.restorer = restorer;
         Ok(())
     }
 
-    /// With all faults over, every daemon is ready and serves every request.
-    async fn check_calm(&mut self) {
-        let ready = self.look_for_ready().await;
+    /// Checks that after the end of all faults every daemon is ready and serves every request.
+    async fn check_recovery(&mut self) {
+        let ready = self.update_targets().await;
         if ready < self.daemons.len() {
             self.violations.push(Violation {
-                rule: "all recover",
-                seen: format!("{ready} of {} daemons are ready", self.daemons.len()),
+                rule: "daemons recover after the faults",
+                observed: format!("{ready} of {} daemons are ready", self.daemons.len()),
             });
         }
         for index in 0..self.daemons.len() {
-            for number in 0..CALM_REQUESTS {
+            for number in 0..FINAL_REQUESTS_PER_DAEMON {
                 let request = ClientRequest::plain(&format!("calm-{index}-{number}"), "post");
-                let status = self.status_of(index, &request).await;
+                let status = self.request_status(index, &request).await;
                 if status != Some(StatusCode::OK) {
                     self.violations.push(Violation {
-                        rule: "all recover",
-                        seen: format!("{} answers {status:?}", self.daemons[index].name),
+                        rule: "daemons recover after the faults",
+                        observed: format!("{} answered {status:?}", self.daemons[index].name),
                     });
                 }
             }
         }
         for daemon in &self.daemons {
-            if daemon.own_ends > 0 {
+            if daemon.unexpected_exits > 0 {
                 self.violations.push(Violation {
-                    rule: "no process ends by itself",
-                    seen: format!("{} did {} times", daemon.name, daemon.own_ends),
+                    rule: "processes do not exit unexpectedly",
+                    observed: format!("{} exited {} times", daemon.name, daemon.unexpected_exits),
                 });
             }
         }
     }
 
     fn report(self) -> Report {
-        let asked = self.load.asked.lock().expect("no holder panics").clone();
+        let requests = self
+            .load
+            .requests
+            .lock()
+            .expect("the lock is not poisoned")
+            .clone();
         let mut violations = self.violations;
         let members = &self.platform.members;
-        violations.extend(check(&asked, members, &self.troubles));
-        violations.extend(check_crashing_requests(members, &self.store_troubles));
-        violations.extend(self.limiter.iter().flat_map(Limiter::check));
-        violations.extend(check_answers(&asked, members, &self.outages));
-        let served = asked.iter().filter(|one| {
-            let answer = one.answer.as_ref();
+        violations.extend(check(&requests, members, &self.disruptions));
+        violations.extend(check_crashing_requests(members, &self.store_disruptions));
+        violations.extend(self.rate_limiter.iter().flat_map(RateLimitInjector::check));
+        violations.extend(check_every_request_answered(
+            &requests,
+            members,
+            &self.outages,
+        ));
+        let served = requests.iter().filter(|request| {
+            let answer = request.answer.as_ref();
             answer.is_some_and(|answer| answer.status.is_success() && answer.is_whole)
         });
         Report {
             served: served.count(),
-            asked: asked.len(),
-            limits: self.limiter.as_ref().map_or(0, Limiter::count),
-            restores: self.restorer.as_ref().map_or(0, Restorer::count),
+            requests: requests.len(),
+            limits: self
+                .rate_limiter
+                .as_ref()
+                .map_or(0, RateLimitInjector::count),
+            restores: self.restorer.as_ref().map_or(0, StoreRestorer::count),
             faults: self.faults,
             violations,
         }
--- a/crates/soak/src/crashable.rs
+++ b/crates/soak/src/task_group.rs
@@ -1,4 +1,4 @@
-//! Engines of this process that can crash: everything that one of them runs ends at once.
+//! Groups of tasks that are aborted together, which simulates the crash of an engine.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -6,14 +6,14 @@
 use ponddrift_runtime::{Runtime, Spawner};
 use tokio::task::AbortHandle;
 
-/// The tasks of one engine's life.
+/// The tasks of an engine between its start and its crash.
 #[derive(Debug, Default)]
 pub struct TaskGroup {
     tasks: Mutex<Vec<AbortHandle>>,
 }
 
 impl TaskGroup {
-    /// A runtime like `runtime` whose tasks belong to a new group.
+    /// Creates a group, and a copy of `runtime` that spawns its tasks in the group.
     #[must_use]
     pub fn of(runtime: &Runtime) -> (Arc<Self>, Runtime) {
         let group: Arc<Self> = Arc::default();
@@ -24,7 +24,7 @@
         (group, grouped)
     }
 
-    /// Ends all tasks: listeners close, and connections break.
+    /// Aborts all tasks, which closes their listeners and breaks their connections.
     pub fn crash(&self) {
         for task in self.lock().drain(..) {
             task.abort();
--- a/crates/soak/tests/logs.rs
+++ b/crates/soak/tests/logs.rs
@@ -1,4 +1,5 @@
-//! A real daemon's log: a small reader finds each failure's cause, and no reader is waited for.
+//! Checks that a daemon's log names the cause of each failed request, and that a slow or missing
+//! reader of the log does not delay requests.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -8,55 +9,55 @@
 use eyre::{Context as _, ContextCompat, Result};
 use http::StatusCode;
 use ponddrift_platform_stand_ins::{Behaviour, ClientRequest, ClientStandIn};
-use ponddrift_soak::daemons::{DaemonProcess, binary};
-use ponddrift_soak::platform::{MODELS, Platform, own_address};
+use ponddrift_soak::daemons::{DaemonProcess, serve_binary_path};
+use ponddrift_soak::platform::{MODEL_SERVICE, Platform, unique_loopback_address};
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, ChildStdout, Command};
 use tokio::time::sleep;
 
-/// Looks for an event before it counts as missing; generous, since only a broken daemon uses it up.
-const LOOKS: u32 = 600;
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+/// Number of polls before an event counts as missing; reached only on failure.
+const POLL_ATTEMPTS: u32 = 600;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-struct Scene {
+struct TestFleet {
     platform: Platform,
     daemon: DaemonProcess,
     client: ClientStandIn,
     folder: PathBuf,
 }
 
-impl Scene {
+impl TestFleet {
     async fn new(name: &str) -> Result<Self> {
         let folder = std::env::temp_dir().join(format!("ponddrift-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let platform = Platform::start(1).await?;
         let daemon = DaemonProcess::start(1, &platform, &folder).await?;
         let client = ClientStandIn::new(platform.runtime.clone());
-        let scene = Self {
+        let fleet = Self {
             platform,
             daemon,
             client,
             folder,
         };
-        scene.await_ready().await?;
-        Ok(scene)
+        fleet.await_ready().await?;
+        Ok(fleet)
     }
 
-    /// Waits until a request is served: configuration and back ends are known then.
+    /// Waits until a request is served, which requires that configuration and back ends are known.
     async fn await_ready(&self) -> Result<()> {
-        for look in 0..LOOKS {
+        for look in 0..POLL_ATTEMPTS {
             let request = ClientRequest::prompt(&format!("ready-{look}"), "verdict", 40, 200);
-            let answer = self.client.ask(self.daemon.callers, &request).await;
+            let answer = self.client.ask(self.daemon.caller_address, &request).await;
             if answer.is_some_and(|answer| answer.status == StatusCode::OK) {
                 return Ok(());
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
-        eyre::bail!("the daemon never served a request")
+        eyre::bail!("the daemon did not serve a request in time")
     }
 
-    fn models_behave(&self, behaviour: Behaviour) {
+    fn set_model_behaviour(&self, behaviour: Behaviour) {
         for member in &self.platform.members {
             if member.engine.is_model_engine() {
                 member.engine.behave_always(behaviour);
@@ -65,13 +66,13 @@
     }
 
     async fn ask(&self, request: &ClientRequest) -> Result<StatusCode> {
-        let answer = self.client.ask(self.daemon.callers, request).await;
-        Ok(answer.wrap_err("an answer")?.status)
+        let answer = self.client.ask(self.daemon.caller_address, request).await;
+        Ok(answer.wrap_err("the daemon sent no answer")?.status)
     }
 
-    /// All that the log tells of a request, once its end is there.
-    async fn told(&self, id: &str) -> Result<Vec<Value>> {
-        for _ in 0..LOOKS {
+    /// All log lines of a request, once the line for its end has been written.
+    async fn request_lines(&self, id: &str) -> Result<Vec<Value>> {
+        for _ in 0..POLL_ATTEMPTS {
             let lines = lines_of(&self.folder.join("daemon-1.log"), id)?;
             if lines
                 .last()
@@ -79,15 +80,15 @@
             {
                 return Ok(lines);
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
-        eyre::bail!("the log never told the end of {id}")
+        eyre::bail!("the log has no request_ended line for {id}")
     }
 }
 
-impl Drop for Scene {
+impl Drop for TestFleet {
     fn drop(&mut self) {
-        // Left-over files harm nobody.
+        // Leftover files do not affect other tests.
         drop(std::fs::remove_dir_all(&self.folder));
     }
 }
@@ -100,8 +101,8 @@
     Ok(lines.filter(|line| line["request"] == id).collect())
 }
 
-/// The engine and the outcome of the last try that did not end well.
-fn culprit(lines: &[Value]) -> Option<(String, String)> {
+/// The engine and the outcome of the last failed attempt.
+fn failed_attempt(lines: &[Value]) -> Option<(String, String)> {
     let mut tries = lines
         .iter()
         .filter(|line| line["message"] == "attempt_ended");
@@ -113,33 +114,36 @@
 
 #[tokio::test]
 async fn a_refused_request_is_traced_to_the_engines_that_rejected_it() -> Result<()> {
-    let scene = Scene::new("refused").await?;
-    scene.models_behave(Behaviour::Refuse);
+    let fleet = TestFleet::new("refused").await?;
+    fleet.set_model_behaviour(Behaviour::Refuse);
     let request = ClientRequest::prompt("refused-1", "verdict", 40, 200);
-    assert_eq!(scene.ask(&request).await?, StatusCode::SERVICE_UNAVAILABLE);
-    let lines = scene.told("refused-1").await?;
-    let end = lines.last().wrap_err("an end")?;
+    assert_eq!(fleet.ask(&request).await?, StatusCode::SERVICE_UNAVAILABLE);
+    let lines = fleet.request_lines("refused-1").await?;
+    let end = lines.last().wrap_err("no log lines")?;
     assert_eq!(end["outcome"], "refused");
     assert_eq!(end["runs"], 0);
-    let (engine, outcome) = culprit(&lines).wrap_err("a try")?;
+    let (engine, outcome) = failed_attempt(&lines).wrap_err("no attempt_ended line")?;
     assert_eq!(outcome, "back_end_refused");
-    let mut members = scene.platform.members.iter();
+    let mut members = fleet.platform.members.iter();
     let rejected = members.find(|member| member.engine.id() == engine);
-    assert!(rejected.wrap_err("an engine")?.engine.rejected() > 0);
+    assert!(rejected.wrap_err("unknown engine")?.engine.rejected() > 0);
     Ok(())
 }
 
 #[tokio::test]
 async fn a_request_lost_with_its_engine_is_traced_to_that_engine() -> Result<()> {
-    let scene = Scene::new("lost").await?;
-    scene.models_behave(Behaviour::BreakOff);
+    let fleet = TestFleet::new("lost").await?;
+    fleet.set_model_behaviour(Behaviour::BreakOff);
     let request = ClientRequest::prompt("lost-1", "verdict", 40, 200);
-    scene.ask(&request).await?;
-    let lines = scene.told("lost-1").await?;
-    assert_eq!(lines.last().wrap_err("an end")?["outcome"], "broken_off");
-    let (engine, outcome) = culprit(&lines).wrap_err("a try")?;
+    fleet.ask(&request).await?;
+    let lines = fleet.request_lines("lost-1").await?;
+    assert_eq!(
+        lines.last().wrap_err("no log lines")?["outcome"],
+        "broken_off"
+    );
+    let (engine, outcome) = failed_attempt(&lines).wrap_err("no attempt_ended line")?;
     assert!(outcome.starts_with("broke"), "{outcome}");
-    let members = scene.platform.members.iter();
+    let members = fleet.platform.members.iter();
     let ran: Vec<&str> = members
         .filter(|member| {
             member
@@ -156,62 +160,66 @@
 
 #[tokio::test]
 async fn a_late_request_is_traced_to_the_time_its_engine_took() -> Result<()> {
-    let scene = Scene::new("late").await?;
-    scene.models_behave(Behaviour::Stream {
+    let fleet = TestFleet::new("late").await?;
+    fleet.set_model_behaviour(Behaviour::Stream {
         events: 1,
         gap_ms: 700,
     });
     let request = ClientRequest::prompt("late-1", "verdict", 40, 200);
-    assert_eq!(scene.ask(&request).await?, StatusCode::OK);
-    let lines = scene.told("late-1").await?;
-    let end = lines.last().wrap_err("an end")?;
+    assert_eq!(fleet.ask(&request).await?, StatusCode::OK);
+    let lines = fleet.request_lines("late-1").await?;
+    let end = lines.last().wrap_err("no log lines")?;
     assert_eq!(end["outcome"], "served");
     assert_eq!(end["in_time"], false);
-    let waited = end["waited_ms"].as_f64().wrap_err("a time")?;
+    let waited = end["waited_ms"].as_f64().wrap_err("missing time field")?;
     let placed = lines.iter().find(|line| line["message"] == "placed");
-    let expected = placed.wrap_err("a placement")?["expected_ms"].as_f64();
+    let expected = placed.wrap_err("no placed line")?["expected_ms"].as_f64();
     let answered = lines.iter().find(|line| line["outcome"] == "answered");
-    let took = answered.wrap_err("a try")?["took_ms"].as_f64();
+    let took = answered.wrap_err("no attempt_ended line")?["took_ms"].as_f64();
     assert!(waited >= 700.0, "{waited}");
-    assert!(took.wrap_err("a time")? >= 700.0);
+    assert!(took.wrap_err("missing time field")? >= 700.0);
     assert!(
-        expected.wrap_err("a time")? < 200.0,
-        "the engine took longer than it should"
+        expected.wrap_err("missing time field")? < 200.0,
+        "the expected time must show that the engine was slow"
     );
-    let engine = end["back_ends"].as_str().wrap_err("an engine")?;
-    let mut members = scene.platform.members.iter();
+    let engine = end["back_ends"].as_str().wrap_err("unknown engine")?;
+    let mut members = fleet.platform.members.iter();
     assert!(members.any(|member| member.engine.id() == engine));
-    assert!(engine.starts_with("i-") && !MODELS.is_empty());
+    assert!(engine.starts_with("i-") && !MODEL_SERVICE.is_empty());
     Ok(())
 }
 
-/// A daemon whose standard output is a pipe.
+/// A daemon whose standard output is a pipe, which nobody reads unless the test does.
 struct PipedDaemon {
     child: Child,
     output: Option<ChildStdout>,
     client: ClientStandIn,
-    callers: SocketAddr,
-    readiness: SocketAddr,
+    caller_address: SocketAddr,
+    readiness_address: SocketAddr,
     folder: PathBuf,
     _platform: Platform,
 }
 
 impl PipedDaemon {
-    /// Starts one in a folder of its own; nobody reads its output yet.
+    /// Starts a daemon with its own directory.
     async fn start(name: &str, number: u64) -> Result<Self> {
         let platform = Platform::start(number).await?;
         let folder = std::env::temp_dir().join(format!("ponddrift-{name}-{}", std::process::id()));
-        let [callers, readiness, peers, store] =
-            [own_address(), own_address(), own_address(), own_address()];
+        let [caller_address, readiness_address, peers, store] = [
+            unique_loopback_address(),
+            unique_loopback_address(),
+            unique_loopback_address(),
+            unique_loopback_address(),
+        ];
         std::mem::forget(platform.store.serve(&platform.runtime, store).await?);
         let text = format!(
-            "[daemon]\nname = \"d\"\nzone = \"a\"\n[listen]\ncallers = \"{callers}\"\n\
-             readiness = \"{readiness}\"\npeers = \"{peers}\"\n[store]\naddress = \"{store}\"\n[log]\nlines_waiting = 50\n"
+            "[daemon]\nname = \"d\"\nzone = \"a\"\n[listen]\ncallers = \"{caller_address}\"\n\
+             readiness = \"{readiness_address}\"\npeers = \"{peers}\"\n[store]\naddress = \"{store}\"\n[log]\nlines_waiting = 50\n"
         );
         std::fs::create_dir_all(&folder)?;
         let path = folder.join("d.toml");
         std::fs::write(&path, text)?;
-        let mut child = Command::new(binary()?)
+        let mut child = Command::new(serve_binary_path()?)
             .arg("--config")
             .arg(&path)
             .stdout(Stdio::piped())
@@ -224,33 +232,36 @@
             child,
             output,
             client,
-            callers,
-            readiness,
+            caller_address,
+            readiness_address,
             folder,
             _platform: platform,
         })
     }
 
     async fn await_ready(&self) -> Result<()> {
-        await_ready(&self.client, self.readiness).await
+        await_ready(&self.client, self.readiness_address).await
     }
 
-    /// Some requests of one route, `at_a_time` at a time, all with the same answer.
-    async fn flood(
+    /// Sends requests to a route from `concurrency` concurrent callers, and checks that each is
+    /// answered with the `expected` status.
+    async fn send_requests(
         &self,
         route: &'static str,
         requests: usize,
-        at_a_time: usize,
+        concurrency: usize,
         expected: StatusCode,
     ) -> Result<()> {
-        let callers = self.callers;
-        let tasks: Vec<_> = (0..at_a_time)
+        let caller_address = self.caller_address;
+        let tasks: Vec<_> = (0..concurrency)
             .map(|caller| {
                 let client = self.client.clone();
                 tokio::spawn(async move {
-                    for number in 0..requests / at_a_time {
+                    for number in 0..requests / concurrency {
                         let id = format!("{caller}-{number}");
-                        let answer = client.ask(callers, &ClientRequest::plain(&id, route)).await;
+                        let answer = client
+                            .ask(caller_address, &ClientRequest::plain(&id, route))
+                            .await;
                         assert_eq!(answer.map(|answer| answer.status), Some(expected));
                     }
                 })
@@ -262,15 +273,16 @@
         Ok(())
     }
 
-    /// Lines that were dropped; figures are brought up to date now and then.
+    /// Number of dropped log lines. Polls until it is positive, since the metric is updated
+    /// periodically.
     async fn dropped_lines(&self) -> Result<f64> {
         let mut dropped = 0.0;
-        for _ in 0..LOOKS {
-            dropped = dropped_lines(&self.client, self.readiness).await?;
+        for _ in 0..POLL_ATTEMPTS {
+            dropped = dropped_lines(&self.client, self.readiness_address).await?;
             if dropped > 0.0 {
                 break;
             }
-            sleep(LOOK_PAUSE).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(dropped)
     }
@@ -282,49 +294,61 @@
     }
 }
 
-/// Requests that are asked at a time to fill the log.
-const AT_A_TIME: usize = 16;
+/// Number of concurrent callers that fill the log.
+const CONCURRENT_CALLERS: usize = 16;
 
 #[tokio::test]
-async fn a_reader_that_does_not_read_holds_no_request_up_and_costs_only_lines() -> Result<()> {
-    /// Each leaves a line; more than the pipe and the waiting lines hold together.
+async fn a_stalled_log_reader_delays_no_request_and_only_drops_lines() -> Result<()> {
+    /// Each request writes a log line; together more than the pipe and the log queue can hold.
     const REQUESTS: usize = 1_600;
     let daemon = PipedDaemon::start("flood", 2).await?;
     daemon.await_ready().await?;
     daemon
-        .flood("nowhere", REQUESTS, AT_A_TIME, StatusCode::NOT_FOUND)
+        .send_requests(
+            "nowhere",
+            REQUESTS,
+            CONCURRENT_CALLERS,
+            StatusCode::NOT_FOUND,
+        )
         .await?;
     let dropped = daemon.dropped_lines().await?;
-    assert!(dropped > 0.0, "lines that found no room are counted");
+    assert!(
+        dropped > 0.0,
+        "lines that do not fit into the queue must be counted"
+    );
     Ok(())
 }
 
-/// Whatever the reader missed of served requests, the line of one that failed is there.
+/// When the log queue is full, lines of failed requests must be kept in preference to lines of
+/// served requests.
 #[tokio::test]
-async fn lines_of_served_requests_go_first() -> Result<()> {
-    /// Each leaves a line; more than the pipe and the waiting lines hold together.
+async fn lines_of_served_requests_are_dropped_before_lines_of_failed_requests() -> Result<()> {
+    /// Each request writes a log line; together more than the pipe and the log queue can hold.
     const SERVED: usize = 1_200;
     let mut daemon = PipedDaemon::start("worth", 4).await?;
     daemon.await_ready().await?;
     daemon
-        .flood("post", SERVED, AT_A_TIME, StatusCode::OK)
+        .send_requests("post", SERVED, CONCURRENT_CALLERS, StatusCode::OK)
         .await?;
     assert!(daemon.dropped_lines().await? > 0.0);
     let failing = ClientRequest::plain("failing", "nowhere");
-    let answer = daemon.client.ask(daemon.callers, &failing).await;
+    let answer = daemon.client.ask(daemon.caller_address, &failing).await;
     assert_eq!(
         answer.map(|answer| answer.status),
         Some(StatusCode::NOT_FOUND)
     );
-    let output = daemon.output.take().wrap_err("its output")?;
+    let output = daemon
+        .output
+        .take()
+        .wrap_err("the output was already taken")?;
     let reading = line_of(output, "failing");
-    let found = tokio::time::timeout(LOOK_PAUSE * LOOKS, reading).await;
+    let found = tokio::time::timeout(POLL_INTERVAL * POLL_ATTEMPTS, reading).await;
     let line = found.wrap_err("the failed request left no line")??;
     assert_eq!(line["status"], 404);
     Ok(())
 }
 
-/// The first line of a request.
+/// The first log line of a request.
 async fn line_of(output: ChildStdout, request: &str) -> Result<Value> {
     let mut lines = BufReader::new(output).lines();
     while let Some(line) = lines.next_line().await? {
@@ -337,36 +361,39 @@
 }
 
 #[tokio::test]
-async fn a_closed_standard_output_holds_no_request_up() -> Result<()> {
+async fn a_closed_standard_output_delays_no_request() -> Result<()> {
     const REQUESTS: usize = 200;
     let mut daemon = PipedDaemon::start("closed", 3).await?;
     drop(daemon.output.take());
     daemon.await_ready().await?;
     daemon
-        .flood("nowhere", REQUESTS, 1, StatusCode::NOT_FOUND)
+        .send_requests("nowhere", REQUESTS, 1, StatusCode::NOT_FOUND)
         .await?;
-    assert!(daemon.child.try_wait()?.is_none(), "it runs on");
+    assert!(
+        daemon.child.try_wait()?.is_none(),
+        "the daemon must keep running"
+    );
     Ok(())
 }
 
-async fn await_ready(client: &ClientStandIn, readiness: SocketAddr) -> Result<()> {
-    for _ in 0..LOOKS {
-        if client.status(readiness, "/readiness").await == Some(StatusCode::OK) {
+async fn await_ready(client: &ClientStandIn, readiness_address: SocketAddr) -> Result<()> {
+    for _ in 0..POLL_ATTEMPTS {
+        if client.status(readiness_address, "/readiness").await == Some(StatusCode::OK) {
             return Ok(());
         }
-        sleep(LOOK_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
-    eyre::bail!("the daemon was never ready")
+    eyre::bail!("the daemon did not become ready in time")
 }
 
-async fn dropped_lines(client: &ClientStandIn, readiness: SocketAddr) -> Result<f64> {
+async fn dropped_lines(client: &ClientStandIn, readiness_address: SocketAddr) -> Result<f64> {
     let text = client
-        .text(readiness, "/metrics")
+        .text(readiness_address, "/metrics")
         .await
-        .wrap_err("figures")?;
+        .wrap_err("no metrics page")?;
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix("ponddrift_log_lines_dropped "))
-        .wrap_err("the figure")?;
+        .wrap_err("the metric is missing")?;
     Ok(line.parse()?)
 }
