--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: building them, and reading them within limits of size and time.
+//! HTTP bodies: construction, and reading within limits of size and time.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Error of a body in flight.
+/// Error while a body is transferred.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
-/// Body of the requests and responses we send.
+/// Body of the requests and responses that are sent.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body of nothing.
+/// Creates an empty body.
 #[must_use]
 pub fn empty() -> Body {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body of known bytes.
+/// Creates a body from bytes that are all known.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
@@ -30,7 +30,8 @@
         .boxed_unsync()
 }
 
-/// A body of pieces as they come. An `Err` piece cuts the message, which the receiver notices.
+/// Creates a body that is streamed from chunks. An `Err` chunk aborts the message, which the
+/// receiver detects.
 pub fn streamed<S>(pieces: S) -> Body
 where
     S: Stream<Item = Result<Bytes, BodyError>> + Send + 'static,
@@ -38,10 +39,10 @@
     StreamBody::new(pieces.map_ok(Frame::data)).boxed_unsync()
 }
 
-/// A JSON answer.
+/// Creates a response with a JSON body.
 ///
 /// # Panics
-/// Never for types whose serialization cannot fail, which are the only ones passed here.
+/// When `value` cannot be serialized, which must not be possible for the types passed here.
 #[must_use]
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).expect("wire types serialize");
@@ -57,22 +58,22 @@
 /// Why a body could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// It is longer than allowed.
+    /// The body exceeds the size limit.
     #[error("the body is larger than {limit} bytes: send less, or raise the limit in the settings")]
     TooLarge {
         /// The limit in bytes.
         limit: usize,
     },
-    /// It did not arrive in time.
+    /// The body did not arrive within the time limit.
     #[error("the body did not arrive within {limit:?}: send it faster, or raise the limit")]
     TooSlow {
-        /// The limit.
+        /// The time limit.
         limit: Duration,
     },
-    /// The connection broke.
+    /// The connection failed before the end of the body.
     #[error("the connection broke while the body was read: {0}")]
     Broken(String),
-    /// It is not the JSON that was expected.
+    /// The body is not JSON of the expected type.
     #[error("the body is not the expected JSON: {0}")]
     Json(#[from] serde_json::Error),
 }
@@ -103,10 +104,10 @@
     }
 }
 
-/// Reads a body as JSON, within limits.
+/// Reads a body of at most `size_limit` bytes within `time_limit`, and parses it as JSON.
 ///
 /// # Errors
-/// As [`read_all`], and [`ReadError::Json`].
+/// As [`read_all`], or [`ReadError::Json`] when the body is not JSON of type `T`.
 pub async fn read_json<T, B>(
     body: B,
     size_limit: usize,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Client with a connection pool, over the runtime's network.
+//! HTTP client with a connection pool, over the runtime's network.
 
 use std::future::Future;
 use std::io;
@@ -18,15 +18,16 @@
 
 use crate::body::Body;
 
-/// Settings of a client.
+/// Settings of a [`Client`].
 #[derive(Debug, Clone, Copy)]
 pub struct ClientSettings {
-    /// Time to open a connection.
+    /// Time limit for opening a connection.
     pub connect_time_limit: Duration,
-    /// Idle connections kept for each target.
+    /// Maximum number of idle connections kept for each target.
     pub idle_connections: usize,
-    /// Time an idle connection is kept: shorter than servers keep theirs (often 5 s), since a request that
-    /// is on its way when the server closes is lost, and nobody knows whether it ran.
+    /// Time that an idle connection is kept. Must be shorter than the servers' idle timeout (often
+    /// 5 s): a request sent while the server closes the connection is lost, and it is unknown
+    /// whether it ran.
     pub idle_time_limit: Duration,
 }
 
@@ -40,47 +41,50 @@
     }
 }
 
-/// Why a request got no answer.
+/// Reason why a request got no response.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// No connection: the request was certainly not sent.
+    /// No connection could be opened, so the request was not sent.
     #[error("no connection to {target}: {source}; check that the process runs and is reachable")]
     NotSent {
-        /// Where to.
+        /// Authority (host and port) of the target.
         target: String,
-        /// Why.
+        /// The underlying error.
         source: legacy::Error,
     },
-    /// The connection broke after the request may have been sent.
+    /// The connection failed after the request may have been sent.
     #[error("the connection to {target} broke before the answer came: {source}")]
     Broken {
-        /// Where to.
+        /// Authority (host and port) of the target.
         target: String,
-        /// Why.
+        /// The underlying error.
         source: legacy::Error,
     },
 }
 
 impl ClientError {
-    /// Whether the request certainly did not reach the target.
+    /// Whether it is certain that the request was not sent.
     #[must_use]
     pub fn was_not_sent(&self) -> bool {
         matches!(self, Self::NotSent { .. })
     }
 }
 
-/// Tells the pool the time, but never wakes it: idle connections are looked at when one is needed. The pool's
-/// own round drops them in the order of a hash map, so that two simulations of one seed would differ.
+/// Timer for the connection pool whose sleeps never elapse, so that the pool evicts expired idle
+/// connections only on checkout.
+///
+/// The pool's periodic eviction iterates over a hash map in random order, which would make
+/// simulations with the same seed differ.
 #[derive(Clone)]
 struct CheckoutTimer(TokioTimer);
 
 impl Timer for CheckoutTimer {
     fn sleep(&self, _duration: Duration) -> Pin<Box<dyn Sleep>> {
-        Box::pin(Never)
+        Box::pin(NeverElapsed)
     }
 
     fn sleep_until(&self, _deadline: Instant) -> Pin<Box<dyn Sleep>> {
-        Box::pin(Never)
+        Box::pin(NeverElapsed)
     }
 
     fn now(&self) -> Instant {
@@ -88,9 +92,9 @@
     }
 }
 
-struct Never;
+struct NeverElapsed;
 
-impl Future for Never {
+impl Future for NeverElapsed {
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<()> {
@@ -98,16 +102,16 @@
     }
 }
 
-impl Sleep for Never {}
+impl Sleep for NeverElapsed {}
 
-/// HTTP client; clones share the pool.
+/// HTTP client. Clones share the connection pool.
 #[derive(Clone)]
 pub struct Client {
     inner: legacy::Client<Connector, Body>,
 }
 
 impl Client {
-    /// A client over the runtime's network.
+    /// Creates a client that connects through the runtime's network.
     #[must_use]
     pub fn new(runtime: &Runtime, settings: ClientSettings) -> Self {
         let connector = Connector {
@@ -119,16 +123,16 @@
             .pool_timer(CheckoutTimer(TokioTimer::new()))
             .pool_max_idle_per_host(settings.idle_connections)
             .pool_idle_timeout(settings.idle_time_limit)
-            // hyper gives a request back only if no byte of it was written.
+            // Safe for all requests: hyper retries only if no byte of the request was written.
             .retry_canceled_requests(true)
             .build(connector);
         Self { inner }
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the response headers.
     ///
     /// # Errors
-    /// [`ClientError`], which tells whether the request may have arrived.
+    /// [`ClientError`], which distinguishes requests that were certainly not sent.
     pub async fn send(&self, request: Request<Body>) -> Result<Response<Incoming>, ClientError> {
         let target = request
             .uri()
@@ -178,11 +182,11 @@
 }
 
 fn invalid_target(uri: &Uri) -> io::Error {
-    let message = format!("{uri} does not name an IP number and a port");
+    let message = format!("{uri} is not a URI with a numeric IP address and a port");
     io::Error::new(io::ErrorKind::InvalidInput, message)
 }
 
-/// A connection of the pool.
+/// A connection in the pool.
 pub struct PooledStream(TokioIo<BoxedStream>);
 
 impl Connection for PooledStream {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP through hyper on both sides, over the runtime's traits.
+//! HTTP server and client, built on hyper and the runtime's traits.
 //!
 //! [`server`] accepts HTTP/1.1 and HTTP/2 and stops gracefully, [`client`] pools connections,
-//! [`body`] bounds what is read, [`problem`] is the shape of every error answer (RFC 9457).
+//! [`body`] reads bodies within limits, [`problem`] defines the error responses (RFC 9457).
 
 pub mod body;
 pub mod client;
--- a/crates/http/src/problem.rs
+++ b/crates/http/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem documents (RFC 9457): every error answer of ponddrift and of the stand-ins.
+//! Problem documents (RFC 9457), used for all error responses of ponddrift and the stand-ins.
 
 use std::time::Duration;
 
@@ -8,50 +8,50 @@
 
 use crate::body::{Body, full};
 
-/// Kinds of problems. Each has a stable name, a status and a title.
+/// Kind of a problem. The serialized name, status and title of each kind are stable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProblemKind {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest,
-    /// No such path.
+    /// The path does not exist.
     NotFound,
-    /// The configuration has no such service.
+    /// The service does not exist in the configuration.
     UnknownService,
-    /// The method does not fit the path.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// The body is too large.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The body came too slowly.
+    /// The body did not arrive within the time limit.
     BodyTooSlow,
-    /// A tenant's or service's limit is reached.
+    /// A limit of the tenant or service is reached.
     LimitReached,
-    /// The system sheds load.
+    /// The system is overloaded and sheds load.
     Overloaded,
-    /// The deadline passed, or cannot be met.
+    /// The deadline has passed or cannot be met.
     DeadlineExceeded,
-    /// No back end can take the request now.
+    /// No back end can currently accept the request.
     NoBackEnd,
-    /// The back end failed.
+    /// The back end failed to serve the request.
     BackEndFailed,
-    /// The idempotency key is claimed by a request that runs or ran.
+    /// The idempotency key is already claimed by a running or finished request.
     AlreadyClaimed,
-    /// A service that may not be repeated needs an `Idempotency-Key`.
+    /// The service does not allow repetitions and requires an `Idempotency-Key` header.
     IdempotencyKeyMissing,
-    /// The claim group has no majority.
+    /// The claim group has no majority, so the idempotency key cannot be claimed.
     ClaimUnavailable,
-    /// A conditional change found another revision.
+    /// A conditional change failed because the revision has changed.
     Conflict,
-    /// A change or query was refused.
+    /// A change or query was rejected.
     Refused,
-    /// The daemon is stopping or has not caught up.
+    /// The daemon is shutting down or has not caught up yet.
     Unavailable,
     /// The platform's key-value service cannot be reached.
     StoreUnavailable,
 }
 
 impl ProblemKind {
-    /// HTTP status of the kind.
+    /// HTTP status of responses of this kind.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Title of the kind.
+    /// Human-readable title of this kind.
     #[must_use]
     pub const fn title(self) -> &'static str {
         match self {
@@ -102,33 +102,33 @@
 /// A problem document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// The kind.
+    /// Kind of the problem.
     #[serde(rename = "type")]
     pub kind: ProblemKind,
-    /// The kind's title.
+    /// Title of the kind.
     pub title: String,
     /// HTTP status.
     pub status: u16,
-    /// What happened here, and the remedy.
+    /// What happened, and the remedy.
     pub detail: String,
     /// Whether the request may have run.
     pub execution: Execution,
-    /// The request's id.
+    /// Id of the request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request_id: Option<String>,
-    /// When to come back, in seconds; also in the `Retry-After` header.
+    /// Time to wait before a retry, in seconds; also sent in the `Retry-After` header.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<u64>,
 }
 
 impl Problem {
-    /// A problem of a request that was certainly not run.
+    /// Creates a problem for a request that was certainly not run.
     #[must_use]
     pub fn not_started(kind: ProblemKind, detail: impl Into<String>) -> Self {
         Self::new(kind, detail, Execution::NotStarted)
     }
 
-    /// A problem with what is known of the request's execution.
+    /// Creates a problem; `execution` says whether the request may have run.
     #[must_use]
     pub fn new(kind: ProblemKind, detail: impl Into<String>, execution: Execution) -> Self {
         Self {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Says when to come back; rounded up to whole seconds, at least one.
+    /// Sets the time to wait before a retry, rounded up to whole seconds and at least one second.
     #[must_use]
     pub fn retry_after(mut self, wait: Duration) -> Self {
         let seconds = wait.as_millis().div_ceil(1_000).max(1);
@@ -150,17 +150,17 @@
         self
     }
 
-    /// Names the request.
+    /// Sets the request id.
     #[must_use]
     pub fn for_request(mut self, request_id: impl ToString) -> Self {
         self.request_id = Some(request_id.to_string());
         self
     }
 
-    /// The answer that carries the problem.
+    /// Converts the problem into an HTTP response.
     ///
     /// # Panics
-    /// Never: the document always serializes.
+    /// Never: a problem can always be serialized.
     #[must_use]
     pub fn into_response(self) -> Response<Body> {
         let bytes = serde_json::to_vec(&self).expect("a problem serializes");
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Server for HTTP/1.1 and HTTP/2 that stops gracefully.
+//! HTTP/1.1 and HTTP/2 server with graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -20,15 +20,15 @@
 
 use crate::body::Body;
 
-/// Pause after a failed `accept`, so that a lack of file descriptors does not spin.
+/// Pause after a failed `accept`, which avoids a busy loop when file descriptors are exhausted.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Time between two looks at whether callers have closed their connections to a stopping server.
-const CLOSE_LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a stopping server checks whether its connections are closed.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request. Dropped when the caller goes away.
+    /// Handles a request. The future is dropped when the caller disconnects.
     fn handle(
         &self,
         request: Request<Incoming>,
@@ -52,15 +52,15 @@
     }
 }
 
-/// Limits of a server.
+/// Limits of a [`Server`].
 #[derive(Debug, Clone, Copy)]
 pub struct ServerSettings {
-    /// Time a caller has to send its request's head.
+    /// Time limit for receiving the request headers.
     pub header_time_limit: Duration,
-    /// Longest request head in bytes.
+    /// Maximum size of the request headers in bytes.
     pub header_size_limit: usize,
-    /// Most time in which a stopping server still takes requests and tells callers to close their
-    /// connections; it ends when none is open.
+    /// Maximum time for which a stopping server still accepts requests on open connections while it
+    /// asks callers to close them. Ends early when no connection is open.
     pub shutdown_grace: Duration,
 }
 
@@ -83,7 +83,7 @@
     spawner: Arc<dyn Spawner>,
 }
 
-/// Open connections, told to close together.
+/// Open connections, which can be shut down together.
 #[derive(Default)]
 struct Connections(Mutex<GracefulShutdown>);
 
@@ -99,7 +99,8 @@
         self.lock().count()
     }
 
-    /// Tells all that are open now to close after their request in progress, and waits until they have.
+    /// Closes all current connections after their requests in progress, and waits until they are
+    /// closed.
     fn close_open(&self) -> impl Future<Output = ()> + Send + 'static {
         let open = std::mem::take(&mut *self.lock());
         open.shutdown()
@@ -113,7 +114,7 @@
 }
 
 impl Server {
-    /// Binds `address` and serves until stopped.
+    /// Binds `address` and serves requests until [`Self::stop`] is called.
     ///
     /// # Errors
     /// When the address cannot be bound.
@@ -146,21 +147,23 @@
         Ok(server)
     }
 
-    /// The address that was bound.
+    /// The bound address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes every connection that is open now, after its request in progress if it has one. New connections are
-    /// still taken: their callers come when others have gone away.
+    /// Closes all current connections, each after its request in progress. Does not wait for them,
+    /// and keeps accepting new connections.
     pub fn close_connections(&self) {
         self.spawner.spawn(Box::pin(self.connections.close_open()));
     }
 
-    /// Takes no new connection, lets every request in progress end, and returns when all have. For
-    /// [`ServerSettings::shutdown_grace`] requests are still taken on open connections, each answered with `Connection: close`: a request that is on its way on an
-    /// open connection when that is closed is lost to its caller, who cannot know whether it ran.
+    /// Stops accepting connections, and returns when all requests in progress have ended.
+    ///
+    /// For [`ServerSettings::shutdown_grace`] the server still accepts requests on open connections
+    /// and answers them with `Connection: close`. Without this, a request in flight when its
+    /// connection is closed would be lost, and its caller could not know whether it ran.
     pub async fn stop(&self) {
         self.stop.cancel();
         self.stopped.cancelled().await;
@@ -179,11 +182,12 @@
     async fn run(self, listener: BoxedListener) {
         self.accept(&listener).await;
         drop(listener);
-        self.give_notice().await;
+        self.await_connections_closed().await;
         self.connections.close_open().await;
     }
 
-    /// Accepts until stopped, and then whatever waits already: it may have sent its request.
+    /// Accepts connections until stopped. Also accepts those already pending at that moment, whose
+    /// requests may have been sent.
     async fn accept(&self, listener: &BoxedListener) {
         loop {
             let accepted = tokio::select! {
@@ -202,11 +206,11 @@
         }
     }
 
-    /// Returns when callers have had time to close their connections.
-    async fn give_notice(&self) {
+    /// Waits until all connections are closed, at most for [`ServerSettings::shutdown_grace`].
+    async fn await_connections_closed(&self) {
         let end = Instant::now() + self.settings.shutdown_grace;
         while self.connections.count() > 0 && Instant::now() < end {
-            tokio::time::sleep(CLOSE_LOOK_INTERVAL).await;
+            tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,15 +1,15 @@
-//! What is wrong with the settings.
+//! Errors in the settings.
 
 use std::fmt;
 
-/// One fault: the key, its value, and what to do.
+/// An invalid or missing setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Dotted key, as `listen.gateway`.
+    /// Dotted key, such as `listen.gateway`.
     pub key: String,
-    /// The value found; `None` where there is none.
+    /// The value found; `None` if the key is missing.
     pub value: Option<String>,
-    /// What is wrong, and the remedy.
+    /// Description of the problem and its remedy.
     pub remedy: String,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// All faults of the settings.
+/// All faults found in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Checked settings: typed values out of a TOML table, with all faults reported at once.
+//! Reads typed, validated settings from a TOML table and reports all faults together.
 
 mod fault;
 mod reader;
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads typed values out of a TOML table, remembers every key read, and collects faults.
+//! Reads typed values from a TOML table, records which keys were read, and collects faults.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -11,7 +11,11 @@
 
 use crate::fault::{Fault, Faults};
 
-/// Reads one table. Each method reads one key; `finish` reports the keys that nobody read.
+/// Reads settings from a table.
+///
+/// Invalid values are recorded as faults and replaced by a default, so that all faults can be
+/// reported together by [`Self::finish`]. `finish` also reports every key that was not read as
+/// unknown.
 pub struct Reader {
     table: Table,
     known: BTreeSet<String>,
@@ -19,7 +23,7 @@
 }
 
 impl Reader {
-    /// A reader of `table`.
+    /// Creates a reader of `table`.
     #[must_use]
     pub fn new(table: Table) -> Self {
         Self {
@@ -29,13 +33,13 @@
         }
     }
 
-    /// Whether the key is there.
+    /// Whether the table contains `key`. Does not count as reading it.
     #[must_use]
     pub fn has(&self, key: &str) -> bool {
         self.find(key).is_some()
     }
 
-    /// Reports a fault that involves more than one key.
+    /// Records a conflict between `key` and other keys.
     pub fn report_conflict(&mut self, key: &str, remedy: String) {
         let value = self.find(key).map(Value::to_string);
         self.faults.push(Fault {
@@ -45,7 +49,10 @@
         });
     }
 
-    /// The faults found, with one for each key of the table that was never read.
+    /// Ends reading.
+    ///
+    /// # Errors
+    /// [`Faults`] with all recorded faults, and one for each key of the table that was not read.
     pub fn finish(mut self) -> Result<(), Faults> {
         let table = std::mem::take(&mut self.table);
         self.report_unknown(&table, "");
@@ -104,7 +111,7 @@
         });
     }
 
-    /// A whole number within `range`.
+    /// Reads an integer within `range`, or `default` if the key is missing.
     pub fn number(&mut self, key: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
         match self.take(key) {
             None => default,
@@ -112,7 +119,7 @@
         }
     }
 
-    /// A whole number that must be given.
+    /// Reads an integer within `range`; a missing key is a fault.
     pub fn required_number(&mut self, key: &str, range: RangeInclusive<u64>) -> u64 {
         match self.take(key) {
             None => {
@@ -151,7 +158,7 @@
         within
     }
 
-    /// A number of milliseconds within `range`.
+    /// Reads a duration in milliseconds. `default` and `range` are in milliseconds as well.
     pub fn milliseconds(
         &mut self,
         key: &str,
@@ -161,14 +168,15 @@
         Duration::from_millis(self.number(key, default, range))
     }
 
-    /// A number, whole or with a fraction, within `range`.
+    /// Reads an integer or floating-point number within `range`, or `default` if the key is
+    /// missing.
     pub fn fraction(&mut self, key: &str, default: f64, range: RangeInclusive<f64>) -> f64 {
         let Some(value) = self.take(key) else {
             return default;
         };
         #[expect(clippy::cast_precision_loss, reason = "settings are small numbers")]
-        let whole = value.as_integer().map(|number| number as f64);
-        let number = value.as_float().or(whole);
+        let integer = value.as_integer().map(|number| number as f64);
+        let number = value.as_float().or(integer);
         if let Some(number) = number.filter(|number| range.contains(number)) {
             return number;
         }
@@ -181,7 +189,7 @@
         default
     }
 
-    /// `true` or `false`.
+    /// Reads a boolean, or `default` if the key is missing.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
         let Some(value) = self.take(key) else {
             return default;
@@ -193,7 +201,10 @@
         flag.unwrap_or(default)
     }
 
-    /// Text that parses as `T`; `None` (with a fault, if required) when there is none.
+    /// Reads a string that parses as `T`. A missing key yields `default`, and is a fault without
+    /// one.
+    ///
+    /// `what` describes the expected value in error messages.
     pub fn parsed<T>(&mut self, key: &str, default: Option<T>, what: &str) -> Option<T>
     where
         T: FromStr,
@@ -228,7 +239,7 @@
         }
     }
 
-    /// A list of `IP:port` texts.
+    /// Reads a list of `IP:port` strings. If `required`, a missing or empty list is a fault.
     pub fn addresses(&mut self, key: &str, required: bool) -> Vec<SocketAddr> {
         const WHAT: &str = "a list of addresses such as [\"127.0.0.1:2379\"]";
         let Some(value) = self.take(key) else {
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -11,8 +11,8 @@
 use crate::load::RequestRecord;
 use crate::platform::EngineMember;
 
-/// Time after an engine starts to drain from which it must not receive new requests: the platform's
-/// limit plus a margin for requests in flight.
+/// Time after which an engine that drains or whose entry was removed must not get new requests: the
+/// platform's limit plus a margin for requests in flight.
 const DRAIN_LIMIT: Duration = Duration::from_millis(2_200);
 /// Time for information found by one daemon to reach all daemons.
 const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
