--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,26 +1,27 @@
-//! Monotonic time, and the time of day.
+//! Monotonic time and wall-clock time.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use ponddrift_core::Timestamp;
 use tokio::time::Instant;
 
-/// The time since the process started, and the time of day.
+/// Source of monotonic time and wall-clock time.
 pub trait Clock: Send + Sync + 'static {
-    /// Time since the start. Never goes back.
+    /// Monotonic time since the clock was started.
     fn now(&self) -> Timestamp;
-    /// Time of day, since the start of 1970. May be seconds off, and may jump either way.
+    /// Wall-clock time since the Unix epoch. May be wrong by seconds, and may jump forwards or
+    /// backwards.
     fn time_of_day(&self) -> Duration;
 }
 
-/// tokio's clock: real time in the binaries, virtual time on a paused runtime.
+/// Tokio's clock: real time in the binaries, virtual time on a paused Tokio runtime.
 #[derive(Debug, Clone, Copy)]
 pub struct TokioClock {
     start: Instant,
 }
 
 impl TokioClock {
-    /// A clock that starts now.
+    /// Creates a clock whose monotonic time starts now.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -35,7 +36,7 @@
     }
 
     fn time_of_day(&self) -> Duration {
-        // A clock before 1970 is badly wrong; it counts as one that was never set.
+        // A system clock before 1970 is treated as unset.
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or(Duration::ZERO)
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,9 +1,10 @@
-//! What a process takes from its surroundings: network, spawner and clock.
+//! The environment of a process: network, task spawner and clock.
 //!
-//! The daemon and the stand-ins get these as parameters. The real binaries pass [`SystemNetwork`],
-//! [`TokioSpawner`] and [`TokioClock`]; the simulator passes virtual ones. Anything that is spawned
-//! goes through the [`Spawner`], so that a simulated host can be frozen or killed as a whole.
-//! Timers are `tokio::time` in both cases: the simulator runs them on tokio's paused clock.
+//! The daemons and the stand-ins get these as parameters. The binaries pass [`SystemNetwork`],
+//! [`TokioSpawner`] and [`TokioClock`]; the simulator passes virtual implementations. All tasks
+//! must be spawned through the [`Spawner`], so that the simulator can suspend or kill a simulated
+//! host as a whole. Timers use `tokio::time` in both cases; the simulator runs them on Tokio's
+//! paused clock.
 
 mod clock;
 mod network;
@@ -18,21 +19,21 @@
 
 use std::sync::Arc;
 
-/// The surroundings of one process (real or simulated).
+/// The environment of a process, real or simulated.
 #[derive(Clone)]
 pub struct Runtime {
-    /// Connections and datagrams.
+    /// Opens connections and sockets.
     pub network: Arc<dyn Network>,
-    /// Starts tasks.
+    /// Spawns tasks.
     pub spawner: Arc<dyn Spawner>,
-    /// Tells the time.
+    /// Provides the time.
     pub clock: Arc<dyn Clock>,
-    /// Seed of every random choice of this process.
+    /// Seed of all random choices of this process.
     pub seed: u64,
 }
 
 impl Runtime {
-    /// The real surroundings.
+    /// Creates the environment of a real process: the system's network, Tokio's spawner and clock.
     #[must_use]
     pub fn system(seed: u64) -> Self {
         Self {
--- a/crates/runtime/src/spawner.rs
+++ b/crates/runtime/src/spawner.rs
@@ -1,17 +1,17 @@
-//! Starting tasks.
+//! Task spawning.
 
 use std::future::Future;
 use std::sync::Arc;
 
 use futures::future::BoxFuture;
 
-/// Starts tasks that belong to one process (or simulated host).
+/// Spawns the tasks of a process or simulated host.
 pub trait Spawner: Send + Sync + 'static {
-    /// Runs `task` until it ends or its process ends.
+    /// Runs `task` in the background until it or its process ends.
     fn spawn(&self, task: BoxFuture<'static, ()>);
 }
 
-/// Spawns on the current tokio runtime.
+/// Spawns tasks on the current Tokio runtime.
 #[derive(Debug, Clone, Copy)]
 pub struct TokioSpawner;
 
@@ -21,7 +21,8 @@
     }
 }
 
-/// Lets hyper spawn through a [`Spawner`]; hyper-util's own executor would escape a simulated host.
+/// Executor for hyper that spawns through a [`Spawner`]. With hyper-util's own executor, the tasks
+/// would not belong to the simulated host.
 #[derive(Clone)]
 pub struct HyperExecutor(pub Arc<dyn Spawner>);
 
--- a/crates/runtime/src/system.rs
+++ b/crates/runtime/src/system.rs
@@ -1,4 +1,4 @@
-//! The system's sockets.
+//! Implementation of [`Network`] with the operating system's sockets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 
 use crate::network::{BoxedDatagram, BoxedListener, BoxedStream, Datagram, Listener, Network};
 
-/// TCP and UDP of the operating system.
+/// TCP and UDP sockets of the operating system.
 #[derive(Debug, Clone, Copy)]
 pub struct SystemNetwork;
 
--- a/crates/runtime/src/watch.rs
+++ b/crates/runtime/src/watch.rs
@@ -1,8 +1,8 @@
-//! A channel that holds the latest value, with the calls of `tokio::sync::watch` that ponddrift uses.
+//! A channel that holds the latest value, with a subset of the API of `tokio::sync::watch`.
 //!
-//! tokio's own spreads its receivers at random over several queues, so the order in which they wake differs
-//! from run to run, and a simulation's trace with it; its random numbers cannot be seeded without an
-//! unstable build flag. Here receivers wake in the order in which they began to wait.
+//! Receivers wake in the order in which they began to wait, which keeps simulations reproducible.
+//! Tokio's channel distributes its receivers randomly over several queues, and that randomness
+//! cannot be seeded without an unstable build flag.
 
 use std::fmt;
 use std::ops::Deref;
@@ -10,19 +10,19 @@
 
 use tokio::sync::Notify;
 
-/// Every sender is gone, and the last value was seen.
+/// The sender has been dropped, and its last value has been seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the sender of the watched value is gone: its task has ended")]
+#[error("the sender of the watched value was dropped: its task has ended")]
 pub struct Closed;
 
-/// How work ended that was done while a watched value was as wanted.
+/// Result of [`Receiver::run_while`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunWhileOutcome<T> {
-    /// It came to its end.
+    /// The work completed with this output.
     Done(T),
-    /// The value is no longer as wanted.
+    /// The condition no longer holds for the value.
     Changed,
-    /// Every sender is gone.
+    /// The sender has been dropped.
     Closed,
 }
 
@@ -47,19 +47,19 @@
     }
 }
 
-/// Changes the value. Dropping it closes the channel.
+/// The sending half, which changes the value. Dropping it closes the channel.
 pub struct Sender<T>(Arc<Shared<T>>);
 
-/// Reads the value and waits for changes.
+/// The receiving half, which reads the value and waits for changes.
 pub struct Receiver<T> {
     shared: Arc<Shared<T>>,
     seen: u64,
 }
 
-/// The value, held against changes; not to be kept.
+/// A borrow of the value. It holds a read lock that blocks the sender, so it must be short-lived.
 pub struct Ref<'a, T>(RwLockReadGuard<'a, State<T>>);
 
-/// A channel that holds `value`.
+/// Creates a channel that holds `value`.
 #[must_use]
 pub fn channel<T>(value: T) -> (Sender<T>, Receiver<T>) {
     let sender = Sender::new(value);
@@ -68,7 +68,7 @@
 }
 
 impl<T> Sender<T> {
-    /// A channel without a receiver yet.
+    /// Creates a channel without a receiver.
     #[must_use]
     pub fn new(value: T) -> Self {
         let state = State {
@@ -82,7 +82,7 @@
         }))
     }
 
-    /// A receiver that has seen the present value.
+    /// Creates a receiver that has seen the current value.
     #[must_use]
     pub fn subscribe(&self) -> Receiver<T> {
         let seen = self.0.read().version;
@@ -92,19 +92,19 @@
         }
     }
 
-    /// The value.
+    /// Borrows the current value.
     pub fn borrow(&self) -> Ref<'_, T> {
         Ref(self.0.read())
     }
 
-    /// Replaces the value; gives the old one.
+    /// Replaces the value and notifies the receivers. Returns the old value.
     pub fn send_replace(&self, value: T) -> T {
         let mut value = value;
-        self.send_modify(|held| std::mem::swap(held, &mut value));
+        self.send_modify(|current| std::mem::swap(current, &mut value));
         value
     }
 
-    /// Changes the value.
+    /// Modifies the value and notifies the receivers.
     pub fn send_modify(&self, change: impl FnOnce(&mut T)) {
         self.send_if_modified(|value| {
             change(value);
@@ -112,7 +112,8 @@
         });
     }
 
-    /// Changes the value; receivers are told only where `change` says so. Gives what it said.
+    /// Modifies the value, and notifies the receivers only if `change` returns true. Returns the
+    /// result of `change`.
     pub fn send_if_modified(&self, change: impl FnOnce(&mut T) -> bool) -> bool {
         let is_modified = {
             let mut state = self.0.write();
@@ -135,25 +136,25 @@
 }
 
 impl<T> Receiver<T> {
-    /// The value; a change that was not seen stays unseen.
+    /// Borrows the current value without marking it as seen.
     pub fn borrow(&self) -> Ref<'_, T> {
         Ref(self.shared.read())
     }
 
-    /// The value, which is seen by it.
+    /// Borrows the current value and marks it as seen.
     pub fn borrow_and_update(&mut self) -> Ref<'_, T> {
         let state = self.shared.read();
         self.seen = state.version;
         Ref(state)
     }
 
-    /// Waits until there is a value that was not seen, and marks it as seen.
+    /// Waits for a value that has not been seen, and marks it as seen.
     ///
     /// # Errors
-    /// [`Closed`] when there will be none.
+    /// [`Closed`] when the sender has been dropped and the last value has been seen.
     pub async fn changed(&mut self) -> Result<(), Closed> {
         loop {
-            // It hears of every change from here on, also of one before it is awaited.
+            // Registered before the check, so that a change between check and wait is not missed.
             let notified = self.shared.changed.notified();
             {
                 let state = self.shared.read();
@@ -169,10 +170,11 @@
         }
     }
 
-    /// Waits until `condition` holds, at once if it does now; the value is seen by it.
+    /// Waits until `condition` holds, and marks the value as seen. Returns immediately if it holds
+    /// now.
     ///
-    /// # Errors
-    /// [`Closed`] when it will not hold.
+    /// # Errors [`Closed`] when the sender has been dropped and the condition does not hold for the
+    /// last value.
     pub async fn wait_for(
         &mut self,
         mut condition: impl FnMut(&T) -> bool,
@@ -188,18 +190,18 @@
 }
 
 impl<T> Receiver<T> {
-    /// Does `work` for as long as `is_wanted` holds for the value.
+    /// Runs `work` until it completes or `condition` no longer holds for the value.
     ///
-    /// That the channel is closed is told apart from a change: a caller that took it for one and waited again would be told the
-    /// same at once, and keep its thread for good.
+    /// A closed channel is reported separately from a change: a caller that treated it as a change
+    /// and waited again would loop forever without yielding.
     pub async fn run_while<W: Future>(
         &mut self,
-        is_wanted: impl Fn(&T) -> bool,
+        condition: impl Fn(&T) -> bool,
         work: W,
     ) -> RunWhileOutcome<W::Output> {
         tokio::select! {
             biased;
-            changed = self.wait_for(|value| !is_wanted(value)) => match changed {
+            changed = self.wait_for(|value| !condition(value)) => match changed {
                 Ok(_value) => RunWhileOutcome::Changed,
                 Err(Closed) => RunWhileOutcome::Closed,
             },
--- a/crates/runtime/tests/watch.rs
+++ b/crates/runtime/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watched value: receivers wake in order, miss nothing, and learn of the end.
+//! Tests of the watch channel: wake-up order, no missed changes, and detection of a dropped sender.
 
 use std::sync::{Arc, Mutex};
 
@@ -6,7 +6,7 @@
 use tokio::task::LocalSet;
 
 #[tokio::test(flavor = "current_thread")]
-async fn receivers_wake_in_the_order_of_their_waiting() {
+async fn receivers_wake_in_the_order_in_which_they_began_to_wait() {
     for _ in 0..20 {
         let tasks = LocalSet::new();
         let sender = watch::Sender::new(0);
@@ -15,8 +15,8 @@
             let mut receiver = sender.subscribe();
             let woken = Arc::clone(&woken);
             tasks.spawn_local(async move {
-                receiver.changed().await.expect("the sender lives");
-                woken.lock().expect("no panic").push(number);
+                receiver.changed().await.expect("the sender is alive");
+                woken.lock().expect("the lock is not poisoned").push(number);
             });
         }
         tasks
@@ -26,12 +26,15 @@
             })
             .await;
         tasks.await;
-        assert_eq!(*woken.lock().expect("no panic"), Vec::from_iter(0..10));
+        assert_eq!(
+            *woken.lock().expect("the lock is not poisoned"),
+            Vec::from_iter(0..10)
+        );
     }
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_change_before_the_waiting_is_seen_once() {
+async fn a_change_before_the_wait_is_seen_once() {
     let (sender, mut receiver) = watch::channel(1);
     assert_eq!(sender.send_replace(2), 1);
     assert_eq!(*receiver.borrow(), 2);
@@ -42,7 +45,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn the_last_value_is_seen_before_the_end() {
+async fn the_last_value_is_seen_before_the_channel_is_closed() {
     let (sender, mut receiver) = watch::channel(1);
     sender.send_modify(|value| *value += 1);
     drop(sender);
@@ -67,10 +70,10 @@
     assert!(receiver.wait_for(|value| *value == 4).await.is_err());
 }
 
-/// A daemon that stopped while it followed the store took the closed channel for a change, waited again, was told so again, and
-/// never gave its thread back: the process did not end.
+/// Guards against a busy loop that kept a stopping daemon from exiting: a closed channel must not
+/// be reported as a change.
 #[tokio::test]
-async fn a_closed_channel_ends_what_is_done_while_its_value_is_as_wanted() {
+async fn a_closed_channel_ends_run_while() {
     let (sender, mut receiver) = watch::channel(true);
     let forever = std::future::pending::<()>();
     let (end, ()) = tokio::join!(receiver.run_while(|wanted| *wanted, forever), async {
@@ -80,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn work_ends_with_its_value_or_by_itself() {
+async fn run_while_ends_when_the_work_completes_or_the_value_changes() {
     let (sender, mut receiver) = watch::channel(true);
     let end = receiver.run_while(|wanted| *wanted, async { 7 }).await;
     assert_eq!(end, RunWhileOutcome::Done(7));
