--- a/crates/engine/src/completions.rs
+++ b/crates/engine/src/completions.rs
@@ -1,4 +1,4 @@
-//! Completions at an engine: opening, reading, resuming and cancelling them.
+//! Client of an engine's completions API: opens, reads, resumes and cancels completions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,46 +17,46 @@
 use crate::wire::completions::{CompletionRequest, STREAMS_PATH};
 use crate::wire::headers;
 
-/// Largest body of a refusal that is read, in bytes.
-const REFUSAL_SIZE_LIMIT: usize = 16 * 1024;
-/// Time to read the body of a refusal.
-const REFUSAL_TIME_LIMIT: Duration = Duration::from_secs(1);
-/// Longest part of a refusal's text that is kept, in characters.
-const REFUSAL_TEXT_LIMIT: usize = 400;
+/// Maximum size of an error response's body that is read, in bytes.
+const MAX_ERROR_BODY_BYTES: usize = 16 * 1024;
+/// Time limit for reading the body of an error response.
+const ERROR_BODY_TIME_LIMIT: Duration = Duration::from_secs(1);
+/// Maximum length of an error message that is kept, in characters.
+const MAX_ERROR_TEXT_CHARS: usize = 400;
 
 /// One server-sent event of a completion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its number; `None` when the engine sent none, or something else than a number.
+    /// The event id; `None` when it is missing or not a number.
     pub id: Option<u64>,
-    /// Its data.
+    /// The event's data.
     pub data: String,
 }
 
-/// Events of a completion as they come. An error ends the stream.
+/// Stream of a completion's events. An error ends the stream.
 pub type EventStream = BoxStream<'static, Result<StreamEvent, CallError>>;
 
-/// What identifies a call at the engine.
+/// Request metadata that is sent to the engine in headers.
 #[derive(Debug, Clone)]
 pub struct CallContext {
-    /// The caller's request.
+    /// Id of the caller's request.
     pub request_id: RequestId,
-    /// Milliseconds the caller still waits.
+    /// Remaining time that the caller waits for the answer.
     pub deadline: Duration,
-    /// Key of a request that runs at most once.
+    /// Idempotency key, for requests that must run at most once.
     pub idempotency_key: Option<String>,
-    /// W3C trace context to pass on.
+    /// W3C trace context to propagate.
     pub traceparent: Option<String>,
 }
 
-/// Client of the completions API.
+/// Client of the completions API of engines.
 #[derive(Clone)]
 pub struct CompletionsClient {
     client: Client,
 }
 
 impl CompletionsClient {
-    /// A client that sends through `client`.
+    /// Creates a client that sends its requests through `client`.
     #[must_use]
     pub fn new(client: Client) -> Self {
         Self { client }
@@ -65,7 +65,7 @@
     /// Sends a completion request; returns once the engine has accepted it.
     ///
     /// # Errors
-    /// [`CallError`]; its `execution()` says what is known.
+    /// [`CallError`]; its `execution()` says whether the request may have run.
     pub async fn open(
         &self,
         engine: SocketAddr,
@@ -94,10 +94,10 @@
         ensure_success(self.client.send(request).await?).await
     }
 
-    /// Asks for the rest of a stream that was cut after event `last_event_id`.
+    /// Requests the rest of a stream that was interrupted after event `last_event_id`.
     ///
     /// # Errors
-    /// [`CallError`], among others when the engine no longer keeps the stream.
+    /// [`CallError`]. See [`is_unknown_stream`] for a stream that the engine no longer keeps.
     pub async fn resume(
         &self,
         engine: SocketAddr,
@@ -112,10 +112,10 @@
         ensure_success(self.client.send(request).await?).await
     }
 
-    /// Cancels a completion whose caller has gone.
+    /// Cancels a completion whose caller has disconnected.
     ///
     /// # Errors
-    /// [`CallError`] when the engine did not confirm it.
+    /// [`CallError`] when the engine does not confirm the cancellation.
     pub async fn cancel(&self, engine: SocketAddr, request_id: RequestId) -> Result<(), CallError> {
         let request = Request::delete(format!("http://{engine}{STREAMS_PATH}{request_id}"))
             .body(body::empty())
@@ -126,14 +126,14 @@
     }
 }
 
-/// Splits the body of a streamed completion into events.
+/// Parses the body of a streamed completion as server-sent events.
 #[must_use]
 pub fn events(response: Response<Incoming>) -> EventStream {
-    let pieces = response
+    let chunks = response
         .into_body()
         .into_data_stream()
         .map_err(|error| CallError::Broken(error.to_string()));
-    pieces
+    chunks
         .eventsource()
         .map(|event| match event {
             Ok(event) => Ok(StreamEvent {
@@ -145,34 +145,39 @@
         .boxed()
 }
 
-/// Passes an accepted answer on, and turns a refusal into an error with its text.
+/// Returns a response with a success status, and converts any other response into an error with its
+/// text.
 ///
 /// # Errors
-/// [`CallError::Refused`].
+/// [`CallError::Refused`] for every status that is not a success.
 pub async fn ensure_success(response: Response<Incoming>) -> Result<Response<Incoming>, CallError> {
     let status = response.status();
     if status.is_success() {
         return Ok(response);
     }
     let not_run = says_not_run(response.headers());
-    let text = body::read_all(response.into_body(), REFUSAL_SIZE_LIMIT, REFUSAL_TIME_LIMIT)
-        .await
-        .unwrap_or_else(|_unreadable| Bytes::new());
+    let text = body::read_all(
+        response.into_body(),
+        MAX_ERROR_BODY_BYTES,
+        ERROR_BODY_TIME_LIMIT,
+    )
+    .await
+    .unwrap_or_else(|_unreadable| Bytes::new());
     Err(CallError::Refused {
         status,
         not_run,
-        message: shortened(&text),
+        message: truncated_text(&text),
     })
 }
 
-fn shortened(text: &[u8]) -> String {
+fn truncated_text(text: &[u8]) -> String {
     String::from_utf8_lossy(text)
         .chars()
-        .take(REFUSAL_TEXT_LIMIT)
+        .take(MAX_ERROR_TEXT_CHARS)
         .collect()
 }
 
-/// Whether an error says that the engine does not know the stream (any more).
+/// Whether an error says that the engine does not know the stream or no longer keeps it.
 #[must_use]
 pub fn is_unknown_stream(error: &CallError) -> bool {
     matches!(
--- a/crates/engine/src/control.rs
+++ b/crates/engine/src/control.rs
@@ -16,24 +16,24 @@
     CLAIM_PATH, ClaimRequest, ControlRefusal, EngineReport, ORDERS_PATH, OrderRequest, STATE_PATH,
 };
 
-/// Largest report accepted, in bytes.
-const REPORT_SIZE_LIMIT: usize = 256 * 1024;
+/// Maximum size of a report or refusal, in bytes.
+const MAX_REPORT_BYTES: usize = 256 * 1024;
 
-/// Why a control call gave no report.
+/// Reason why a control call returned no report.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// The engine refused the claim or order; nothing was changed.
+    /// The engine rejected the claim or order and changed nothing.
     #[error("the engine refused: {0:?}")]
     Refused(ControlRefusal),
-    /// The call failed; an order may or may not have been taken.
+    /// The call failed. It is unknown whether the engine received the claim or order.
     #[error(transparent)]
     Call(#[from] CallError),
 }
 
-/// Says, at the moment of sending, whether the sender still has authority.
+/// Returns whether the sender still has the authority to send orders. Called right before sending.
 pub type AuthorityCheck = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Client of the control endpoint.
+/// Client of the control endpoint of engines.
 #[derive(Clone)]
 pub struct ControlClient {
     client: Client,
@@ -41,52 +41,55 @@
 }
 
 impl ControlClient {
-    /// A client with a time limit for each call.
+    /// Creates a client; `time_limit` applies to each call.
     #[must_use]
     pub fn new(client: Client, time_limit: Duration) -> Self {
         Self { client, time_limit }
     }
 
-    /// Makes the engine refuse all older tokens.
+    /// Makes the engine reject all older fencing tokens.
     ///
-    /// # Errors
-    /// [`ControlError`].
+    /// # Errors [`ControlError`] when the engine rejects the claim, the call fails or `authority`
+    /// returns false.
     pub async fn claim(
         &self,
         engine: SocketAddr,
         claim: &ClaimRequest,
         authority: AuthorityCheck,
     ) -> Result<EngineReport, ControlError> {
-        self.exchange(post(engine, CLAIM_PATH, claim, authority)?)
+        self.send_with_time_limit(post(engine, CLAIM_PATH, claim, authority)?)
             .await
     }
 
-    /// Sends an order. The answer tells what the engine now does.
+    /// Sends an order, and returns the state of the engine after it.
     ///
-    /// # Errors
-    /// [`ControlError`].
+    /// # Errors [`ControlError`] when the engine rejects the order, the call fails or `authority`
+    /// returns false.
     pub async fn order(
         &self,
         engine: SocketAddr,
         order: &OrderRequest,
         authority: AuthorityCheck,
     ) -> Result<EngineReport, ControlError> {
-        self.exchange(post(engine, ORDERS_PATH, order, authority)?)
+        self.send_with_time_limit(post(engine, ORDERS_PATH, order, authority)?)
             .await
     }
 
-    /// Reads what the engine says of itself.
+    /// Reads the state of the engine.
     ///
     /// # Errors
-    /// [`ControlError`].
+    /// [`ControlError`] when the call fails.
     pub async fn state(&self, engine: SocketAddr) -> Result<EngineReport, ControlError> {
         let request = Request::get(format!("http://{engine}{STATE_PATH}"))
             .body(body::empty())
             .map_err(|error| CallError::NotSent(error.to_string()))?;
-        self.exchange(request).await
+        self.send_with_time_limit(request).await
     }
 
-    async fn exchange(&self, request: Request<Body>) -> Result<EngineReport, ControlError> {
+    async fn send_with_time_limit(
+        &self,
+        request: Request<Body>,
+    ) -> Result<EngineReport, ControlError> {
         tokio::time::timeout(self.time_limit, self.send(request))
             .await
             .map_err(|_elapsed| CallError::TimedOut(self.time_limit))?
@@ -105,13 +108,14 @@
     where
         T: serde::de::DeserializeOwned,
     {
-        let read = body::read_json(response.into_body(), REPORT_SIZE_LIMIT, self.time_limit);
+        let read = body::read_json(response.into_body(), MAX_REPORT_BYTES, self.time_limit);
         Ok(read.await?)
     }
 }
 
-/// A POST whose body is asked for only once the connection stands: by then the sender may have been frozen
-/// or its lease may have run out. Without authority the body breaks off, and the engine sees no order.
+/// Builds a POST request that checks `authority` only when its body is sent, after the connection
+/// has been opened: the sender may have been suspended or its lease may have expired meanwhile.
+/// Without authority the body is aborted, so that the engine receives no complete message.
 fn post<T: Serialize>(
     engine: SocketAddr,
     path: &str,
@@ -120,7 +124,7 @@
 ) -> Result<Request<Body>, CallError> {
     let bytes =
         serde_json::to_vec(message).map_err(|error| CallError::NotSent(error.to_string()))?;
-    let piece = futures::stream::once(async move {
+    let chunk = futures::stream::once(async move {
         if authority() {
             return Ok(Bytes::from(bytes));
         }
@@ -132,6 +136,6 @@
         .method(Method::POST)
         .uri(format!("http://{engine}{path}"))
         .header(header::CONTENT_TYPE, "application/json")
-        .body(body::streamed(piece))
+        .body(body::streamed(chunk))
         .map_err(|error| CallError::NotSent(error.to_string()))
 }
--- a/crates/engine/src/error.rs
+++ b/crates/engine/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to a back end failed, and whether it may have run.
+//! Errors of calls to back ends, and whether the request may have run.
 
 use std::time::Duration;
 
@@ -8,35 +8,35 @@
 
 use crate::wire::headers::NOT_RUN;
 
-/// Why a call to a back end gave no answer.
+/// Reason why a call to a back end failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// It was certainly not sent.
+    /// The request was certainly not sent.
     #[error("the back end cannot be reached: {0}")]
     NotSent(String),
-    /// The back end refused it.
+    /// The back end answered with an error status.
     #[error("the back end answered {status}: {message}")]
     Refused {
-        /// Its status.
+        /// HTTP status of the answer.
         status: StatusCode,
-        /// Whether it said that it did not run the request.
+        /// Whether the back end stated that it did not run the request.
         not_run: bool,
-        /// Its words, shortened.
+        /// Text of the answer, truncated.
         message: String,
     },
-    /// The connection broke after the request may have arrived.
+    /// The connection failed after the request may have arrived.
     #[error("the connection to the back end broke: {0}")]
     Broken(String),
-    /// No answer in time.
+    /// The back end did not answer within this time.
     #[error("the back end did not answer within {0:?}")]
     TimedOut(Duration),
-    /// The answer is not what the protocol says.
+    /// The answer violates the protocol.
     #[error("the back end's answer cannot be understood: {0}")]
     Protocol(String),
 }
 
 impl CallError {
-    /// What is known of the request's execution after this error.
+    /// Whether the request may have run, given this error.
     #[must_use]
     pub fn execution(&self) -> Execution {
         match self {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Whether a back end's answer says that the request was not run.
+/// Whether the headers of an answer state that the back end did not run the request.
 #[must_use]
 pub fn says_not_run(headers: &HeaderMap) -> bool {
     headers
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
-//! Model engines and plain back ends as ponddrift sees them: wire types, client.
+//! Wire types and clients for model engines and plain back ends.
 //!
-//! [`wire`] holds the published shapes; the stand-in engines use the same types from the other side.
-//! [`completions`], [`control`], [`load`] and [`cache_events`] are the clients of each.
+//! [`wire`] defines the wire types, which the stand-in engines use as well. [`completions`],
+//! [`control`], [`load`] and [`cache_events`] contain the clients of the respective endpoints.
 
 pub mod cache_events;
 pub mod completions;
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -1,4 +1,4 @@
-//! Load of an engine, read from its metrics page.
+//! Client that reads an engine's load from its metrics page.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,31 +12,31 @@
 use crate::error::CallError;
 use crate::wire::load as names;
 
-/// Largest metrics page accepted, in bytes.
-const PAGE_SIZE_LIMIT: usize = 1024 * 1024;
+/// Maximum size of a metrics page, in bytes.
+const MAX_PAGE_BYTES: usize = 1024 * 1024;
 
-/// What one reading of the metrics page showed.
+/// Values of a metrics page at one time.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadSample {
     /// The engine's incarnation.
     pub incarnation: Incarnation,
-    /// Its role; `None` while it has none.
+    /// The engine's role; `None` while it has none.
     pub role: Option<EngineRole>,
-    /// Requests that wait for their prefill.
+    /// Number of requests waiting for prefill.
     pub waiting: u64,
-    /// Sequences that are being decoded.
+    /// Number of sequences being decoded.
     pub running: u64,
-    /// Prompt tokens that wait for prefill.
+    /// Number of prompt tokens waiting for prefill.
     pub waiting_prompt_tokens: u64,
-    /// Share of the KV cache in use, 0 to 1.
+    /// Fraction of the KV cache in use, from 0 to 1.
     pub cache_used: f64,
-    /// Prompt tokens prefilled since the engine's start.
+    /// Number of prompt tokens prefilled since the engine started.
     pub prompt_tokens: u64,
-    /// Tokens generated since the engine's start.
+    /// Number of tokens generated since the engine started.
     pub generated_tokens: u64,
 }
 
-/// Client of the metrics page.
+/// Client of engines' metrics pages.
 #[derive(Clone)]
 pub struct LoadClient {
     client: Client,
@@ -44,7 +44,7 @@
 }
 
 impl LoadClient {
-    /// A client with a time limit for each reading.
+    /// Creates a client; `time_limit` applies to each call.
     #[must_use]
     pub fn new(client: Client, time_limit: Duration) -> Self {
         Self { client, time_limit }
@@ -53,7 +53,7 @@
     /// Reads an engine's load.
     ///
     /// # Errors
-    /// [`CallError`].
+    /// [`CallError`] when the page cannot be fetched within the time limit or cannot be parsed.
     pub async fn read(&self, engine: SocketAddr) -> Result<LoadSample, CallError> {
         tokio::time::timeout(self.time_limit, self.fetch(engine))
             .await
@@ -65,12 +65,12 @@
             .body(body::empty())
             .map_err(|error| CallError::NotSent(error.to_string()))?;
         let response = ensure_success(self.client.send(request).await?).await?;
-        let bytes = body::read_all(response.into_body(), PAGE_SIZE_LIMIT, self.time_limit).await?;
+        let bytes = body::read_all(response.into_body(), MAX_PAGE_BYTES, self.time_limit).await?;
         parse(&String::from_utf8_lossy(&bytes))
     }
 }
 
-/// Reads the values that ponddrift uses out of a metrics page.
+/// Parses a metrics page. Unknown metrics are ignored, missing ones keep their default.
 ///
 /// # Errors
 /// [`CallError::Protocol`] when the page is not Prometheus text.
@@ -79,19 +79,19 @@
     let scrape = Scrape::parse(lines).map_err(|error| CallError::Protocol(error.to_string()))?;
     let mut sample = LoadSample::default();
     for metric in &scrape.samples {
-        let Some(value) = plain_value(&metric.value) else {
+        let Some(value) = scalar_value(&metric.value) else {
             continue;
         };
         match metric.metric.as_str() {
-            names::WAITING => sample.waiting = whole(value),
-            names::RUNNING => sample.running = whole(value),
-            names::WAITING_PROMPT_TOKENS => sample.waiting_prompt_tokens = whole(value),
+            names::WAITING => sample.waiting = saturating_u64(value),
+            names::RUNNING => sample.running = saturating_u64(value),
+            names::WAITING_PROMPT_TOKENS => sample.waiting_prompt_tokens = saturating_u64(value),
             names::CACHE_USED => sample.cache_used = value,
-            names::PROMPT_TOKENS => sample.prompt_tokens = whole(value),
-            names::GENERATED_TOKENS => sample.generated_tokens = whole(value),
-            names::INCARNATION => sample.incarnation = Incarnation(whole(value)),
+            names::PROMPT_TOKENS => sample.prompt_tokens = saturating_u64(value),
+            names::GENERATED_TOKENS => sample.generated_tokens = saturating_u64(value),
+            names::INCARNATION => sample.incarnation = Incarnation(saturating_u64(value)),
             names::ROLE if value > 0.0 => {
-                sample.role = metric.labels.get("role").and_then(role_named);
+                sample.role = metric.labels.get("role").and_then(parse_role);
             }
             _ => {}
         }
@@ -99,7 +99,7 @@
     Ok(sample)
 }
 
-fn plain_value(value: &Value) -> Option<f64> {
+fn scalar_value(value: &Value) -> Option<f64> {
     match value {
         Value::Counter(number) | Value::Gauge(number) | Value::Untyped(number) => Some(*number),
         Value::Histogram(_) | Value::Summary(_) => None,
@@ -109,13 +109,13 @@
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "as saturates"
+    reason = "`as` saturates"
 )]
-fn whole(value: f64) -> u64 {
+fn saturating_u64(value: f64) -> u64 {
     value as u64
 }
 
-fn role_named(name: &str) -> Option<EngineRole> {
+fn parse_role(name: &str) -> Option<EngineRole> {
     [EngineRole::Prefill, EngineRole::Decode, EngineRole::Mixed]
         .into_iter()
         .find(|role| role.as_str() == name)
--- a/crates/engine/src/prompt.rs
+++ b/crates/engine/src/prompt.rs
@@ -1,11 +1,12 @@
-//! What is read off a prompt: its text, an estimate of its tokens, its prefix blocks.
+//! Properties of a prompt: its text, an estimated token count and the hashes of its prefix blocks.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::wire::cache_events::BLOCK_TOKENS;
 use crate::wire::completions::CompletionRequest;
 
-/// The prompt of a request: the plain one, or the messages' contents, one a line.
+/// Returns the prompt of a request. For a chat it is the contents of the messages, joined by
+/// newlines.
 #[must_use]
 pub fn prompt_text(request: &CompletionRequest) -> String {
     if let Some(messages) = &request.messages {
@@ -18,13 +19,13 @@
     request.prompt.clone().unwrap_or_default()
 }
 
-/// Tokens of a text, taken as its whitespace-separated words.
+/// Estimates the number of tokens in a text as the number of whitespace-separated words.
 #[must_use]
 pub fn count_tokens(text: &str) -> u32 {
     u32::try_from(text.split_whitespace().count()).unwrap_or(u32::MAX)
 }
 
-/// Hashes of the whole blocks of a prompt, from its start on, as engines name them in cache events.
+/// Returns the hashes of the complete blocks of a prompt in order, as used in cache events.
 ///
 /// Block k's hash is xxh3-64 of its [`BLOCK_TOKENS`] words joined by single spaces, seeded with the
 /// hash of block k - 1 (0 for the first).
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -1,4 +1,4 @@
-//! Shapes on the wire between ponddrift and the engines.
+//! Wire types of the protocols between ponddrift and the engines.
 
 pub mod cache_events;
 pub mod completions;
--- a/crates/engine/src/wire/cache_events.rs
+++ b/crates/engine/src/wire/cache_events.rs
@@ -1,36 +1,38 @@
-//! KV cache events of an engine, server-sent on `GET /v1/cache_events`. They come late and with gaps.
+//! KV cache events of an engine, streamed as server-sent events on `GET /v1/cache_events`. Events
+//! may be delayed or lost.
 
 use serde::{Deserialize, Serialize};
 
 /// Path of the event stream.
 pub const CACHE_EVENTS_PATH: &str = "/v1/cache_events";
-/// Words (tokens of the stand-ins) in one block of the prefix cache.
+/// Number of tokens in a block of the prefix cache, counted in whitespace-separated words.
 pub const BLOCK_TOKENS: usize = 16;
 
 /// One change of a prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the events of one incarnation; a jump shows a gap.
+    /// Sequence number within the engine's incarnation; a jump means that events were lost.
     pub sequence: u64,
-    /// What changed.
+    /// The change.
     #[serde(flatten)]
     pub change: CacheChange,
 }
 
-/// What changed in a prefix cache. A block is named by the hash of the prompt up to its end.
+/// Kind of a change of a prefix cache. A block is identified by the hash of the prompt up to the
+/// end of the block.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum CacheChange {
     /// Blocks were added.
     Stored {
-        /// Their hashes, from the start of the prompt on.
+        /// Hashes of the blocks, in prompt order.
         blocks: Vec<u64>,
     },
     /// Blocks were evicted.
     Removed {
-        /// Their hashes.
+        /// Hashes of the blocks.
         blocks: Vec<u64>,
     },
-    /// Everything was dropped.
+    /// The whole cache was cleared.
     Cleared,
 }
--- a/crates/engine/src/wire/control.rs
+++ b/crates/engine/src/wire/control.rs
@@ -1,4 +1,4 @@
-//! Control endpoint of an engine: fenced claims and orders.
+//! Control endpoint of an engine: claims and orders, protected by fencing tokens.
 
 use ponddrift_core::FencingToken;
 pub use ponddrift_core::orders::{
@@ -14,9 +14,9 @@
 /// `GET`: [`EngineReport`].
 pub const STATE_PATH: &str = "/control/state";
 
-/// Makes an engine refuse every token older than this one from now on.
+/// Makes an engine reject every fencing token older than this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The claiming controller's token.
+    /// Fencing token of the claiming controller.
     pub token: FencingToken,
 }
--- a/crates/engine/src/wire/headers.rs
+++ b/crates/engine/src/wire/headers.rs
@@ -1,18 +1,18 @@
-//! Header names and paths used between callers, daemons and back ends.
+//! Header names used between callers, daemons and back ends.
 
-/// Identity of the caller's request; a back end echoes it in its answer.
+/// Id of the caller's request; back ends echo it in their answers.
 pub const REQUEST_ID: &str = "x-request-id";
 /// Priority level of a request to an engine; 0 is the highest.
 pub const PRIORITY: &str = "x-priority";
-/// Milliseconds the caller still waits for the answer.
+/// Remaining time that the caller waits for the answer, in milliseconds.
 pub const DEADLINE_MS: &str = "x-deadline-ms";
-/// The tenant a caller acts for. Absent: the tenant `default`.
+/// Tenant of the request; `default` if the header is absent.
 pub const TENANT: &str = "x-tenant";
-/// The caller's key of a request that may run at most once.
+/// Idempotency key that the caller chose for a request that must run at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Number of the last event that arrived; resumes a stream at the event after it.
+/// Id of the last received event; a resumed stream continues with the next one.
 pub const LAST_EVENT_ID: &str = "last-event-id";
-/// Stated in each answer of a daemon: the back end that ran the request.
+/// Back end that ran the request; set in each answer of a daemon.
 pub const BACK_END: &str = "x-back-end";
-/// Sent by an engine or plain back end with a refusal that it did not run the request.
+/// Set by a back end in an error answer to state that it did not run the request.
 pub const NOT_RUN: &str = "x-not-run";
