--- a/crates/protocol/src/datagram.rs
+++ b/crates/protocol/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams of gossip.
+//! Gossip datagrams.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use ponddrift_core::{Incarnation, MachineId};
@@ -8,36 +8,36 @@
 use crate::error::{DecodeError, EncodeError};
 use crate::part::Part;
 
-/// Largest datagram, chosen to pass every usual network without fragments.
+/// Maximum size of a datagram; small enough to avoid IP fragmentation on common networks.
 pub const MAXIMUM_DATAGRAM_BYTES: usize = 1_400;
-/// Most parts of a datagram.
+/// Maximum number of parts in a datagram.
 pub const MAXIMUM_PARTS: usize = 32;
-/// Seed of [`cluster_hash`].
+/// Hash seed of [`cluster_hash`].
 pub const CLUSTER_NAME_SEED: u64 = 0x706f_6e64;
 
-/// Hash of a cluster's name; keeps daemons of two clusters apart.
+/// Returns the hash of a cluster's name, which identifies the cluster in messages.
 #[must_use]
 pub fn cluster_hash(name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), CLUSTER_NAME_SEED)
 }
 
-/// What one daemon tells another.
+/// A gossip message from one daemon to another.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Datagram {
-    /// [`cluster_hash`] of the sender's cluster. The receiver drops those of other clusters.
+    /// [`cluster_hash`] of the sender's cluster. Receivers drop datagrams of other clusters.
     pub cluster: u64,
-    /// Who sends.
+    /// Machine id of the sender.
     pub sender: MachineId,
-    /// In which life.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// What it says.
+    /// Contents, at most [`MAXIMUM_PARTS`].
     pub body: Vec<Part>,
 }
 
-/// Encodes a datagram, the version byte first.
+/// Encodes a datagram, starting with the version byte.
 ///
 /// # Errors
-/// [`EncodeError::TooLarge`].
+/// [`EncodeError::TooLarge`] above [`MAXIMUM_DATAGRAM_BYTES`].
 pub fn encode_datagram(datagram: &Datagram) -> Result<Vec<u8>, EncodeError> {
     let mut bytes = vec![PROTOCOL_VERSION];
     borsh::to_writer(&mut bytes, datagram).expect("writing to a vector does not fail");
@@ -53,7 +53,7 @@
 /// Decodes a datagram.
 ///
 /// # Errors
-/// [`DecodeError`] for everything that [`encode_datagram`] does not write.
+/// [`DecodeError`] when the bytes are not a valid datagram of this protocol version.
 pub fn decode_datagram(bytes: &[u8]) -> Result<Datagram, DecodeError> {
     let payload = check_envelope(bytes, MAXIMUM_DATAGRAM_BYTES)?;
     let datagram: Datagram = decode_payload(payload)?;
@@ -65,7 +65,7 @@
     Ok(datagram)
 }
 
-/// Checks size and version, and returns what follows the version byte.
+/// Checks size and protocol version, and returns the bytes after the version byte.
 pub(crate) fn check_envelope(bytes: &[u8], limit: usize) -> Result<&[u8], DecodeError> {
     if bytes.len() > limit {
         return Err(DecodeError::TooLarge {
@@ -83,8 +83,8 @@
     Ok(payload)
 }
 
-/// Decodes all of `payload`. The codec allocates in proportion to the bytes that are there, not to
-/// the lengths that they claim.
+/// Decodes `payload`, which must not contain trailing bytes. Memory use is bounded by the size of
+/// `payload`, not by the lengths encoded in it.
 pub(crate) fn decode_payload<T: BorshDeserialize>(payload: &[u8]) -> Result<T, DecodeError> {
     borsh::from_slice(payload).map_err(|error| DecodeError::Malformed {
         reason: error.to_string(),
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,50 +1,50 @@
-//! Why bytes were refused.
+//! Errors of encoding and decoding.
 
-/// Bytes of a peer that cannot be read. They are dropped; the peer is not answered.
+/// Reason why a peer's message cannot be decoded. Such messages are dropped without an answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Nothing there.
-    #[error("the message is empty: drop it")]
+    /// The message is empty.
+    #[error("the message is empty; it is dropped")]
     Empty,
-    /// More bytes than allowed.
-    #[error("the message has {bytes} bytes, and {limit} are allowed: drop it")]
+    /// The message exceeds the size limit.
+    #[error("the message has {bytes} bytes, more than the limit of {limit}; it is dropped")]
     TooLarge {
-        /// Its size.
+        /// Size of the message in bytes.
         bytes: usize,
         /// The limit.
         limit: usize,
     },
-    /// Another protocol version.
+    /// The message has another protocol version.
     #[error(
-        "the message is of protocol version {theirs}, and this daemon speaks {ours}: run one release on all daemons"
+        "the message has protocol version {theirs}, but this daemon uses {ours}: run the same release on all daemons"
     )]
     Version {
-        /// The peer's.
+        /// The peer's version.
         theirs: u8,
-        /// This daemon's.
+        /// This daemon's version.
         ours: u8,
     },
-    /// More parts than allowed.
-    #[error("the datagram has more than {limit} parts: drop it")]
+    /// The datagram has too many parts.
+    #[error("the datagram has more than {limit} parts; it is dropped")]
     TooManyParts {
         /// The limit.
         limit: usize,
     },
-    /// Not a message of this protocol.
-    #[error("the message cannot be read ({reason}): drop it")]
+    /// The message is not valid in this protocol.
+    #[error("the message is malformed ({reason}); it is dropped")]
     Malformed {
-        /// What the codec said.
+        /// Error text of the codec.
         reason: String,
     },
 }
 
-/// A message that cannot be sent.
+/// Reason why a message cannot be encoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EncodeError {
-    /// More bytes than a peer would take.
-    #[error("the message has {bytes} bytes, and {limit} are allowed: send it in smaller parts")]
+    /// The message exceeds the size that peers accept.
+    #[error("the message has {bytes} bytes, more than the limit of {limit}: send it in smaller parts")]
     TooLarge {
-        /// Its size.
+        /// Size of the message in bytes.
         bytes: usize,
         /// The limit.
         limit: usize,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,9 @@
 //! Messages between daemons, encoded with borsh.
 //!
-//! [`Datagram`]s carry gossip over UDP; [`Request`]s and [`Response`]s travel as frames over TCP.
-//! Decoding trusts nothing: sizes are checked before anything is allocated, and no input panics.
-//! The version byte in front lets daemons of two releases refuse each other plainly.
+//! [`Datagram`]s carry gossip over UDP; [`Request`]s and [`Response`]s are sent as frames over TCP.
+//! Decoding accepts untrusted input: sizes are checked before memory is allocated, and no input may
+//! cause a panic. Every message starts with a version byte, so that daemons of incompatible
+//! releases reject each other's messages with a clear error.
 
 mod datagram;
 mod error;
@@ -21,5 +22,5 @@
     encode_response,
 };
 
-/// Version of all messages; daemons of other versions are refused.
+/// Protocol version of all messages. Messages of other versions are rejected.
 pub const PROTOCOL_VERSION: u8 = 1;
--- a/crates/protocol/src/part.rs
+++ b/crates/protocol/src/part.rs
@@ -1,4 +1,4 @@
-//! Parts of a datagram.
+//! The parts of a datagram.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use ponddrift_core::demand::ModelDemand;
@@ -8,61 +8,61 @@
 use ponddrift_core::membership::MembershipMessage;
 use ponddrift_core::{CellName, FencingToken, Revision};
 
-/// One part. New kinds go to the end, with a new protocol version.
+/// A part of a datagram. New variants must be added at the end, with a new protocol version.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Part {
-    /// Membership.
+    /// Message of the membership protocol.
     Membership(MembershipMessage),
-    /// Load of engines.
+    /// Load digests of engines, each with its age.
     Load(Vec<AgedDigest>),
-    /// Drain marks.
+    /// Drain marks that the sender knows.
     DrainMarks(Vec<DrainMark>),
     /// Acknowledgements for the controller of a cell.
     DrainAcks(Vec<DrainAck>),
-    /// Digest of all drain marks of the sender; a receiver with another one sends its marks.
+    /// Digest of all drain marks of the sender. A receiver with a different digest sends its marks.
     DrainDigest(u64),
-    /// Asks the controller of a cell for a view.
+    /// Requests a [`Part::View`] from the controller of a cell.
     ViewRequest {
-        /// The cell.
+        /// Name of the cell.
         cell: CellName,
-        /// Number of the request.
+        /// Number of the request, repeated in the view.
         number: u64,
     },
-    /// A view: all marks of the controller.
+    /// All drain marks of a cell's controller.
     View {
-        /// The cell.
+        /// Name of the cell.
         cell: CellName,
-        /// Number of the request.
+        /// Number of the request, repeated in the view.
         number: u64,
-        /// The controller's token.
+        /// Fencing token of the controller.
         token: FencingToken,
-        /// Its marks.
+        /// Drain marks of the controller.
         marks: Vec<DrainMark>,
     },
-    /// The sender has this configuration in force. A receiver that is behind pulls it.
+    /// Revision of the configuration in force at the sender. A receiver with an older one pulls it.
     ConfigurationInForce(Revision),
-    /// Asks for [`Part::ConfigurationInForce`].
+    /// Requests [`Part::ConfigurationInForce`].
     ConfigurationQuery,
-    /// The controller of a cell as the sender knows it.
+    /// The controller of a cell, as known to the sender.
     Controller {
-        /// The cell.
+        /// Name of the cell.
         cell: CellName,
-        /// Its controller.
+        /// Machine id of the controller.
         controller: ponddrift_core::MachineId,
-        /// Its token.
+        /// Fencing token of the controller.
         token: FencingToken,
     },
     /// Roles and models of engines.
     EngineFacts(Vec<EngineFacts>),
-    /// What arrived at the sender since its last report, for the controller of a cell.
+    /// Demand that arrived at the sender since its last report, for the controller of a cell.
     Demand {
-        /// The cell.
+        /// Name of the cell.
         cell: CellName,
-        /// The demand, by model.
+        /// Demand per model.
         models: Vec<ModelDemand>,
     },
-    /// Epoch of the shard map that the sender knows; a receiver that is behind pulls the map.
+    /// Epoch of the shard map known to the sender. A receiver with an older one pulls the map.
     ShardMapEpoch(u64),
-    /// Hash of all facts of the sender; a receiver with another one pulls them over a stream.
+    /// Hash of all engine facts of the sender. A receiver with a different hash pulls the facts.
     EngineFactsDigest(u64),
 }
--- a/crates/protocol/src/stream.rs
+++ b/crates/protocol/src/stream.rs
@@ -1,4 +1,4 @@
-//! Requests and responses over a stream, each in a frame with its length in front.
+//! Requests and responses over a stream, each in a length-prefixed frame.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use ponddrift_core::claims::{ClaimMessage, ClaimReply, ShardMap};
@@ -12,102 +12,104 @@
 use crate::datagram::{check_envelope, decode_payload};
 use crate::error::{DecodeError, EncodeError};
 
-/// Bytes of a frame's header: its length, little-endian.
+/// Size of a frame header in bytes. The header is the length of the frame, little-endian.
 pub const FRAME_HEADER_BYTES: usize = 4;
-/// Largest frame without its header.
+/// Maximum size of a frame in bytes, without its header.
 pub const MAXIMUM_FRAME_BYTES: usize = 4 * 1024 * 1024;
-/// Most rows that one answer holds; the rest is asked for with `after`.
+/// Maximum number of rows in a response; the rest is requested with `after`.
 pub const MAXIMUM_ROWS: u32 = 2_000;
 
-/// Who is at the other end; part of every request.
+/// Identity of the requesting daemon; part of every request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Hello {
-    /// [`crate::cluster_hash`] of the asking daemon's cluster.
+    /// [`crate::cluster_hash`] of the requesting daemon's cluster.
     pub cluster: u64,
-    /// The asking daemon.
+    /// Machine id of the requesting daemon.
     pub sender: MachineId,
-    /// Its life.
+    /// Incarnation of the requesting daemon.
     pub incarnation: Incarnation,
 }
 
-/// What a daemon asks of another. New kinds go to the end, with a new protocol version.
+/// A request to another daemon. New variants must be added at the end, with a new protocol version.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Request {
-    /// The configuration since a revision; 0 asks for the whole.
+    /// Requests the configuration changes since a revision; 0 requests the whole configuration.
     PullConfiguration {
-        /// The revision in force at the asking daemon.
+        /// Revision in force at the requesting daemon.
         since: Revision,
     },
-    /// Decisions kept by the asked daemon, for an operator's query.
+    /// Requests the decision records of the daemon, for an operator's query.
     PullDecisions {
-        /// Only those after this position of the daemon's log.
+        /// Position in the daemon's log after which records are returned.
         after: u64,
-        /// At most this many, and at most [`MAXIMUM_ROWS`].
+        /// Maximum number of records; capped at [`MAXIMUM_ROWS`].
         limit: u32,
     },
-    /// All drain marks, for a daemon that has just started or woken.
+    /// Requests all drain marks, for a daemon that has just started or resumed.
     PullDrainMarks,
-    /// The facts of all engines.
+    /// Requests the facts of all engines.
     PullEngineFacts,
-    /// A message to a member of a claim group.
+    /// Sends a message to a member of a claim group.
     Claim(ClaimMessage),
-    /// The shard map of the claims.
+    /// Requests the shard map of the claims.
     PullShardMap,
 }
 
-/// The answer.
+/// The response to a [`Request`].
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Response {
-    /// To [`Request::PullConfiguration`].
+    /// Response to [`Request::PullConfiguration`].
     Configuration(PullAnswer),
-    /// To [`Request::PullDecisions`].
+    /// Response to [`Request::PullDecisions`].
     Decisions {
         /// The records, oldest first.
         records: Vec<DecisionRecord>,
-        /// Position of the last one, for the next request.
+        /// Position of the last record, for `after` in the next request.
         position: u64,
-        /// Whether there are more.
+        /// Whether more records follow.
         has_more: bool,
     },
-    /// To [`Request::PullDrainMarks`].
+    /// Response to [`Request::PullDrainMarks`].
     DrainMarks(Vec<DrainMark>),
-    /// To [`Request::PullEngineFacts`].
+    /// Response to [`Request::PullEngineFacts`].
     EngineFacts(Vec<EngineFacts>),
-    /// To [`Request::Claim`]; `None` when the message was meant for another life of the daemon.
+    /// Response to [`Request::Claim`]; `None` when the message was addressed to another incarnation
+    /// of the daemon.
     Claim(Option<ClaimReply>),
-    /// To [`Request::PullShardMap`].
+    /// Response to [`Request::PullShardMap`].
     ShardMap(ShardMap),
-    /// The asked daemon cannot answer now.
+    /// The daemon cannot serve the request now.
     Refused {
-        /// Why, with the remedy.
+        /// The reason and the remedy.
         reason: String,
     },
 }
 
-/// A request as it travels.
+/// A request frame.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RequestFrame {
-    /// Who asks.
+    /// The requesting daemon.
     pub hello: Hello,
-    /// Repeated in the answer: answers may come in another order.
+    /// Request number, repeated in the response: responses may arrive in a different order.
     pub number: u64,
     /// The request.
     pub request: Request,
 }
 
-/// A response as it travels.
+/// A response frame.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ResponseFrame {
-    /// The request's number.
+    /// Number of the request.
     pub number: u64,
     /// The response.
     pub response: Response,
 }
 
-/// Length of the frame that follows a header.
+/// Decodes a frame header and returns the length of the frame.
 ///
 /// # Errors
-/// [`DecodeError::TooLarge`] before anything is allocated for it; [`DecodeError::Empty`].
+/// [`DecodeError::TooLarge`], so that callers allocate no memory for the frame, or
+/// [`DecodeError::Empty`].
 pub fn decode_frame_header(header: [u8; FRAME_HEADER_BYTES]) -> Result<usize, DecodeError> {
     let bytes = usize::try_from(u32::from_le_bytes(header)).unwrap_or(usize::MAX);
     if bytes > MAXIMUM_FRAME_BYTES {
@@ -122,18 +124,18 @@
     Ok(bytes)
 }
 
-/// Encodes a request with its header.
+/// Encodes a request with its frame header.
 ///
 /// # Errors
-/// [`EncodeError::TooLarge`].
+/// [`EncodeError::TooLarge`] above [`MAXIMUM_FRAME_BYTES`].
 pub fn encode_request(frame: &RequestFrame) -> Result<Vec<u8>, EncodeError> {
     encode(frame)
 }
 
-/// Encodes a response with its header.
+/// Encodes a response with its frame header.
 ///
 /// # Errors
-/// [`EncodeError::TooLarge`].
+/// [`EncodeError::TooLarge`] above [`MAXIMUM_FRAME_BYTES`].
 pub fn encode_response(frame: &ResponseFrame) -> Result<Vec<u8>, EncodeError> {
     encode(frame)
 }
@@ -141,7 +143,7 @@
 /// Decodes a request from a frame without its header.
 ///
 /// # Errors
-/// [`DecodeError`].
+/// [`DecodeError`] when the bytes are not a valid request of this protocol version.
 pub fn decode_request(bytes: &[u8]) -> Result<RequestFrame, DecodeError> {
     decode_payload(check_envelope(bytes, MAXIMUM_FRAME_BYTES)?)
 }
@@ -149,7 +151,7 @@
 /// Decodes a response from a frame without its header.
 ///
 /// # Errors
-/// [`DecodeError`].
+/// [`DecodeError`] when the bytes are not a valid response of this protocol version.
 pub fn decode_response(bytes: &[u8]) -> Result<ResponseFrame, DecodeError> {
     decode_payload(check_envelope(bytes, MAXIMUM_FRAME_BYTES)?)
 }
--- a/crates/protocol/tests/messages.rs
+++ b/crates/protocol/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Encoding and decoding: what is sent comes back, and hostile bytes do no harm.
+//! Tests that messages survive encoding and decoding, and that malformed input is rejected without
+//! a panic.
 
 use ponddrift_core::configuration::PullAnswer;
 use ponddrift_core::membership::MembershipMessage;
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_datagram_comes_back() {
+fn a_datagram_round_trips() {
     let sent = datagram(vec![
         ping(),
         view("cell-1"),
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn a_stream_message_comes_back_with_its_length_in_front() {
+fn stream_messages_round_trip_with_a_length_prefix() {
     let hello = Hello {
         cluster: cluster_hash("test"),
         sender: MachineId(1),
@@ -96,13 +97,13 @@
         encode_datagram(&large),
         Err(EncodeError::TooLarge { .. })
     ));
-    let claimed = (MAXIMUM_FRAME_BYTES as u32 + 1).to_le_bytes();
-    assert!(decode_frame_header(claimed).is_err());
+    let excessive = (MAXIMUM_FRAME_BYTES as u32 + 1).to_le_bytes();
+    assert!(decode_frame_header(excessive).is_err());
     assert_eq!(decode_frame_header([0; 4]), Err(DecodeError::Empty));
 }
 
 #[test]
-fn a_name_that_is_not_valid_is_refused() {
+fn an_invalid_name_is_rejected() {
     let mut bytes = encode_datagram(&datagram(vec![view("cell-1")])).unwrap();
     let position = bytes.windows(6).position(|text| text == b"cell-1").unwrap();
     bytes[position] = b'/';
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_claimed_length_without_the_bytes_is_refused() {
+fn a_length_beyond_the_available_bytes_is_rejected() {
     let mut bytes = encode_datagram(&datagram(vec![])).unwrap();
     let length = bytes.len();
     bytes[length - 4..].copy_from_slice(&u32::MAX.to_le_bytes());
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn hostile_bytes_never_panic_and_what_is_taken_encodes_to_the_same_bytes() {
+fn arbitrary_bytes_never_panic_and_decoded_datagrams_encode_to_the_same_bytes() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|bytes| {
         let mut bytes = bytes.clone();
         if let Some(version) = bytes.first_mut() {
