--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -42,7 +42,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EncodeError {
     /// The message exceeds the size that peers accept.
-    #[error("the message has {bytes} bytes, more than the limit of {limit}: send it in smaller parts")]
+    #[error(
+        "the message has {bytes} bytes, more than the limit of {limit}: send it in smaller parts"
+    )]
     TooLarge {
         /// Size of the message in bytes.
         bytes: usize,
