--- a/crates/engine/src/cache_events.rs
+++ b/crates/engine/src/cache_events.rs
@@ -12,12 +12,13 @@
 use crate::error::CallError;
 use crate::wire::cache_events::{CACHE_EVENTS_PATH, CacheEvent};
 
-/// Stream of an engine's cache events. It ends after the first error.
+/// Stream of an engine's cache events. An error ends the stream.
 pub type CacheEventStream = BoxStream<'static, Result<CacheEvent, CallError>>;
 
 /// Opens the event stream of an engine.
 ///
-/// # Errors [`CallError`] when the engine rejects the request or does not answer within
+/// # Errors
+/// [`CallError`] when the engine rejects the request or does not answer within
 /// `time_limit`. The limit does not apply to the events.
 pub async fn open(
     client: &Client,
--- a/crates/engine/src/control.rs
+++ b/crates/engine/src/control.rs
@@ -49,7 +49,8 @@
 
     /// Makes the engine reject all older fencing tokens.
     ///
-    /// # Errors [`ControlError`] when the engine rejects the claim, the call fails or `authority`
+    /// # Errors
+    /// [`ControlError`] when the engine rejects the claim, the call fails or `authority`
     /// returns false.
     pub async fn claim(
         &self,
@@ -63,7 +64,8 @@
 
     /// Sends an order, and returns the state of the engine after it.
     ///
-    /// # Errors [`ControlError`] when the engine rejects the order, the call fails or `authority`
+    /// # Errors
+    /// [`ControlError`] when the engine rejects the order, the call fails or `authority`
     /// returns false.
     pub async fn order(
         &self,
--- a/crates/runtime/src/watch.rs
+++ b/crates/runtime/src/watch.rs
@@ -173,7 +173,8 @@
     /// Waits until `condition` holds, and marks the value as seen. Returns immediately if it holds
     /// now.
     ///
-    /// # Errors [`Closed`] when the sender has been dropped and the condition does not hold for the
+    /// # Errors
+    /// [`Closed`] when the sender has been dropped and the condition does not hold for the
     /// last value.
     pub async fn wait_for(
         &mut self,
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -136,7 +136,7 @@
 }
 
 /// Checks that a request that has crashed three engines reaches engines in at most
-/// [`ALLOWED_LATE_ATTEMPTS`] attempts once all daemons must know of it, newly started ones
+/// `ALLOWED_LATE_ATTEMPTS` attempts once all daemons must know of it, newly started ones
 /// included.
 ///
 /// Attempts during a disruption of the store are exempt: a daemon that starts then may learn of the
--- a/crates/soak/src/limits.rs
+++ b/crates/soak/src/limits.rs
@@ -97,7 +97,7 @@
 
     /// Checks that no engine received more requests than its rate limit allows.
     ///
-    /// Requests count from [`PROPAGATION_LIMIT`] after the engine first announced the limit, or
+    /// Requests count from `PROPAGATION_LIMIT` after the engine first announced the limit, or
     /// announced it again after a crash, until the limit was cleared.
     #[must_use]
     pub fn check(&self) -> Vec<Violation> {
--- a/crates/soak/src/restorer.rs
+++ b/crates/soak/src/restorer.rs
@@ -104,7 +104,7 @@
         self.next_outage = now + self.random_duration(3_000..9_000);
     }
 
-    /// Ends a current outage without a restore, and makes a pending rewrite of the entries.
+    /// Ends a current outage without a restore, and performs a pending rewrite of the entries.
     pub fn finish(&mut self, platform: &Platform) {
         if self.outage.take().is_some() {
             platform.store.set_mode(StoreMode::Up);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -74,7 +74,8 @@
 
 /// Runs a soak test.
 ///
-/// # Errors When daemons or stand-ins cannot be started or controlled. Violated invariants are no
+/// # Errors
+/// When daemons or stand-ins cannot be started or controlled. Violated invariants are no
 /// error; they are in the report.
 pub async fn run(settings: &SoakSettings) -> Result<Report> {
     let mut soak = Soak::start(settings).await?;
--- a/crates/soak/tests/logs.rs
+++ b/crates/soak/tests/logs.rs
@@ -180,7 +180,7 @@
     assert!(took.wrap_err("missing time field")? >= 700.0);
     assert!(
         expected.wrap_err("missing time field")? < 200.0,
-        "the expected time must show that the engine was slow"
+        "the expected time must be below the time that the engine took"
     );
     let engine = end["back_ends"].as_str().wrap_err("unknown engine")?;
     let mut members = fleet.platform.members.iter();
