--- a/crates/engine/src/cache_events.rs
+++ b/crates/engine/src/cache_events.rs
@@ -8,17 +8,18 @@
 use http::Request;
 use ponddrift_http::{Client, body};
 
-use crate::completions::{accepted, events};
+use crate::completions::{ensure_success, events};
 use crate::error::CallError;
 use crate::wire::cache_events::{CACHE_EVENTS_PATH, CacheEvent};
 
-/// Cache events as they come. An error ends the stream.
+/// Stream of an engine's cache events. An error ends the stream.
 pub type CacheEventStream = BoxStream<'static, Result<CacheEvent, CallError>>;
 
 /// Opens the event stream of an engine.
 ///
 /// # Errors
-/// [`CallError`] when it does not open within `time_limit`.
+/// [`CallError`] when the engine rejects the request or does not answer within
+/// `time_limit`. The limit does not apply to the events.
 pub async fn open(
     client: &Client,
     engine: SocketAddr,
@@ -27,7 +28,7 @@
     let request = Request::get(format!("http://{engine}{CACHE_EVENTS_PATH}"))
         .body(body::empty())
         .map_err(|error| CallError::NotSent(error.to_string()))?;
-    let opening = async { accepted(client.send(request).await?).await };
+    let opening = async { ensure_success(client.send(request).await?).await };
     let response = tokio::time::timeout(time_limit, opening)
         .await
         .map_err(|_elapsed| CallError::TimedOut(time_limit))??;
