--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -4,9 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use ponddrift_core::admission::{
-    Admission, AdmissionEvent, AdmissionSettings, DAEMON_WAIT_TARGET,
-};
+use ponddrift_core::admission::{Admission, AdmissionEvent, AdmissionSettings, DAEMON_WAIT_TARGET};
 use ponddrift_core::claims::{ClaimMember, ShardMap};
 use ponddrift_core::configuration::Configuration;
 use ponddrift_core::machine::MachineList;
--- a/crates/soak/src/daemons.rs
+++ b/crates/soak/src/daemons.rs
@@ -47,7 +47,10 @@
         let readiness_address = unique_loopback_address();
         let peers = unique_loopback_address();
         let store = unique_loopback_address();
-        let (server, store_link) = platform.store.serve_endpoint(&platform.runtime, store).await?;
+        let (server, store_link) = platform
+            .store
+            .serve_endpoint(&platform.runtime, store)
+            .await?;
         // The server must run until this process exits.
         std::mem::forget(server);
         let settings = folder.join(format!("{name}.toml"));
