--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -64,21 +64,21 @@
 
 /// Counts of request results at one back end.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Results {
+pub struct OutcomeCounts {
     /// Complete responses.
     pub successes: u8,
     /// Responses that report a failure.
     pub errors: u8,
     /// Failed or broken connections, and responses that did not arrive in time.
-    pub breaks: u8,
+    pub unanswered: u8,
 }
 
-impl Results {
+impl OutcomeCounts {
     fn count(&mut self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Success => &mut self.successes,
             Outcome::Error => &mut self.errors,
-            Outcome::Unreachable | Outcome::Silent | Outcome::Broken => &mut self.breaks,
+            Outcome::Unreachable | Outcome::Silent | Outcome::Broken => &mut self.unanswered,
         };
         *counter = counter.saturating_add(1);
     }
@@ -97,7 +97,7 @@
     last_activity: Option<Instant>,
     last_hint: Option<Instant>,
     failure_rate: f64,
-    unpublished: Results,
+    unpublished: OutcomeCounts,
 }
 
 /// Health records of all back ends, by id.
@@ -141,20 +141,25 @@
 
     /// Records results reported by another daemon of the zone. If the back end is ejected because
     /// of them, returns the delay before the first health check.
-    pub fn receive(&mut self, id: &Arc<str>, results: Results, now: Instant) -> Option<Duration> {
+    pub fn receive(
+        &mut self,
+        id: &Arc<str>,
+        results: OutcomeCounts,
+        now: Instant,
+    ) -> Option<Duration> {
         let record = self.records.entry(Arc::clone(id)).or_default();
         for _ in 0..results.errors.min(MAX_RESULTS_PER_MESSAGE) {
             record.count_failure(now);
         }
-        for _ in 0..results.breaks.min(MAX_RESULTS_PER_MESSAGE) {
+        for _ in 0..results.unanswered.min(MAX_RESULTS_PER_MESSAGE) {
             record.count_failure(now);
         }
-        record.zone_breaks += u32::from(results.breaks.min(MAX_BREAKS_PER_MESSAGE));
+        record.zone_breaks += u32::from(results.unanswered.min(MAX_BREAKS_PER_MESSAGE));
         // The order of the results within a message is unknown; successes are counted last.
         for _ in 0..results.successes.min(MAX_RESULTS_PER_MESSAGE) {
             record.count_success();
         }
-        if results.breaks == 0 {
+        if results.unanswered == 0 {
             return None;
         }
         record.eject_if(false)
@@ -162,11 +167,11 @@
 
     /// Returns the results of this daemon's requests since the previous call, to be sent to the
     /// zone.
-    pub fn take_unpublished(&mut self) -> Vec<(Arc<str>, Results)> {
+    pub fn take_unpublished(&mut self) -> Vec<(Arc<str>, OutcomeCounts)> {
         let with_results = self
             .records
             .iter_mut()
-            .filter(|(_id, record)| record.unpublished != Results::default());
+            .filter(|(_id, record)| record.unpublished != OutcomeCounts::default());
         with_results
             .map(|(id, record)| (Arc::clone(id), std::mem::take(&mut record.unpublished)))
             .collect()
@@ -214,7 +219,7 @@
     /// Records that a peer has ejected the back end. Returns whether this daemon should check it
     /// too, which it should not if the back end is already ejected here or was checked for the same
     /// reason a moment ago.
-    pub fn note_peer_ejection(&mut self, id: &Arc<str>, now: Instant) -> bool {
+    pub fn record_peer_ejection(&mut self, id: &Arc<str>, now: Instant) -> bool {
         let record = self.records.entry(Arc::clone(id)).or_default();
         let is_fresh = record
             .last_hint
--- a/crates/fleet/tests/health.rs
+++ b/crates/fleet/tests/health.rs
@@ -4,24 +4,24 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ponddrift_fleet::health::{Health, Outcome, Results};
+use ponddrift_fleet::health::{Health, Outcome, OutcomeCounts};
 
 fn id() -> Arc<str> {
     Arc::from("i-1")
 }
 
-const fn broken(breaks: u8) -> Results {
-    Results {
+const fn broken(unanswered: u8) -> OutcomeCounts {
+    OutcomeCounts {
         successes: 0,
         errors: 0,
-        breaks,
+        unanswered,
     }
 }
 
-const ONE_SUCCESS: Results = Results {
+const ONE_SUCCESS: OutcomeCounts = OutcomeCounts {
     successes: 1,
     errors: 0,
-    breaks: 0,
+    unanswered: 0,
 };
 
 #[test]
@@ -90,10 +90,10 @@
 fn errors_reported_by_peers_increase_the_cost_of_a_back_end() {
     let mut health = Health::default();
     let now = Instant::now();
-    let half = Results {
+    let half = OutcomeCounts {
         successes: 1,
         errors: 1,
-        breaks: 0,
+        unanswered: 0,
     };
     for _ in 0..20 {
         health.receive(&id(), half, now);
@@ -108,10 +108,10 @@
     health.record(&id(), Outcome::Success, Instant::now());
     health.record(&id(), Outcome::Error, Instant::now());
     let published = health.take_unpublished();
-    let expected = Results {
+    let expected = OutcomeCounts {
         successes: 1,
         errors: 1,
-        breaks: 0,
+        unanswered: 0,
     };
     assert_eq!(published, [(id(), expected)]);
     assert!(health.take_unpublished().is_empty());
--- a/crates/serving/src/orders/engine_calls.rs
+++ b/crates/serving/src/orders/engine_calls.rs
@@ -93,7 +93,7 @@
         if answer.status() != StatusCode::MISDIRECTED_REQUEST {
             let origin = AnswerOrigin::call("order", sent);
             self.pipeline
-                .note_announcement(engine, answer.status(), answer.headers(), origin);
+                .record_announcements(engine, answer.status(), answer.headers(), origin);
         }
         Some(answer)
     }
--- a/crates/serving/src/peers/translate.rs
+++ b/crates/serving/src/peers/translate.rs
@@ -5,7 +5,7 @@
 
 use ponddrift_fleet::budget::Deposits;
 use ponddrift_fleet::directory::Incarnation;
-use ponddrift_fleet::health::Results;
+use ponddrift_fleet::health::OutcomeCounts;
 use ponddrift_fleet::placement::{
     Outstanding, PrefixState, PrefixUse, PromptReading, WorkReport, WorkRow,
 };
@@ -137,20 +137,20 @@
     }
 }
 
-pub(super) fn result_to_wire((id, results): &(Arc<str>, Results)) -> ResultRow {
+pub(super) fn result_to_wire((id, results): &(Arc<str>, OutcomeCounts)) -> ResultRow {
     ResultRow {
         back_end: hash(id),
         successes: results.successes,
         errors: results.errors,
-        breaks: results.breaks,
+        breaks: results.unanswered,
     }
 }
 
-pub(super) const fn results_from_wire(row: &ResultRow) -> Results {
-    Results {
+pub(super) const fn results_from_wire(row: &ResultRow) -> OutcomeCounts {
+    OutcomeCounts {
         successes: row.successes,
         errors: row.errors,
-        breaks: row.breaks,
+        unanswered: row.breaks,
     }
 }
 
--- a/crates/serving/src/pipeline/announcements.rs
+++ b/crates/serving/src/pipeline/announcements.rs
@@ -49,7 +49,7 @@
 impl Pipeline {
     /// Records what an answer of `back_end` announces. The caller must have verified that the
     /// answer comes from this back end.
-    pub(crate) fn note_announcement(
+    pub(crate) fn record_announcements(
         &self,
         back_end: &Arc<BackEnd>,
         status: StatusCode,
--- a/crates/serving/src/pipeline/attempt.rs
+++ b/crates/serving/src/pipeline/attempt.rs
@@ -6,7 +6,7 @@
 
 use http::{Request, StatusCode};
 use ponddrift_fleet::directory::BackEnd;
-use ponddrift_fleet::health::{Outcome, Results};
+use ponddrift_fleet::health::{Outcome, OutcomeCounts};
 use ponddrift_fleet::placement::Urgency;
 use ponddrift_http::body;
 
@@ -241,7 +241,7 @@
         let is_misdirected = head.status == StatusCode::MISDIRECTED_REQUEST;
         if metadata.matches_request && !is_misdirected {
             let origin = AnswerOrigin::request(step_name(step), sent, !metadata.was_not_run);
-            self.note_announcement(back_end, head.status, &head.headers, origin);
+            self.record_announcements(back_end, head.status, &head.headers, origin);
         }
         let is_for_caller = !matches!(step, SendStep::Prefill);
         let is_success = head.status.is_success();
@@ -324,7 +324,7 @@
     }
 
     /// Takes in the request results that another daemon of the zone reported.
-    pub fn receive_results(self: &Arc<Self>, back_end: &Arc<BackEnd>, results: Results) {
+    pub fn receive_results(self: &Arc<Self>, back_end: &Arc<BackEnd>, results: OutcomeCounts) {
         let pause = self
             .placement()
             .health
--- a/crates/serving/src/pipeline/cache_probe.rs
+++ b/crates/serving/src/pipeline/cache_probe.rs
@@ -73,7 +73,7 @@
             .call(permit, engine.address, 2, request, PROBE_TIMEOUT);
         let answer = call.await?;
         let origin = AnswerOrigin::call("cache_events", sent);
-        self.note_announcement(&engine, answer.status(), answer.headers(), origin);
+        self.record_announcements(&engine, answer.status(), answer.headers(), origin);
         if answer.status() != StatusCode::OK {
             return None;
         }
--- a/crates/serving/src/pipeline/probe.rs
+++ b/crates/serving/src/pipeline/probe.rs
@@ -106,7 +106,7 @@
         if !self
             .placement()
             .health
-            .note_peer_ejection(&back_end.id, now())
+            .record_peer_ejection(&back_end.id, now())
         {
             return;
         }
@@ -156,7 +156,7 @@
             self.dialect.health_identity(answer.headers()) == Some(&*back_end.id);
         if identity_matches {
             let origin = AnswerOrigin::call("health_check", sent);
-            self.note_announcement(back_end, answer.status(), answer.headers(), origin);
+            self.record_announcements(back_end, answer.status(), answer.headers(), origin);
         }
         if answer.status() == StatusCode::OK && identity_matches {
             HealthCheckResult::Healthy
