--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,13 +1,25 @@
-//! Health of back ends, derived from the results of requests that this daemon and the other daemons
-//! of its zone sent.
+//! Health of back ends, derived from the outcomes of requests that this daemon and the other
+//! daemons of its zone sent.
 //!
-//! The directory may list a crashed engine as ready for seconds. A back end that cannot be reached,
-//! does not answer in time or repeatedly breaks its connections is ejected. A successful health
-//! check reinstates it on trial; the delay before the check grows with each ejection. A health
-//! check may succeed although requests fail, so the first failed request on trial ejects the back
-//! end again. Daemons of one zone share their results, because each of them sends too few requests
-//! to one engine to detect a failure quickly. Results from other zones are ignored: the same engine
-//! may behave differently from there.
+//! The directory may list a back end as ready for several seconds after it has crashed. Therefore a
+//! daemon ejects a back end, that is, sends it no requests, if it cannot be reached, does not
+//! answer in time or repeatedly breaks connections. Responses that report a failure never eject a
+//! back end; they only increase its cost.
+//!
+//! After a successful health check the back end is reinstated on trial: it receives one request at
+//! a time until `TRIAL_SUCCESSES` requests have succeeded. A health check may succeed although
+//! requests fail, so the first request on trial without a complete response ejects the back end
+//! again. The delay before the next health check grows with each ejection and each failed or
+//! postponed check.
+//!
+//! The daemons of a zone share two kinds of information, because each of them sends too few
+//! requests to one back end to detect a failure quickly:
+//! - counts of outcomes, which are combined with the daemon's own;
+//! - ejections. An ejection at a peer does not eject the back end here, but makes this daemon check
+//!   it. If the check fails, it counts as an unreachable request.
+//!
+//! Outcomes from other zones are ignored: the same back end may behave differently when it is
+//! called from another zone.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,25 +29,31 @@
 pub const FIRST_CHECK_DELAY: Duration = Duration::from_millis(500);
 /// Maximum delay between two health checks.
 pub const MAX_CHECK_DELAY: Duration = Duration::from_secs(4);
-/// After this long without a failure the delay starts again at [`FIRST_CHECK_DELAY`].
-const RESET_AFTER: Duration = Duration::from_secs(15);
+/// If the last failed request is older than this at the next one, the delay starts again at
+/// [`FIRST_CHECK_DELAY`].
+const CHECK_DELAY_RESET_AFTER: Duration = Duration::from_secs(15);
 /// Minimum time between two health checks of a back end that are triggered by ejections at peers.
-const MIN_HINT_INTERVAL: Duration = Duration::from_secs(2);
-/// Consecutive broken requests, summed over all daemons of the zone, that eject a back end.
-const ZONE_BREAK_LIMIT: u32 = 4;
+/// Each peer that ejects the back end reports it repeatedly.
+const MIN_PEER_EJECTION_CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Requests without a complete response, summed over all daemons of the zone, that eject a back end
+/// if none succeeds in between.
+const ZONE_UNANSWERED_LIMIT: u32 = 4;
 /// Successful requests that end a trial.
 const TRIAL_SUCCESSES: u32 = 2;
-/// Maximum number of broken requests in one message that count toward [`ZONE_BREAK_LIMIT`]: a
-/// daemon with a failed network link reports broken requests at every back end.
-const MAX_BREAKS_PER_MESSAGE: u8 = 2;
-/// Maximum number of results of each kind per back end that count in one message.
-const MAX_RESULTS_PER_MESSAGE: u8 = 8;
-/// Weight of the newest result in the failure rate.
+/// Maximum number of requests without a complete response in one message that count toward
+/// [`ZONE_UNANSWERED_LIMIT`]. Without this cap, one message of a daemon with a failed network link
+/// could eject every back end.
+const MAX_UNANSWERED_PER_MESSAGE: u8 = 2;
+/// Maximum number of outcomes of each kind per back end that count in one message. Limits the
+/// effect of one message on the failure rate; [`MAX_UNANSWERED_PER_MESSAGE`] limits its effect on
+/// ejection.
+const MAX_COUNT_PER_MESSAGE: u8 = 8;
+/// Weight of the newest outcome in the failure rate, an exponentially weighted moving average.
 const FAILURE_RATE_WEIGHT: f64 = 0.1;
 /// Additional cost of a back end whose requests all fail, as a multiple of its normal cost.
 const FAILURE_COST_FACTOR: f64 = 12.0;
 
-/// Result of one request to a back end.
+/// Outcome of one request to a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Complete response.
@@ -51,8 +69,9 @@
 }
 
 impl Outcome {
-    /// Consecutive failures that eject a back end; `None` for outcomes that never do.
-    const fn ejects_after(self) -> Option<u32> {
+    /// Number of consecutive requests without a complete response, of whatever kind, at which a
+    /// request with this outcome ejects the back end; `None` for outcomes that never do.
+    const fn ejection_limit(self) -> Option<u32> {
         match self {
             Self::Success | Self::Error => None,
             Self::Unreachable => Some(1),
@@ -62,14 +81,15 @@
     }
 }
 
-/// Counts of request results at one back end.
+/// Number of requests to one back end by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
     /// Complete responses.
     pub successes: u8,
     /// Responses that report a failure.
     pub errors: u8,
-    /// Failed or broken connections, and responses that did not arrive in time.
+    /// Requests without a complete response: [`Outcome::Unreachable`], [`Outcome::Silent`] and
+    /// [`Outcome::Broken`].
     pub unanswered: u8,
 }
 
@@ -85,109 +105,129 @@
 }
 
 #[derive(Debug, Default)]
-struct Record {
-    consecutive_failures: u32,
-    /// Consecutive broken requests, summed over all daemons of the zone.
-    zone_breaks: u32,
+struct BackEndHealth {
+    /// Requests of this daemon without a complete response since its last success or the last
+    /// reinstatement. Unlike `last_failure` and `failure_rate`, does not include
+    /// [`Outcome::Error`].
+    consecutive_unanswered: u32,
+    /// Requests without a complete response since the last success or reinstatement, summed over
+    /// all daemons of the zone.
+    zone_unanswered: u32,
     ejected: bool,
     /// Successful requests that remain until the trial ends; 0 when not on trial.
     trial_successes_left: u32,
-    ejection_count: u32,
+    /// Number of doublings of the delay before the next health check. Grows with each ejection and
+    /// each failed or postponed check.
+    check_delay_step: u32,
+    /// Time of the last failed request of any daemon of the zone.
     last_failure: Option<Instant>,
+    /// Time when the back end last sent data to this daemon.
     last_activity: Option<Instant>,
-    last_hint: Option<Instant>,
+    /// Time of the last health check that was triggered by an ejection at a peer.
+    last_peer_ejection_check: Option<Instant>,
+    /// Moving average of failures in the zone, from 0 to 1.
     failure_rate: f64,
+    /// Outcomes of this daemon's requests that have not been sent to its peers yet.
     unpublished: OutcomeCounts,
 }
 
-/// Health records of all back ends, by id.
+/// Health of all back ends.
 #[derive(Debug, Default)]
 pub struct Health {
-    records: HashMap<Arc<str>, Record>,
+    by_back_end: HashMap<Arc<str>, BackEndHealth>,
 }
 
 impl Health {
-    /// Records the result of a request of this daemon. If the back end is ejected because of it,
-    /// returns the delay before the first health check.
+    /// Records the outcome of a request of this daemon. If it ejects the back end, returns the
+    /// delay before the first health check.
     pub fn record(&mut self, id: &Arc<str>, outcome: Outcome, now: Instant) -> Option<Duration> {
-        let record = self.records.entry(Arc::clone(id)).or_default();
-        record.unpublished.count(outcome);
+        let health = self.by_back_end.entry(Arc::clone(id)).or_default();
+        health.unpublished.count(outcome);
         if outcome == Outcome::Success {
-            record.last_activity = Some(now);
-            record.consecutive_failures = 0;
-            record.count_success();
+            health.last_activity = Some(now);
+            health.consecutive_unanswered = 0;
+            health.count_success();
             return None;
         }
-        record.count_failure(now);
-        let limit = outcome.ejects_after()?;
-        record.consecutive_failures += 1;
-        record.zone_breaks += 1;
-        record.eject_if(record.consecutive_failures >= limit)
+        health.count_failure(now);
+        let limit = outcome.ejection_limit()?;
+        health.consecutive_unanswered += 1;
+        health.zone_unanswered += 1;
+        health.eject_if_due(health.consecutive_unanswered >= limit)
     }
 
-    /// Records that the back end sent data for some request, which shows that it is alive even if
-    /// other requests are waiting.
+    /// Records that the back end sent data for any request. This shows that it is alive even if
+    /// other requests are still waiting for data.
     pub fn record_activity(&mut self, id: &Arc<str>, now: Instant) {
-        let record = self.records.entry(Arc::clone(id)).or_default();
-        record.last_activity = Some(now);
+        let health = self.by_back_end.entry(Arc::clone(id)).or_default();
+        health.last_activity = Some(now);
     }
 
     /// Whether the back end has shown activity at or after `since`.
     #[must_use]
     pub fn active_since(&self, id: &str, since: Instant) -> bool {
-        let last_activity = self.records.get(id).and_then(|record| record.last_activity);
-        last_activity.is_some_and(|sign| sign >= since)
+        let last_activity = self
+            .by_back_end
+            .get(id)
+            .and_then(|health| health.last_activity);
+        last_activity.is_some_and(|activity| activity >= since)
     }
 
-    /// Records results reported by another daemon of the zone. If the back end is ejected because
-    /// of them, returns the delay before the first health check.
+    /// Records outcomes reported by another daemon of the zone. If they eject the back end, returns
+    /// the delay before the first health check.
     pub fn receive(
         &mut self,
         id: &Arc<str>,
-        results: OutcomeCounts,
+        counts: OutcomeCounts,
         now: Instant,
     ) -> Option<Duration> {
-        let record = self.records.entry(Arc::clone(id)).or_default();
-        for _ in 0..results.errors.min(MAX_RESULTS_PER_MESSAGE) {
-            record.count_failure(now);
+        let health = self.by_back_end.entry(Arc::clone(id)).or_default();
+        for _ in 0..counts.errors.min(MAX_COUNT_PER_MESSAGE) {
+            health.count_failure(now);
         }
-        for _ in 0..results.unanswered.min(MAX_RESULTS_PER_MESSAGE) {
-            record.count_failure(now);
+        for _ in 0..counts.unanswered.min(MAX_COUNT_PER_MESSAGE) {
+            health.count_failure(now);
         }
-        record.zone_breaks += u32::from(results.unanswered.min(MAX_BREAKS_PER_MESSAGE));
-        // The order of the results within a message is unknown; successes are counted last.
-        for _ in 0..results.successes.min(MAX_RESULTS_PER_MESSAGE) {
-            record.count_success();
+        health.zone_unanswered += u32::from(counts.unanswered.min(MAX_UNANSWERED_PER_MESSAGE));
+        // The order of the outcomes within a message is unknown. Successes are counted last, so
+        // that a message that contains one never ejects the back end through the zone's limit.
+        for _ in 0..counts.successes.min(MAX_COUNT_PER_MESSAGE) {
+            health.count_success();
         }
-        if results.unanswered == 0 {
+        if counts.unanswered == 0 {
             return None;
         }
-        record.eject_if(false)
+        health.eject_if_due(false)
     }
 
-    /// Returns the results of this daemon's requests since the previous call, to be sent to the
-    /// zone.
+    /// Returns the outcomes of this daemon's requests since the previous call, to be sent to the
+    /// other daemons of the zone.
     pub fn take_unpublished(&mut self) -> Vec<(Arc<str>, OutcomeCounts)> {
-        let with_results = self
-            .records
+        let with_outcomes = self
+            .by_back_end
             .iter_mut()
-            .filter(|(_id, record)| record.unpublished != OutcomeCounts::default());
-        with_results
-            .map(|(id, record)| (Arc::clone(id), std::mem::take(&mut record.unpublished)))
+            .filter(|(_id, health)| health.unpublished != OutcomeCounts::default());
+        with_outcomes
+            .map(|(id, health)| (Arc::clone(id), std::mem::take(&mut health.unpublished)))
             .collect()
     }
 
-    /// Whether an ejected back end may be checked now. If a request to it has failed within half of
-    /// `pause`, returns the delay before the next attempt as the error.
-    pub fn may_check(&mut self, id: &str, pause: Duration, now: Instant) -> Result<(), Duration> {
-        let Some(record) = self.records.get_mut(id) else {
+    /// Whether an ejected back end may be checked now. `waited` is the delay that preceded this
+    /// check. If a request of any daemon of the zone failed during its second half, the back end is
+    /// probably still failing.
+    ///
+    /// # Errors
+    ///
+    /// The check is postponed; the error is the delay before the next attempt.
+    pub fn may_check(&mut self, id: &str, waited: Duration, now: Instant) -> Result<(), Duration> {
+        let Some(health) = self.by_back_end.get_mut(id) else {
             return Ok(());
         };
-        let failed_since = record
+        let failed_recently = health
             .last_failure
-            .is_some_and(|last| now.saturating_duration_since(last) < pause / 2);
-        if failed_since {
-            return Err(record.next_check_delay());
+            .is_some_and(|last| now.saturating_duration_since(last) < waited / 2);
+        if failed_recently {
+            return Err(health.next_check_delay());
         }
         Ok(())
     }
@@ -195,91 +235,99 @@
     /// Whether the back end is on trial and therefore receives only one request at a time.
     #[must_use]
     pub fn is_on_trial(&self, id: &str) -> bool {
-        self.records
+        self.by_back_end
             .get(id)
-            .is_some_and(|record| record.trial_successes_left > 0)
+            .is_some_and(|health| health.trial_successes_left > 0)
     }
 
-    /// Records a failed health check of an ejected back end. Returns the delay before the next one.
+    /// Records a failed health check of an ejected back end. Returns the delay before the next one;
+    /// `None` if the back end is no longer tracked.
     pub fn record_failed_check(&mut self, id: &str) -> Option<Duration> {
-        let record = self.records.get_mut(id)?;
-        Some(record.next_check_delay())
+        let health = self.by_back_end.get_mut(id)?;
+        Some(health.next_check_delay())
     }
 
-    /// Ends the ejection of a back end and puts it on trial.
+    /// Ends the ejection of a back end and puts it on trial, see the module documentation.
     pub fn reinstate(&mut self, id: &str) {
-        if let Some(record) = self.records.get_mut(id) {
-            record.ejected = false;
-            record.consecutive_failures = 0;
-            record.zone_breaks = 0;
-            record.trial_successes_left = TRIAL_SUCCESSES;
+        if let Some(health) = self.by_back_end.get_mut(id) {
+            health.ejected = false;
+            health.consecutive_unanswered = 0;
+            health.zone_unanswered = 0;
+            health.trial_successes_left = TRIAL_SUCCESSES;
         }
     }
 
-    /// Records that a peer has ejected the back end. Returns whether this daemon should check it
-    /// too, which it should not if the back end is already ejected here or was checked for the same
-    /// reason a moment ago.
+    /// Records that a peer has ejected the back end. Returns whether this daemon should check it as
+    /// well: false if the back end is already ejected here, or if it was checked because of a
+    /// peer's ejection within the last `MIN_PEER_EJECTION_CHECK_INTERVAL`.
     pub fn record_peer_ejection(&mut self, id: &Arc<str>, now: Instant) -> bool {
-        let record = self.records.entry(Arc::clone(id)).or_default();
-        let is_fresh = record
-            .last_hint
-            .is_some_and(|last| now.saturating_duration_since(last) < MIN_HINT_INTERVAL);
-        if record.ejected || is_fresh {
+        let health = self.by_back_end.entry(Arc::clone(id)).or_default();
+        let checked_recently = health.last_peer_ejection_check.is_some_and(|last| {
+            now.saturating_duration_since(last) < MIN_PEER_EJECTION_CHECK_INTERVAL
+        });
+        if health.ejected || checked_recently {
             return false;
         }
-        record.last_hint = Some(now);
+        health.last_peer_ejection_check = Some(now);
         true
     }
 
     /// The ejected back ends, to be sent to peers.
     #[must_use]
     pub fn ejected(&self) -> Vec<Arc<str>> {
-        let ejected = self.records.iter().filter(|(_id, record)| record.ejected);
-        ejected.map(|(id, _record)| Arc::clone(id)).collect()
+        let ejected = self
+            .by_back_end
+            .iter()
+            .filter(|(_id, health)| health.ejected);
+        ejected.map(|(id, _health)| Arc::clone(id)).collect()
     }
 
     /// Whether the back end is ejected and receives no requests.
     #[must_use]
     pub fn is_ejected(&self, id: &str) -> bool {
-        self.records.get(id).is_some_and(|record| record.ejected)
+        self.by_back_end
+            .get(id)
+            .is_some_and(|health| health.ejected)
     }
 
-    /// Factor by which failures increase the cost of a back end; 1 without failures.
+    /// Factor by which failures increase the cost of a back end; 1 without failures. Grows with the
+    /// square of the failure rate, so that a single failure has little effect.
     #[must_use]
     pub fn cost_factor(&self, id: &str) -> f64 {
         let rate = self
-            .records
+            .by_back_end
             .get(id)
-            .map_or(0.0, |record| record.failure_rate);
+            .map_or(0.0, |health| health.failure_rate);
         1.0 + FAILURE_COST_FACTOR * rate * rate
     }
 
-    /// Removes the records of back ends for which `keep` returns false.
+    /// Forgets the back ends for which `keep` returns false.
     pub fn keep_only(&mut self, keep: impl Fn(&str) -> bool) {
-        self.records.retain(|id, _record| keep(id));
+        self.by_back_end.retain(|id, _health| keep(id));
     }
 }
 
-impl Record {
+impl BackEndHealth {
     fn count_success(&mut self) {
         self.failure_rate -= FAILURE_RATE_WEIGHT * self.failure_rate;
-        self.zone_breaks = 0;
+        self.zone_unanswered = 0;
         self.trial_successes_left = self.trial_successes_left.saturating_sub(1);
     }
 
     fn count_failure(&mut self, now: Instant) {
         self.failure_rate += FAILURE_RATE_WEIGHT * (1.0 - self.failure_rate);
-        self.reset_delay(now);
+        self.reset_delay_if_last_failure_is_old(now);
         self.last_failure = Some(now);
     }
 
-    /// Ejects the back end if it is on trial, or if the failures of this daemon's requests
-    /// (`own_are_enough`) or of the whole zone reach their limit. Returns the delay before the
-    /// first health check.
-    fn eject_if(&mut self, own_are_enough: bool) -> Option<Duration> {
-        let is_enough =
-            own_are_enough || self.trial_successes_left > 0 || self.zone_breaks >= ZONE_BREAK_LIMIT;
-        if self.ejected || !is_enough {
+    /// Ejects the back end after a request without a complete response if it is on trial, if this
+    /// daemon's own requests have reached their limit (`own_limit_reached`), or if those of the
+    /// whole zone have. Returns the delay before the first health check.
+    fn eject_if_due(&mut self, own_limit_reached: bool) -> Option<Duration> {
+        let is_due = own_limit_reached
+            || self.trial_successes_left > 0
+            || self.zone_unanswered >= ZONE_UNANSWERED_LIMIT;
+        if self.ejected || !is_due {
             return None;
         }
         self.ejected = true;
@@ -287,18 +335,22 @@
         Some(self.next_check_delay())
     }
 
-    fn reset_delay(&mut self, now: Instant) {
-        let is_long_ago = self
+    /// Must be called before `last_failure` is updated.
+    fn reset_delay_if_last_failure_is_old(&mut self, now: Instant) {
+        let is_old = self
             .last_failure
-            .is_some_and(|last| now.saturating_duration_since(last) > RESET_AFTER);
-        if is_long_ago {
-            self.ejection_count = 0;
+            .is_some_and(|last| now.saturating_duration_since(last) > CHECK_DELAY_RESET_AFTER);
+        if is_old {
+            self.check_delay_step = 0;
         }
     }
 
+    /// Returns the delay before the next health check and doubles the one after it, up to
+    /// [`MAX_CHECK_DELAY`].
     fn next_check_delay(&mut self) -> Duration {
-        let doublings = self.ejection_count.min(8);
-        self.ejection_count += 1;
+        // Keeps the shift in range; the delay reaches its maximum after fewer doublings.
+        let doublings = self.check_delay_step.min(8);
+        self.check_delay_step += 1;
         FIRST_CHECK_DELAY
             .saturating_mul(1 << doublings)
             .min(MAX_CHECK_DELAY)
