--- a/crates/serving/src/pipeline/announcements.rs
+++ b/crates/serving/src/pipeline/announcements.rs
@@ -1,4 +1,6 @@
-//! Processes the availability and rate limits that back ends announce in their answers.
+//! Records the availability and the rate limits that back ends announce in their answers, and
+//! determines the failure that a caller receives while all suitable back ends are unavailable
+//! because of them.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -15,31 +17,32 @@
 use crate::request_trace::milliseconds;
 use crate::time::now;
 
-/// The exchange that an announcement came with.
+/// The request whose answer contained an announcement.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AnswerOrigin {
-    /// Purpose of the request, for logs and metrics.
-    source: &'static str,
+    /// Purpose of the request, for the field and label `source` of logs and metrics.
+    purpose: &'static str,
     /// When the request was sent.
     sent: Instant,
-    /// Whether the back end ran the request.
+    /// Whether the back end ran a caller's request. Only then does an answer without a rate limit
+    /// mean that there is none: refusals and the daemon's own calls may omit a limit that applies.
     request_ran: bool,
 }
 
 impl AnswerOrigin {
     /// An answer to a caller's request or to a prefill of its prompt.
-    pub(super) const fn request(purpose: &'static str, sent: Instant, request_ran: bool) -> Self {
+    pub(super) const fn request(step_name: &'static str, sent: Instant, request_ran: bool) -> Self {
         Self {
-            source: purpose,
+            purpose: step_name,
             sent,
             request_ran,
         }
     }
 
     /// An answer to a call that the daemon made for itself, such as a health check.
-    pub(crate) const fn call(source: &'static str, sent: Instant) -> Self {
+    pub(crate) const fn call(purpose: &'static str, sent: Instant) -> Self {
         Self {
-            source,
+            purpose,
             sent,
             request_ran: false,
         }
@@ -47,8 +50,8 @@
 }
 
 impl Pipeline {
-    /// Records what an answer of `back_end` announces. The caller must have verified that the
-    /// answer comes from this back end.
+    /// Records the availability and the rate limit that an answer of `back_end` announces. The
+    /// caller must have verified that the answer comes from this back end.
     pub(crate) fn record_announcements(
         &self,
         back_end: &Arc<BackEnd>,
@@ -56,8 +59,8 @@
         headers: &HeaderMap,
         origin: AnswerOrigin,
     ) {
-        self.note_announced_rate(back_end, headers, origin);
-        let source = origin.source;
+        self.record_announced_rate(back_end, headers, origin);
+        let source = origin.purpose;
         let announcement = self.dialect.read_announcement(status, headers);
         if announcement.drains {
             self.metrics.announcement("draining", source);
@@ -68,11 +71,13 @@
             RequestedBackoff::Unreadable => self.metrics.announcement("backoff_unreadable", source),
         }
         let now = now();
-        let update = self
+        // `None` if the kind of availability has not changed. An announcement never makes a back
+        // end available, so `Open` is not expected here.
+        let changed_availability = self
             .placement()
             .announcements
             .note(back_end, announcement, now);
-        let backoff_ms = match update {
+        let backoff_ms = match changed_availability {
             None | Some(Availability::Open) => return,
             Some(Availability::Draining) => None,
             Some(Availability::BackingOff { until }) => {
@@ -82,7 +87,7 @@
         tracing::info!(
             back_end = &*back_end.id,
             incarnation = back_end.incarnation.0,
-            availability = update.map(Availability::as_str),
+            availability = changed_availability.map(Availability::as_str),
             backoff_ms,
             source,
             directory_ready = self.state.is_ready(&back_end.id),
@@ -90,8 +95,10 @@
         );
     }
 
-    /// Records the rate limit in an answer, or that the answer contains none.
-    fn note_announced_rate(
+    /// Records the rate limit in an answer, or that the answer contains none. A change of the limit
+    /// is logged, queued for publication to the peers, and wakes the requests that wait for the
+    /// limit.
+    fn record_announced_rate(
         &self,
         back_end: &Arc<BackEnd>,
         headers: &HeaderMap,
@@ -100,10 +107,10 @@
         let rate = self.dialect.read_rate(headers);
         match rate {
             AnnouncedRate::Unlimited => {}
-            AnnouncedRate::Limited(_) => self.metrics.announcement("rate_limit", origin.source),
+            AnnouncedRate::Limited(_) => self.metrics.announcement("rate_limit", origin.purpose),
             AnnouncedRate::Unreadable => {
                 self.metrics
-                    .announcement("rate_limit_unreadable", origin.source);
+                    .announcement("rate_limit_unreadable", origin.purpose);
             }
         }
         let answer = RateAnswer {
@@ -113,17 +120,19 @@
         };
         let change = self.placement().rate_limits.note(back_end, answer, now());
         if let Some(change) = change {
-            log_rate_change(&back_end.id, back_end.incarnation.0, change, origin.source);
+            log_rate_change(&back_end.id, back_end.incarnation.0, change, origin.purpose);
             self.changed_rate_limits.add(Arc::clone(&back_end.id));
             self.notify_rate_change();
         }
     }
 
-    /// The failure to report if no back end can be chosen. If the request may have run, the
-    /// previous `failure` is kept.
-    pub(super) fn no_candidate_failure(&self, job: &Job, failure: Failure) -> Failure {
-        if !matches!(failure, Failure::NotRun(_)) {
-            return failure;
+    /// Failure to report if no back end can be chosen. Returns [`Failure::BackingOff`] if the
+    /// request has certainly not run and, of the candidates that can generate the answer (all but
+    /// prefill engines), none accepts requests now and at least one will later. Otherwise returns
+    /// `previous`.
+    pub(super) fn no_candidate_failure(&self, job: &Job, previous: Failure) -> Failure {
+        if !matches!(previous, Failure::NotRun(_)) {
+            return previous;
         }
         let now = now();
         let generating_back_ends = self.generating_back_ends(job);
@@ -131,12 +140,13 @@
             .placement()
             .earliest_available(&generating_back_ends, now);
         let Some(earliest_available) = earliest_available else {
-            return failure;
+            return previous;
         };
-        // Requests that already wait are served first.
-        let turn = self.expected_rate_wait(job).unwrap_or_default();
+        // Requests that already wait for the rate limit are sent first, so a retry earlier than
+        // `queue_wait` would find no token.
+        let queue_wait = self.expected_rate_wait(job).unwrap_or_default();
         Failure::BackingOff {
-            remaining: turn.max(earliest_available.saturating_duration_since(now)),
+            remaining: queue_wait.max(earliest_available.saturating_duration_since(now)),
         }
     }
 }
