--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,30 +1,40 @@
-//! Decision logic for a fleet whose configuration and directory are kept in a store.
+//! Decision logic of a fleet.
+//!
+//! Daemons accept requests from callers and send them to back ends, which answer them. Back ends
+//! that run models are called engines. The configuration and the directory of back ends are kept in
+//! a store that all daemons share; daemons send each other digests of what they observe.
 //!
 //! All modules are free of I/O and take the time as an argument.
 //!
 //! State of the fleet:
 //! - [`configuration`]: routes, services, tenants and limits set by the operators
 //! - [`directory`]: back ends as they describe themselves in the store
-//! - [`announcements`], [`rate_limits`]: what back ends announce in their answers
-//! - [`health`]: what the results of requests show about back ends
-//! - [`topology`]: which daemons talk to each other
-//! - [`followers`], [`distribution`]: how daemons share the work of reading the store
+//! - [`announcements`]: whether back ends accept requests, according to their answers
+//! - [`rate_limits`]: request rates that back ends allow, according to their answers
+//! - [`health`]: ejection of back ends whose requests fail, and their return on trial
+//! - [`topology`]: to which daemons a daemon sends its digests, and which daemons follow the store
+//! - [`followers`]: whether a daemon can rely on neighbours that follow the store
+//! - [`distribution`]: from which daemons a daemon reads the complete state of the store
 //! - [`cross_zone_pacer`]: how often digests are sent to other zones
-//! - [`revision`]: revisions of the store
-//! - [`fleet_time`]: time of day that the daemons agree on
+//! - [`revision`]: order of the store's changes, also after a restore from an older copy
+//! - [`fleet_time`]: time of day that most daemons agree on
+//!
+//! Contents of requests and responses:
+//! - [`prompt`]: size and parts of a prompt, as described by the caller
+//! - [`fingerprint`]: recognition of a caller's retries by their content
+//! - [`events`]: splitting of response streams into complete events
 //!
-//! Decisions on requests:
+//! Decisions on single requests:
 //! - [`routes`], [`tenants`]: route and tenant of a request
-//! - [`prompt`]: contents of a prompt
-//! - [`placement`], [`stages`]: choice of back ends, and which engines process prompts
-//! - [`budget`]: bounds on retries
-//! - [`events`]: splitting streams into complete events
-//! - [`fingerprint`], [`quarantine`]: recognizing and blocking requests that crash engines
+//! - [`placement`]: choice of back ends
+//! - [`budget`]: retry budget, which limits retries across all daemons
+//! - [`quarantine`]: refusal of requests that crash engines
 //!
 //! Decisions on the whole fleet:
-//! - [`capacity`]: number of engines
+//! - [`stages`]: how many engines of a service run prefill and how many run decode
+//! - [`capacity`]: number of on-demand and spot engines of a service in each zone
 //! - [`usage`]: requests of each tenant in each reporting window
-//! - [`leadership`]: when the leader may act
+//! - [`leadership`]: when the leader, which acts for all daemons, may act
 
 pub mod announcements;
 pub mod budget;
