--- a/crates/daemon/src/actors/admission.rs
+++ b/crates/daemon/src/actors/admission.rs
@@ -109,7 +109,7 @@
 }
 
 /// Anything else that admission is told.
-pub(crate) struct Inform(pub(crate) AdmissionEvent);
+pub(crate) struct NotifyAdmission(pub(crate) AdmissionEvent);
 
 struct TickDue;
 
@@ -151,10 +151,10 @@
     }
 }
 
-impl Handler<Inform> for AdmissionActor {
+impl Handler<NotifyAdmission> for AdmissionActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Inform, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: NotifyAdmission, _context: &mut Context<Self>) {
         self.feed(message.0);
     }
 }
--- a/crates/daemon/src/actors/claims.rs
+++ b/crates/daemon/src/actors/claims.rs
@@ -42,7 +42,7 @@
 pub(crate) struct HandleClaim(pub(crate) ClaimMessage);
 
 /// A shard map was read from the store or from a peer.
-pub(crate) struct TakeShardMap(pub(crate) ShardMap);
+pub(crate) struct ApplyShardMap(pub(crate) ShardMap);
 
 impl Handler<HandleClaim> for ClaimsActor {
     type Return = Option<ClaimReply>;
@@ -57,10 +57,10 @@
     }
 }
 
-impl Handler<TakeShardMap> for ClaimsActor {
+impl Handler<ApplyShardMap> for ClaimsActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakeShardMap, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ApplyShardMap, _context: &mut Context<Self>) {
         self.map.send_if_modified(|known| {
             let is_newer = message.0.epoch > known.epoch;
             if is_newer {
--- a/crates/daemon/src/actors/configuration.rs
+++ b/crates/daemon/src/actors/configuration.rs
@@ -52,16 +52,16 @@
 }
 
 /// A whole configuration was read from the store.
-pub(crate) struct TakeSnapshot(pub(crate) Configuration);
+pub(crate) struct ApplySnapshot(pub(crate) Configuration);
 
 /// A change was seen in the store.
-pub(crate) struct TakeDelta(pub(crate) Delta);
+pub(crate) struct ApplyDelta(pub(crate) Delta);
 
 /// A peer answered a pull.
-pub(crate) struct TakePullAnswer(pub(crate) PullAnswer);
+pub(crate) struct ApplyPullAnswer(pub(crate) PullAnswer);
 
 /// A peer asks what it lacks.
-pub(crate) struct Since(pub(crate) Revision);
+pub(crate) struct ChangesSince(pub(crate) Revision);
 
 /// A peer has a revision in force.
 pub(crate) struct NotePeer {
@@ -74,25 +74,25 @@
 pub(crate) struct PeerRevisions;
 
 /// Asks which of `live` are not known to have `revision` in force.
-pub(crate) struct NotYetInForce {
+pub(crate) struct PeersWithoutRevision {
     pub(crate) revision: Revision,
     pub(crate) live: Vec<MachineId>,
 }
 
-impl Handler<TakeSnapshot> for ConfigurationActor {
+impl Handler<ApplySnapshot> for ConfigurationActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakeSnapshot, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ApplySnapshot, _context: &mut Context<Self>) {
         if self.state.take_snapshot(message.0) == SnapshotOutcome::Applied {
             self.publish("read from the store");
         }
     }
 }
 
-impl Handler<TakeDelta> for ConfigurationActor {
+impl Handler<ApplyDelta> for ConfigurationActor {
     type Return = DeltaOutcome;
 
-    async fn handle(&mut self, message: TakeDelta, _context: &mut Context<Self>) -> DeltaOutcome {
+    async fn handle(&mut self, message: ApplyDelta, _context: &mut Context<Self>) -> DeltaOutcome {
         let outcome = self.state.take_delta(message.0);
         if outcome == DeltaOutcome::Applied {
             self.publish("change seen in the store");
@@ -101,20 +101,20 @@
     }
 }
 
-impl Handler<TakePullAnswer> for ConfigurationActor {
+impl Handler<ApplyPullAnswer> for ConfigurationActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakePullAnswer, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ApplyPullAnswer, _context: &mut Context<Self>) {
         if self.state.take_pull_answer(message.0) {
             self.publish("pulled from a peer");
         }
     }
 }
 
-impl Handler<Since> for ConfigurationActor {
+impl Handler<ChangesSince> for ConfigurationActor {
     type Return = PullAnswer;
 
-    async fn handle(&mut self, message: Since, _context: &mut Context<Self>) -> PullAnswer {
+    async fn handle(&mut self, message: ChangesSince, _context: &mut Context<Self>) -> PullAnswer {
         self.state.since(message.0)
     }
 }
@@ -153,12 +153,12 @@
     }
 }
 
-impl Handler<NotYetInForce> for ConfigurationActor {
+impl Handler<PeersWithoutRevision> for ConfigurationActor {
     type Return = Vec<MachineId>;
 
     async fn handle(
         &mut self,
-        message: NotYetInForce,
+        message: PeersWithoutRevision,
         _context: &mut Context<Self>,
     ) -> Vec<MachineId> {
         self.state.not_yet_in_force(message.revision, message.live)
--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -34,7 +34,7 @@
 use office::Office;
 
 /// Daemons that are ranked as candidates of a cell.
-pub(crate) const CANDIDATES: usize = 5;
+pub(crate) const CANDIDATES_PER_CELL: usize = 5;
 /// Smallest number of engines of a cell that may be away at once.
 const LEAST_AWAY: usize = 1;
 
@@ -225,7 +225,7 @@
 pub(crate) struct ControllerDied(pub(crate) FencingToken);
 
 /// The process was frozen.
-pub(crate) struct Woke;
+pub(crate) struct ProcessResumed;
 
 /// This daemon stops by plan.
 pub(crate) struct StepDown;
@@ -306,10 +306,10 @@
     }
 }
 
-impl Handler<Woke> for ControllerActor {
+impl Handler<ProcessResumed> for ControllerActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: Woke, _context: &mut Context<Self>) {
+    async fn handle(&mut self, _message: ProcessResumed, _context: &mut Context<Self>) {
         self.authority_event(AuthorityEvent::WokeAfterFreeze);
     }
 }
@@ -323,4 +323,4 @@
 }
 
 /// Time between two ticks of a controller.
-pub(crate) const CONTROLLER_TICK: Duration = Duration::from_millis(100);
+pub(crate) const CONTROLLER_TICK_PERIOD: Duration = Duration::from_millis(100);
--- a/crates/daemon/src/actors/peer.rs
+++ b/crates/daemon/src/actors/peer.rs
@@ -40,7 +40,7 @@
 pub(crate) use answers::{AllFacts, AllMarks};
 
 /// Time between two ticks.
-pub(crate) const TICK: Duration = Duration::from_millis(100);
+pub(crate) const PEER_TICK_PERIOD: Duration = Duration::from_millis(100);
 /// Shortest time between two views of the members of which only facts differ.
 const FACTS_PUBLISH_PERIOD: Duration = Duration::from_secs(1);
 
@@ -85,12 +85,12 @@
     pub(crate) controller_inputs: mpsc::UnboundedSender<(CellName, ControllerInput)>,
     pub(crate) fleet: FleetReceiver,
     /// When the last reading of the machine list that succeeded began.
-    pub(crate) list_confirmed: watch::Receiver<Timestamp>,
+    pub(crate) machine_list_confirmed_at: watch::Receiver<Timestamp>,
     pub(crate) metrics: Arc<Metrics>,
     /// Turns true once routing may begin.
     pub(crate) caught_up: watch::Sender<bool>,
     /// Told how long the process was frozen, when it wakes.
-    pub(crate) woke: watch::Sender<Timestamp>,
+    pub(crate) resumed: watch::Sender<Timestamp>,
 }
 
 /// Holds everything that is gossiped.
@@ -221,21 +221,21 @@
                 false
             }
             MembershipAction::WokeAfterFreeze(gap) => {
-                self.woke(now, gap);
+                self.resumed(now, gap);
                 true
             }
         }
     }
 
     /// Nothing that was known before the freeze is trusted until a peer or controller has answered.
-    fn woke(&mut self, now: Timestamp, gap: Duration) {
+    fn resumed(&mut self, now: Timestamp, gap: Duration) {
         tracing::warn!(frozen_ms = gap.as_millis(), "this process was frozen");
         self.views.woke_after_freeze(now);
         self.must_catch_up = true;
         self.trust_answers_from = now;
         self.next_catch_up = now;
         self.links.caught_up.send_replace(false);
-        self.links.woke.send_replace(now);
+        self.links.resumed.send_replace(now);
     }
 
     /// Publishes the view when contact changed, or facts did and the last view is old enough: a view of 370
@@ -302,7 +302,7 @@
 pub(crate) struct Polled(pub(crate) Vec<EngineObservation>);
 
 /// The machine list was read.
-pub(crate) struct FleetRead;
+pub(crate) struct MachineListUpdated;
 
 /// Another configuration is in force here.
 pub(crate) struct ConfigurationAdopted(pub(crate) Revision);
@@ -311,7 +311,7 @@
 pub(crate) struct SetReadiness(pub(crate) Readiness);
 
 /// This daemon stops by plan.
-pub(crate) struct LeavePeers;
+pub(crate) struct LeaveMembership;
 
 /// The controller on this daemon marked back ends.
 pub(crate) struct ControllerMarks(pub(crate) Vec<DrainMark>);
@@ -332,7 +332,7 @@
 pub(crate) struct ReportDemand(pub(crate) BTreeMap<ModelName, Vec<LevelDemand>>);
 
 /// Asks peers that are not known to have a revision in force.
-pub(crate) struct AskInForce(pub(crate) Vec<MachineId>);
+pub(crate) struct RequestPeerRevisions(pub(crate) Vec<MachineId>);
 
 impl Handler<Tick> for PeerActor {
     type Return = ();
@@ -363,10 +363,10 @@
     }
 }
 
-impl Handler<FleetRead> for PeerActor {
+impl Handler<MachineListUpdated> for PeerActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: FleetRead, _context: &mut Context<Self>) {
+    async fn handle(&mut self, _message: MachineListUpdated, _context: &mut Context<Self>) {
         self.read_fleet();
         self.flush().await;
     }
@@ -393,10 +393,10 @@
     }
 }
 
-impl Handler<LeavePeers> for PeerActor {
+impl Handler<LeaveMembership> for PeerActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: LeavePeers, _context: &mut Context<Self>) {
+    async fn handle(&mut self, _message: LeaveMembership, _context: &mut Context<Self>) {
         self.member_event(MembershipEvent::Leave);
         self.publish_members();
         self.flush().await;
@@ -442,10 +442,10 @@
     }
 }
 
-impl Handler<AskInForce> for PeerActor {
+impl Handler<RequestPeerRevisions> for PeerActor {
     type Return = ();
 
-    async fn handle(&mut self, message: AskInForce, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: RequestPeerRevisions, _context: &mut Context<Self>) {
         for machine in message.0 {
             if let Some(record) = self.membership.member(machine) {
                 let target = record.peer_address;
--- a/crates/daemon/src/actors/peer/drains.rs
+++ b/crates/daemon/src/actors/peer/drains.rs
@@ -193,7 +193,7 @@
             return Some(until);
         }
         let list_is_taken = self.links.fleet.borrow().revision == self.list_taken;
-        let confirmed = *self.links.list_confirmed.borrow();
+        let confirmed = *self.links.machine_list_confirmed_at.borrow();
         let confirmed_until = confirmed + LIST_VALIDITY;
         let is_confirmed = confirmed > Timestamp::ZERO && list_is_taken && now < confirmed_until;
         is_confirmed.then(|| until.min(confirmed_until))
--- a/crates/daemon/src/actors/peer/receive.rs
+++ b/crates/daemon/src/actors/peer/receive.rs
@@ -10,8 +10,8 @@
 use xtra::{Context, Handler};
 
 use super::{ControllerInput, KnownController, PeerActor};
-use crate::actors::claims::TakeShardMap;
-use crate::actors::configuration::{NotePeer, TakePullAnswer};
+use crate::actors::claims::ApplyShardMap;
+use crate::actors::configuration::{ApplyPullAnswer, NotePeer};
 use crate::actors::routing::Observe;
 use crate::actors::tell;
 
@@ -60,7 +60,7 @@
                 self.pulled_facts = true;
                 self.refresh_directory();
             }
-            Response::ShardMap(map) => tell(&self.links.claims, TakeShardMap(map)),
+            Response::ShardMap(map) => tell(&self.links.claims, ApplyShardMap(map)),
             _ => {}
         }
         self.update_standing();
@@ -265,7 +265,7 @@
         self.runtime.spawner.spawn(Box::pin(async move {
             match client.ask(from, Request::PullConfiguration { since }).await {
                 Ok(Response::Configuration(answer)) => {
-                    tell(&configuration, TakePullAnswer(answer));
+                    tell(&configuration, ApplyPullAnswer(answer));
                 }
                 Ok(_other) => {}
                 Err(error) => tracing::debug!(%error, "configuration not pulled"),
--- a/crates/daemon/src/actors/routing.rs
+++ b/crates/daemon/src/actors/routing.rs
@@ -147,11 +147,11 @@
 }
 
 /// Asks what this daemon's own requests show of each back end.
-pub(crate) struct ViewBackEnds;
+pub(crate) struct BackEndStatusQuery;
 
 /// A back end as this daemon's own requests show it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct BackEndStanding {
+pub(crate) struct BackEndStatus {
     /// Own requests there that have not ended.
     pub(crate) running: usize,
     pub(crate) eligibility: Eligibility,
@@ -208,16 +208,16 @@
     }
 }
 
-impl Handler<ViewBackEnds> for RoutingActor {
-    type Return = BTreeMap<MachineId, BackEndStanding>;
+impl Handler<BackEndStatusQuery> for RoutingActor {
+    type Return = BTreeMap<MachineId, BackEndStatus>;
 
     async fn handle(
         &mut self,
-        _message: ViewBackEnds,
+        _message: BackEndStatusQuery,
         _context: &mut Context<Self>,
     ) -> Self::Return {
         let now = self.clock.now();
-        let standing = |back_end: MachineId| BackEndStanding {
+        let standing = |back_end: MachineId| BackEndStatus {
             running: self.router.in_flight(back_end),
             eligibility: self.router.eligibility(now, back_end),
             is_view_valid: self.is_valid(now, back_end),
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -14,7 +14,7 @@
 use xtra::Address;
 
 use crate::actors::ask;
-use crate::actors::configuration::{ConfigurationActor, TakeDelta, TakeSnapshot};
+use crate::actors::configuration::{ApplyDelta, ApplySnapshot, ConfigurationActor};
 
 /// First pause after a failure; it doubles up to [`LONGEST_PAUSE`].
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
@@ -77,7 +77,7 @@
 ) -> Result<(), FollowError> {
     let range = store.range(CONFIGURATION_PREFIX).await?;
     let (snapshot, _head) = snapshot_from_entries(&entries(&range)?)?;
-    ask(configuration, TakeSnapshot(snapshot)).await?;
+    ask(configuration, ApplySnapshot(snapshot)).await?;
     let mut events = store
         .watch(CONFIGURATION_PREFIX, Revision(range.revision.0 + 1))
         .await?;
@@ -85,7 +85,7 @@
     while let Some(batch) = events.next().await {
         for (revision, writes) in by_revision(batch?)? {
             let delta = delta_from_writes(revision, &writes)?;
-            let outcome = ask(configuration, TakeDelta(delta)).await?;
+            let outcome = ask(configuration, ApplyDelta(delta)).await?;
             if matches!(outcome, DeltaOutcome::Gap { .. }) {
                 return Err(FollowError::Gap);
             }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -24,7 +24,7 @@
 pub use start_error::StartError;
 
 use crate::actors::ask;
-use crate::actors::peer::{LeavePeers, PeerActor, SetReadiness};
+use crate::actors::peer::{LeaveMembership, PeerActor, SetReadiness};
 use crate::gateway::GatewayContext;
 
 /// Longest wait of a planned stop for other daemons to take its claims over.
@@ -117,6 +117,6 @@
         self.gateway.stop().await;
         self.hand_claims_over().await;
         self.operator.stop().await;
-        let _left = ask(&self.peers, LeavePeers).await;
+        let _left = ask(&self.peers, LeaveMembership).await;
     }
 }
--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -32,7 +32,7 @@
 use super::claim_groups::ClaimGroups;
 use super::controllers::{ControllerEvents, ControllerSupervisor};
 use super::{Daemon, DaemonAddresses, StartError, duties, limits};
-use crate::actors::admission::{AdmissionActor, Inform};
+use crate::actors::admission::{AdmissionActor, NotifyAdmission};
 use crate::actors::claims::ClaimsActor;
 use crate::actors::configuration::ConfigurationActor;
 use crate::actors::controller::ControllerLinks;
@@ -117,7 +117,7 @@
     metrics: Arc<Metrics>,
     decisions: DecisionLog,
     fleet: FleetReceiver,
-    list_confirmed: watch::Receiver<Timestamp>,
+    machine_list_confirmed_at: watch::Receiver<Timestamp>,
     configuration: watch::Receiver<Arc<Configuration>>,
     configuration_actor: Address<ConfigurationActor>,
     store: Arc<EtcdStore>,
@@ -136,7 +136,7 @@
         let metrics = Arc::new(Metrics::new());
         let decisions = DecisionLog::new(Arc::clone(&runtime.clock));
         let (list, fleet) = watch::channel(Arc::new(MachineList::default()));
-        let (confirmed, list_confirmed) = watch::channel(Timestamp::ZERO);
+        let (confirmed, machine_list_confirmed_at) = watch::channel(Timestamp::ZERO);
         let machine_list = HttpMachineList::new(
             client.clone(),
             settings.platform.machine_list,
@@ -177,7 +177,7 @@
             metrics,
             decisions,
             fleet,
-            list_confirmed,
+            machine_list_confirmed_at,
             configuration,
             configuration_actor,
             store,
@@ -327,8 +327,8 @@
     let members = shared.members.clone();
     let (controllers, known_controllers) = watch::channel(BTreeMap::new());
     let (controller_inputs, inputs) = mpsc::unbounded_channel();
-    let woke = watch::Sender::new(Timestamp::ZERO);
-    let woke_receiver = woke.subscribe();
+    let resumed = watch::Sender::new(Timestamp::ZERO);
+    let woke_receiver = resumed.subscribe();
     let links = PeerLinks {
         socket: Arc::clone(&sockets.datagrams),
         identity: *identity,
@@ -341,10 +341,10 @@
         controllers,
         controller_inputs,
         fleet: shared.fleet.clone(),
-        list_confirmed: shared.list_confirmed.clone(),
+        machine_list_confirmed_at: shared.machine_list_confirmed_at.clone(),
         metrics: Arc::clone(&shared.metrics),
         caught_up,
-        woke,
+        resumed,
     };
     let membership = Membership::new(membership_settings(settings), own, runtime.seed);
     let peers = start(runtime, PeerActor::new(runtime, links, membership));
@@ -430,7 +430,7 @@
     );
     spawn(Box::pin(supervisor.run(ControllerEvents {
         inputs,
-        woke: woke_receiver,
+        resumed: woke_receiver,
         stop,
     })));
     spawn(Box::pin(polling::follow(
@@ -489,6 +489,9 @@
     let admission = Admission::new(admission_settings, seed);
     let address = start(runtime, AdmissionActor::new(runtime, admission));
     let slots = u32::try_from(settings.admission.maximum_in_flight).unwrap_or(u32::MAX);
-    tell(&address, Inform(AdmissionEvent::CapacityChanged { slots }));
+    tell(
+        &address,
+        NotifyAdmission(AdmissionEvent::CapacityChanged { slots }),
+    );
     address
 }
--- a/crates/daemon/src/daemon/claim_groups.rs
+++ b/crates/daemon/src/daemon/claim_groups.rs
@@ -19,7 +19,7 @@
 use ponddrift_runtime::watch;
 use xtra::Address;
 
-use crate::actors::claims::{ClaimsActor, TakeShardMap};
+use crate::actors::claims::{ApplyShardMap, ClaimsActor};
 use crate::actors::tell;
 use crate::fleet::FleetReceiver;
 use crate::peer::client::PeerClient;
@@ -97,7 +97,7 @@
         listed: &BTreeSet<MachineId>,
     ) -> Result<(), StoreError> {
         let stored = self.read().await?;
-        tell(&self.claims, TakeShardMap(stored.map.clone()));
+        tell(&self.claims, ApplyShardMap(stored.map.clone()));
         let fleet = self.fleet_for(&stored.map, listed);
         if let Some(next) = plan_shard_map(&stored.map, SHARD_COUNT, &fleet) {
             return self.write(&stored, next).await;
@@ -140,7 +140,7 @@
         };
         let result = self.store.transaction(vec![compare], vec![put]).await?;
         if result.succeeded {
-            tell(&self.claims, TakeShardMap(map));
+            tell(&self.claims, ApplyShardMap(map));
         }
         Ok(())
     }
--- a/crates/daemon/src/daemon/controllers.rs
+++ b/crates/daemon/src/daemon/controllers.rs
@@ -13,8 +13,8 @@
 use xtra::Address;
 
 use crate::actors::controller::{
-    CANDIDATES, CONTROLLER_TICK, ControllerActor, ControllerDied, ControllerLinks, ControllerTick,
-    PeerInput, SetRank, StepDown, Woke,
+    CANDIDATES_PER_CELL, CONTROLLER_TICK_PERIOD, ControllerActor, ControllerDied, ControllerLinks,
+    ControllerTick, PeerInput, ProcessResumed, SetRank, StepDown,
 };
 use crate::actors::peer::{ControllerInput, KnownController};
 use crate::actors::{ask, start, tell};
@@ -26,7 +26,7 @@
 /// What a supervisor listens to.
 pub(super) struct ControllerEvents {
     pub(super) inputs: mpsc::UnboundedReceiver<(CellName, ControllerInput)>,
-    pub(super) woke: watch::Receiver<Timestamp>,
+    pub(super) resumed: watch::Receiver<Timestamp>,
     pub(super) stop: mpsc::Receiver<oneshot::Sender<()>>,
 }
 
@@ -55,12 +55,12 @@
 
     /// Runs until the daemon ends.
     pub(super) async fn run(mut self, mut events: ControllerEvents) {
-        let mut ticker = tokio::time::interval(CONTROLLER_TICK);
+        let mut ticker = tokio::time::interval(CONTROLLER_TICK_PERIOD);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
-                Ok(()) = events.woke.changed() => self.tell_all(|| Woke),
+                Ok(()) = events.resumed.changed() => self.tell_all(|| ProcessResumed),
                 Some(stopped) = events.stop.recv() => self.step_down(stopped).await,
                 Some((cell, input)) = events.inputs.recv() => {
                     if let Some(controller) = self.controllers.get(&cell) {
@@ -152,7 +152,7 @@
 
 fn rank(view: &MembersView, cell: &CellName, zones: &[ZoneName]) -> Option<u32> {
     let live = view.live_records();
-    let candidates = controller_candidates(cell, zones, &live, CANDIDATES);
+    let candidates = controller_candidates(cell, zones, &live, CANDIDATES_PER_CELL);
     let rank = rank_of(view.own, &candidates)?;
     u32::try_from(rank).ok()
 }
--- a/crates/daemon/src/daemon/duties.rs
+++ b/crates/daemon/src/daemon/duties.rs
@@ -16,7 +16,9 @@
 use xtra::Address;
 
 use crate::actors::peer::receive::Received;
-use crate::actors::peer::{ConfigurationAdopted, FleetRead, PeerActor, ReportDemand, TICK, Tick};
+use crate::actors::peer::{
+    ConfigurationAdopted, MachineListUpdated, PEER_TICK_PERIOD, PeerActor, ReportDemand, Tick,
+};
 use crate::actors::{ask, tell};
 use crate::fleet::FleetReceiver;
 use crate::metrics::Metrics;
@@ -32,7 +34,7 @@
 
 /// Ticks the peer actor. A tick waits for the one before.
 pub(super) async fn tick(peers: Address<PeerActor>) {
-    let mut ticker = tokio::time::interval(TICK);
+    let mut ticker = tokio::time::interval(PEER_TICK_PERIOD);
     ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticker.tick().await;
@@ -58,7 +60,7 @@
             Ok(first) => vec![first],
             Err(error) => {
                 tracing::warn!(%error, "receiving datagrams failed");
-                tokio::time::sleep(TICK).await;
+                tokio::time::sleep(PEER_TICK_PERIOD).await;
                 continue;
             }
         };
@@ -78,7 +80,7 @@
 /// Tells the peer actor of each new machine list.
 pub(super) async fn pass_on_fleet(mut fleet: FleetReceiver, peers: Address<PeerActor>) {
     while fleet.changed().await.is_ok() {
-        tell(&peers, FleetRead);
+        tell(&peers, MachineListUpdated);
     }
 }
 
--- a/crates/daemon/src/daemon/limits.rs
+++ b/crates/daemon/src/daemon/limits.rs
@@ -9,7 +9,7 @@
 use ponddrift_runtime::watch;
 use xtra::Address;
 
-use crate::actors::admission::{AdmissionActor, Inform};
+use crate::actors::admission::{AdmissionActor, NotifyAdmission};
 use crate::actors::tell;
 use crate::peer::view::MembersView;
 
@@ -27,7 +27,7 @@
             let tenants = tenants.clone();
             tell(
                 admission,
-                Inform(AdmissionEvent::LimitsChanged { tenants, services }),
+                NotifyAdmission(AdmissionEvent::LimitsChanged { tenants, services }),
             );
         }
         loop {
@@ -35,7 +35,10 @@
             if now_live != live {
                 live = now_live;
                 for admission in &admissions {
-                    tell(admission, Inform(AdmissionEvent::DaemonsChanged { live }));
+                    tell(
+                        admission,
+                        NotifyAdmission(AdmissionEvent::DaemonsChanged { live }),
+                    );
                 }
             }
             tokio::select! {
--- a/crates/daemon/src/gateway/permit.rs
+++ b/crates/daemon/src/gateway/permit.rs
@@ -13,7 +13,7 @@
 use xtra::Address;
 
 use super::dispatch::stopped;
-use crate::actors::admission::{AdmissionActor, Arrive, Inform, Leave};
+use crate::actors::admission::{AdmissionActor, Arrive, Leave, NotifyAdmission};
 use crate::actors::{ActorStopped, tell};
 use crate::requests::RegisterEntry;
 
@@ -76,7 +76,7 @@
     pub(super) fn waited(&self, queue_wait: Duration) {
         tell(
             &self.admission,
-            Inform(AdmissionEvent::Waited { queue_wait }),
+            NotifyAdmission(AdmissionEvent::Waited { queue_wait }),
         );
     }
 
--- a/crates/daemon/src/operator/apply/in_force.rs
+++ b/crates/daemon/src/operator/apply/in_force.rs
@@ -8,8 +8,8 @@
 use super::super::OperatorContext;
 use super::super::wire::ApplyAnswer;
 use super::Accepted;
-use crate::actors::configuration::{NotYetInForce, TakeDelta, TakeSnapshot};
-use crate::actors::peer::AskInForce;
+use crate::actors::configuration::{ApplyDelta, ApplySnapshot, PeersWithoutRevision};
+use crate::actors::peer::RequestPeerRevisions;
 use crate::actors::peer::operators::ViewFleet;
 use crate::actors::{ActorStopped, ask, tell};
 
@@ -30,12 +30,12 @@
         author: accepted.change.author.clone(),
         writes: accepted.change.writes(),
     };
-    let outcome = ask(&context.configuration, TakeDelta(delta)).await?;
+    let outcome = ask(&context.configuration, ApplyDelta(delta)).await?;
     if !matches!(outcome, DeltaOutcome::Gap { .. }) {
         return Ok(());
     }
     match accepted.result() {
-        Some(configuration) => ask(&context.configuration, TakeSnapshot(configuration)).await,
+        Some(configuration) => ask(&context.configuration, ApplySnapshot(configuration)).await,
         None => Ok(()),
     }
 }
@@ -69,7 +69,7 @@
             });
         }
         if looks % LOOKS_PER_QUESTION == 0 {
-            tell(&context.peers, AskInForce(standing.missing));
+            tell(&context.peers, RequestPeerRevisions(standing.missing));
         }
         looks += 1;
         tokio::time::sleep(LOOK_INTERVAL.min(limit - waited)).await;
@@ -81,7 +81,7 @@
     let others = view.live().map(|record| record.machine);
     let others: Vec<MachineId> = others.filter(|machine| *machine != context.own).collect();
     let live = others.len() + 1;
-    let question = NotYetInForce {
+    let question = PeersWithoutRevision {
         revision,
         live: others,
     };
--- a/crates/daemon/src/operator/query.rs
+++ b/crates/daemon/src/operator/query.rs
@@ -13,7 +13,7 @@
 use crate::actors::ask;
 use crate::actors::configuration::PeerRevisions;
 use crate::actors::peer::operators::{FleetView, ViewFleet};
-use crate::actors::routing::ViewBackEnds;
+use crate::actors::routing::BackEndStatusQuery;
 
 /// Answers one `SELECT`.
 pub(super) async fn answer(
@@ -45,7 +45,9 @@
     let view = ask(&context.peers, ViewFleet).await.map_err(ending)?;
     let decided = gather_decisions(context, table, &view).await;
     let gateway = &context.gateway;
-    let standings = ask(&gateway.routing, ViewBackEnds).await.map_err(ending)?;
+    let standings = ask(&gateway.routing, BackEndStatusQuery)
+        .await
+        .map_err(ending)?;
     let revisions = ask(&context.configuration, PeerRevisions)
         .await
         .map_err(ending)?;
--- a/crates/daemon/src/operator/tables.rs
+++ b/crates/daemon/src/operator/tables.rs
@@ -17,7 +17,7 @@
 
 use super::decisions::Gathered;
 use crate::actors::peer::operators::FleetView;
-use crate::actors::routing::BackEndStanding;
+use crate::actors::routing::BackEndStatus;
 use crate::requests::RequestInProgress;
 
 /// Everything that the tables show, as it was at one moment.
@@ -27,7 +27,7 @@
     pub(super) configuration: Arc<Configuration>,
     pub(super) list: Arc<MachineList>,
     pub(super) view: FleetView,
-    pub(super) standings: BTreeMap<MachineId, BackEndStanding>,
+    pub(super) standings: BTreeMap<MachineId, BackEndStatus>,
     /// Revision in force at each peer, as far as it is known.
     pub(super) revisions: BTreeMap<MachineId, Revision>,
     pub(super) requests: Vec<RequestInProgress>,
--- a/crates/daemon/src/peer/requests.rs
+++ b/crates/daemon/src/peer/requests.rs
@@ -10,7 +10,7 @@
 
 use super::server::PeerHandler;
 use crate::actors::claims::{ClaimsActor, HandleClaim};
-use crate::actors::configuration::{ConfigurationActor, Since};
+use crate::actors::configuration::{ChangesSince, ConfigurationActor};
 use crate::actors::peer::{AllFacts, AllMarks, PeerActor};
 use crate::actors::{ActorStopped, ask};
 use crate::decisions::DecisionLog;
@@ -28,7 +28,7 @@
 impl PeerRequests {
     async fn answer_one(&self, request: Request) -> Result<Response, ActorStopped> {
         match request {
-            Request::PullConfiguration { since } => ask(&self.configuration, Since(since))
+            Request::PullConfiguration { since } => ask(&self.configuration, ChangesSince(since))
                 .await
                 .map(Response::Configuration),
             Request::PullDecisions { after, limit } => {
