--- a/crates/daemon/src/actors/admission.rs
+++ b/crates/daemon/src/actors/admission.rs
@@ -22,7 +22,7 @@
 pub(crate) struct AdmissionActor {
     runtime: Runtime,
     admission: Admission,
-    times: ServiceTimes,
+    service_times: ServiceTimes,
     waiting: IndexMap<RequestId, oneshot::Sender<AdmissionAnswer>>,
     own: Option<WeakAddress<Self>>,
     tick_at: Option<Timestamp>,
@@ -33,7 +33,7 @@
         Self {
             runtime: runtime.clone(),
             admission,
-            times: ServiceTimes::default(),
+            service_times: ServiceTimes::default(),
             waiting: IndexMap::new(),
             own: None,
             tick_at: None,
@@ -90,7 +90,7 @@
 }
 
 /// A request asks to start. Its expected service time is filled in from what was learned.
-pub(crate) struct Arrive {
+pub(crate) struct RequestAdmission {
     pub(crate) request: AdmissionRequest,
     /// What the request's service time is reckoned from.
     pub(crate) work: WorkUnits,
@@ -98,7 +98,7 @@
 }
 
 /// A started request ended, or its caller left while it waited.
-pub(crate) struct Leave {
+pub(crate) struct EndAdmission {
     pub(crate) id: RequestId,
     pub(crate) service: ServiceName,
     pub(crate) was_started: bool,
@@ -113,24 +113,24 @@
 
 struct TickDue;
 
-impl Handler<Arrive> for AdmissionActor {
+impl Handler<RequestAdmission> for AdmissionActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Arrive, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: RequestAdmission, _context: &mut Context<Self>) {
         let mut request = message.request;
         request.expected_service =
-            self.times
+            self.service_times
                 .expected(self.runtime.clock.now(), &request.service, message.work);
         self.waiting.insert(request.id, message.reply);
         self.feed(AdmissionEvent::Arrived(request));
     }
 }
 
-impl Handler<Leave> for AdmissionActor {
+impl Handler<EndAdmission> for AdmissionActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Leave, _context: &mut Context<Self>) {
-        let Leave {
+    async fn handle(&mut self, message: EndAdmission, _context: &mut Context<Self>) {
+        let EndAdmission {
             id,
             service,
             was_started,
@@ -139,14 +139,15 @@
             elapsed,
         } = message;
         if let Some(elapsed) = elapsed {
-            self.times
+            self.service_times
                 .observe(self.runtime.clock.now(), &service, work, elapsed);
         }
         self.waiting.swap_remove(&id);
         if !was_started {
             self.feed(AdmissionEvent::Abandoned { id });
         }
-        // One that was started between the two messages ends here too; another is not known any more.
+        // One that was started between the two messages ends here too; another is not known any
+        // more.
         self.feed(AdmissionEvent::Finished { id, used_tokens });
     }
 }
--- a/crates/daemon/src/actors/claims.rs
+++ b/crates/daemon/src/actors/claims.rs
@@ -11,7 +11,7 @@
 use xtra::{Context, Handler};
 
 /// Time between two searches for claims that are out of date.
-const FORGET_PERIOD: Duration = Duration::from_secs(5);
+const CLEANUP_PERIOD: Duration = Duration::from_secs(5);
 
 /// Holds the replica and the shard map.
 #[derive(xtra::Actor)]
@@ -19,7 +19,7 @@
     replica: ClaimReplica,
     map: watch::Sender<Arc<ShardMap>>,
     clock: Arc<dyn Clock>,
-    next_forget: Timestamp,
+    next_cleanup: Timestamp,
 }
 
 impl ClaimsActor {
@@ -33,7 +33,7 @@
             replica,
             map,
             clock,
-            next_forget: Timestamp::ZERO,
+            next_cleanup: Timestamp::ZERO,
         }
     }
 }
@@ -49,8 +49,8 @@
 
     async fn handle(&mut self, message: HandleClaim, _context: &mut Context<Self>) -> Self::Return {
         let now = self.clock.now();
-        if now >= self.next_forget {
-            self.next_forget = now + FORGET_PERIOD;
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_PERIOD;
             self.replica.forget_old(now);
         }
         self.replica.handle(now, message.0)
--- a/crates/daemon/src/actors/configuration.rs
+++ b/crates/daemon/src/actors/configuration.rs
@@ -22,7 +22,7 @@
     metrics: Arc<Metrics>,
     decisions: DecisionLog,
     /// The life that each peer's revision was heard of.
-    lives: BTreeMap<MachineId, Incarnation>,
+    peer_incarnations: BTreeMap<MachineId, Incarnation>,
 }
 
 impl ConfigurationActor {
@@ -36,7 +36,7 @@
             in_force,
             metrics,
             decisions,
-            lives: BTreeMap::new(),
+            peer_incarnations: BTreeMap::new(),
         }
     }
 
@@ -64,7 +64,7 @@
 pub(crate) struct ChangesSince(pub(crate) Revision);
 
 /// A peer has a revision in force.
-pub(crate) struct NotePeer {
+pub(crate) struct RecordPeerRevision {
     pub(crate) peer: MachineId,
     pub(crate) incarnation: Incarnation,
     pub(crate) revision: Revision,
@@ -119,19 +119,19 @@
     }
 }
 
-impl Handler<NotePeer> for ConfigurationActor {
+impl Handler<RecordPeerRevision> for ConfigurationActor {
     type Return = ();
 
-    async fn handle(&mut self, message: NotePeer, _context: &mut Context<Self>) {
-        let NotePeer {
+    async fn handle(&mut self, message: RecordPeerRevision, _context: &mut Context<Self>) {
+        let RecordPeerRevision {
             peer,
             incarnation,
             revision,
         } = message;
-        let known = self.lives.insert(peer, incarnation);
+        let known = self.peer_incarnations.insert(peer, incarnation);
         match known {
             Some(known) if known > incarnation => {
-                self.lives.insert(peer, known);
+                self.peer_incarnations.insert(peer, known);
                 return;
             }
             Some(known) if known < incarnation => self.state.forget_peer(peer),
--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -1,9 +1,10 @@
-//! Shell of a cell's controller: stands for election, and while it holds the lease, reconciles the cell.
+//! Shell of a cell's controller: stands for election, and while it holds the lease, reconciles the
+//! cell.
 
 mod calls;
 mod engines;
-mod office;
 mod planning;
+mod term;
 mod wanted;
 
 use std::collections::BTreeMap;
@@ -31,12 +32,12 @@
 use crate::peer::PeerIdentity;
 use crate::peer::view::MembersView;
 use crate::settings::Settings;
-use office::Office;
+use term::ControllerTerm;
 
 /// Daemons that are ranked as candidates of a cell.
 pub(crate) const CANDIDATES_PER_CELL: usize = 5;
 /// Smallest number of engines of a cell that may be away at once.
-const LEAST_AWAY: usize = 1;
+const MIN_ENGINES_UNAVAILABLE: usize = 1;
 
 /// What controllers of all cells share.
 #[derive(Clone)]
@@ -59,12 +60,12 @@
     cell: CellName,
     links: ControllerLinks,
     holder: LeaseHolder,
-    office: Option<Office>,
+    term: Option<ControllerTerm>,
     /// End of authority, on this daemon's clock, as the calls under way see it.
     authority: watch::Sender<Option<Authority>>,
     own: Option<WeakAddress<Self>>,
     /// The dead controller's token that was hinted at last, and when it may be hinted at again.
-    hinted: (FencingToken, Timestamp),
+    last_death_hint: (FencingToken, Timestamp),
 }
 
 /// The token under which calls may be sent until `until`.
@@ -94,10 +95,10 @@
             cell,
             links,
             holder,
-            office: None,
+            term: None,
             authority: watch::Sender::new(None),
             own: None,
-            hinted: (FencingToken(0), Timestamp::ZERO),
+            last_death_hint: (FencingToken(0), Timestamp::ZERO),
         }
     }
 
@@ -108,7 +109,7 @@
     fn authority_event(&mut self, event: AuthorityEvent) {
         let now = self.now();
         for action in self.holder.handle(now, event) {
-            self.carry_out(now, action);
+            self.execute_action(now, action);
         }
         self.publish_authority(now);
     }
@@ -127,13 +128,13 @@
             .send_if_modified(|current| std::mem::replace(current, authority) != authority);
     }
 
-    fn carry_out(&mut self, now: Timestamp, action: AuthorityAction) {
+    fn execute_action(&mut self, now: Timestamp, action: AuthorityAction) {
         match action {
             AuthorityAction::Call { number, call } => self.call_store(number, call),
-            AuthorityAction::BecameController { token } => self.take_office(now, token),
+            AuthorityAction::BecameController { token } => self.start_term(now, token),
             AuthorityAction::LostAuthority { token } => {
                 tracing::warn!(cell = %self.cell, %token, "authority over the cell ended");
-                self.office = None;
+                self.term = None;
             }
             AuthorityAction::ControllerSeen(holder) => {
                 let controller = KnownController {
@@ -151,16 +152,16 @@
         tell(&self.links.peers, ControllerKnown { cell, controller });
     }
 
-    fn take_office(&mut self, now: Timestamp, token: FencingToken) {
+    fn start_term(&mut self, now: Timestamp, token: FencingToken) {
         tracing::info!(cell = %self.cell, %token, "this daemon is the cell's controller");
         let engines = self.cell_engines().len();
-        let share = usize::from(self.links.settings.control.engines_away_percent);
+        let percent = usize::from(self.links.settings.control.engines_away_percent);
         let orders = OrdersSettings {
-            maximum_away: (engines * share / 100).max(LEAST_AWAY),
+            maximum_away: (engines * percent / 100).max(MIN_ENGINES_UNAVAILABLE),
             read_period: self.links.settings.control.reconcile_interval,
             ..OrdersSettings::default()
         };
-        self.office = Some(Office::new(
+        self.term = Some(ControllerTerm::new(
             now,
             token,
             orders,
@@ -235,7 +236,7 @@
 
     async fn handle(&mut self, _message: ControllerTick, _context: &mut Context<Self>) {
         self.authority_event(AuthorityEvent::Tick);
-        self.tick_office();
+        self.tick_term();
     }
 }
 
@@ -253,9 +254,9 @@
 
     async fn handle(&mut self, message: EngineAnswered, _context: &mut Context<Self>) {
         if self
-            .office
+            .term
             .as_ref()
-            .is_some_and(|office| office.token == message.token)
+            .is_some_and(|term| term.token == message.token)
         {
             self.orders_event(message.event);
         }
@@ -267,12 +268,12 @@
 
     async fn handle(&mut self, message: LoadRead, _context: &mut Context<Self>) {
         let now = self.now();
-        if let Some(office) = self
-            .office
+        if let Some(term) = self
+            .term
             .as_mut()
-            .filter(|office| office.token == message.token)
+            .filter(|term| term.token == message.token)
         {
-            office.take_readings(now, message.readings);
+            term.apply_load_readings(now, message.readings);
         }
     }
 }
@@ -298,9 +299,9 @@
 
     async fn handle(&mut self, message: ControllerDied, _context: &mut Context<Self>) {
         let now = self.now();
-        let is_news = self.hinted.0 != message.0;
-        if is_news || now >= self.hinted.1 {
-            self.hinted = (message.0, now + self.links.settings.control.lease_time / 2);
+        let is_new_token = self.last_death_hint.0 != message.0;
+        if is_new_token || now >= self.last_death_hint.1 {
+            self.last_death_hint = (message.0, now + self.links.settings.control.lease_time / 2);
             self.authority_event(AuthorityEvent::KeyGone);
         }
     }
--- a/crates/daemon/src/actors/controller/calls.rs
+++ b/crates/daemon/src/actors/controller/calls.rs
@@ -31,8 +31,8 @@
             incarnation: self.links.identity.incarnation,
         };
         self.links.runtime.spawner.spawn(Box::pin(async move {
-            let made = make(store.as_ref(), key, value, call).await;
-            let answer = made.unwrap_or_else(|error| StoreAnswer::Failed(failure(&error)));
+            let outcome = execute_call(store.as_ref(), key, value, call).await;
+            let answer = outcome.unwrap_or_else(|error| StoreAnswer::Failed(call_failure(&error)));
             if let Some(own) = own.try_upgrade() {
                 tell(&own, StoreAnswered { number, answer });
             }
@@ -40,7 +40,7 @@
     }
 }
 
-async fn make(
+async fn execute_call(
     store: &dyn KeyValueStore,
     key: String,
     value: ControllerValue,
@@ -99,7 +99,7 @@
     })
 }
 
-fn failure(error: &StoreError) -> CallFailure {
+fn call_failure(error: &StoreError) -> CallFailure {
     match error {
         StoreError::Unreachable { .. } => CallFailure::Unreachable,
         StoreError::RateLimited => CallFailure::RateLimited,
--- a/crates/daemon/src/actors/controller/engines.rs
+++ b/crates/daemon/src/actors/controller/engines.rs
@@ -35,7 +35,7 @@
     pub(super) fn claim(&self, engine: MachineId, token: FencingToken) {
         let Some(address) = self.engine_address(engine) else {
             let problem = CallProblem::NotSent;
-            return self.answer_later(token, OrdersEvent::ClaimFailed { engine, problem });
+            return self.queue_event(token, OrdersEvent::ClaimFailed { engine, problem });
         };
         let control = self.links.control.clone();
         let check = self.authority_check(token);
@@ -44,7 +44,7 @@
                 Ok(report) => OrdersEvent::Claimed { engine, report },
                 Err(error) => OrdersEvent::ClaimFailed {
                     engine,
-                    problem: problem(error),
+                    problem: call_problem(error),
                 },
             }
         });
@@ -53,7 +53,7 @@
     pub(super) fn read_state(&self, token: FencingToken, engine: MachineId, number: ReadNumber) {
         let Some(address) = self.engine_address(engine) else {
             let report = None;
-            return self.answer_later(
+            return self.queue_event(
                 token,
                 OrdersEvent::Read {
                     engine,
@@ -83,7 +83,7 @@
                 order_id,
                 problem,
             };
-            return self.answer_later(token, event);
+            return self.queue_event(token, event);
         };
         let control = self.links.control.clone();
         let check = self.authority_check(token);
@@ -97,13 +97,13 @@
                 Err(error) => OrdersEvent::OrderFailed {
                     engine,
                     order_id,
-                    problem: problem(error),
+                    problem: call_problem(error),
                 },
             }
         });
     }
 
-    fn answer_later(&self, token: FencingToken, event: OrdersEvent) {
+    fn queue_event(&self, token: FencingToken, event: OrdersEvent) {
         self.spawn_call(token, async move { event });
     }
 
@@ -120,11 +120,11 @@
         }));
     }
 
-    pub(super) fn orders_action(&mut self, action: OrdersAction) {
+    pub(super) fn execute_orders_action(&mut self, action: OrdersAction) {
         match action {
             OrdersAction::Claim { engine, token } => self.claim(engine, token),
             OrdersAction::ReadState { engine, number } => {
-                if let Some(token) = self.office.as_ref().map(|office| office.token) {
+                if let Some(token) = self.term.as_ref().map(|term| term.token) {
                     self.read_state(token, engine, number);
                 }
             }
@@ -144,7 +144,7 @@
     }
 }
 
-fn problem(error: ControlError) -> CallProblem {
+fn call_problem(error: ControlError) -> CallProblem {
     match error {
         ControlError::Refused(refusal) => CallProblem::Refused(refusal),
         ControlError::Call(error) if error.execution() == Execution::NotStarted => {
--- a/crates/daemon/src/actors/controller/planning.rs
+++ b/crates/daemon/src/actors/controller/planning.rs
@@ -15,7 +15,7 @@
 use ponddrift_core::{MachineId, Timestamp};
 use ponddrift_engine::load::LoadSample;
 
-use super::office::Office;
+use super::term::ControllerTerm;
 use super::{ControllerActor, LoadRead};
 use crate::actors::tell;
 use crate::settings::{PlannerSettings, Profile};
@@ -34,9 +34,10 @@
     }
 }
 
-impl Office {
-    /// Takes readings of the engines' counters: the difference to the last ones is the work of a window.
-    pub(super) fn take_readings(
+impl ControllerTerm {
+    /// Takes readings of the engines' counters: the difference to the last ones is the work of a
+    /// window.
+    pub(super) fn apply_load_readings(
         &mut self,
         now: Timestamp,
         readings: BTreeMap<MachineId, LoadSample>,
@@ -77,7 +78,7 @@
         }
         for (engine, reading) in &readings {
             let Some(role) = reading.role else { continue };
-            let seen = self.seen_roles.entry(*engine).or_insert((role, now));
+            let seen = self.observed_roles.entry(*engine).or_insert((role, now));
             if seen.0 != role {
                 *seen = (role, now);
             }
@@ -85,7 +86,7 @@
         self.readings = readings;
     }
 
-    fn take_demand(&mut self, now: Timestamp) {
+    fn report_demand_to_planner(&mut self, now: Timestamp) {
         let window = now.since(self.last_plan);
         self.last_plan = now;
         let waiting = |reading: &LoadSample| reading.waiting_prompt_tokens;
@@ -120,41 +121,44 @@
     pub(super) fn plan_if_due(&mut self, now: Timestamp) {
         let interval = self.links.settings.planner.interval;
         let states = self.engine_states(now);
-        let Some(office) = &mut self.office else {
+        let Some(term) = &mut self.term else {
             return;
         };
-        if now < office.next_plan || !office.reconciler.has_claimed_reachable() {
+        if now < term.next_plan || !term.reconciler.has_claimed_reachable() {
             return;
         }
-        office.next_plan = now + interval;
-        office.take_demand(now);
-        let plan = office.planner.plan(now, &states);
-        office.roles = plan
+        term.next_plan = now + interval;
+        term.report_demand_to_planner(now);
+        let plan = term.planner.plan(now, &states);
+        term.roles = plan
             .targets
             .iter()
             .map(|target| (target.engine, target.role))
             .collect();
         for decision in &plan.decisions {
-            self.record_role(decision);
+            self.record_role_decision(decision);
         }
         self.read_load();
         if let Some(own) = self.own.as_ref().and_then(xtra::WeakAddress::try_upgrade) {
-            tell(&own, ReleaseOldMarks);
+            tell(&own, ReleaseStaleMarks);
         }
     }
 
-    fn record_role(&self, decision: &RoleDecision) {
+    fn record_role_decision(&self, decision: &RoleDecision) {
         let from = decision.from.map_or("none", |role| role.as_str());
         let outcome = format!("{from} to {}", decision.to);
         let subject = format!("engine {}", decision.engine);
-        self.links
-            .decisions
-            .record(DecisionKind::Role, subject, outcome, why(&decision.reason));
+        self.links.decisions.record(
+            DecisionKind::Role,
+            subject,
+            outcome,
+            role_reason_text(&decision.reason),
+        );
     }
 
     /// The engines of the cell as the planner takes them.
     fn engine_states(&self, now: Timestamp) -> Vec<EngineState> {
-        let Some(office) = &self.office else {
+        let Some(term) = &self.term else {
             return Vec::new();
         };
         let configuration = Arc::clone(&self.links.configuration.borrow());
@@ -164,8 +168,8 @@
             let Some(model) = assigned.get(&machine.id) else {
                 continue;
             };
-            let seen = office.seen_roles.get(&machine.id);
-            let reading = office.readings.get(&machine.id);
+            let seen = term.observed_roles.get(&machine.id);
+            let reading = term.readings.get(&machine.id);
             let role = reading.and_then(|reading| reading.role);
             let sequences = reading.map_or(0, |reading| reading.waiting + reading.running);
             let is_leaving = machine.state == MachineState::Leaving;
@@ -175,7 +179,7 @@
                 role,
                 since: seen.map_or(now, |(_, since)| *since),
                 pinned: configuration.pins.get(&machine.id).map(|pin| pin.role),
-                availability: availability(office, machine.id, is_leaving),
+                availability: availability(term, machine.id, is_leaving),
                 sequences: u32::try_from(sequences).unwrap_or(u32::MAX),
             });
         }
@@ -184,10 +188,10 @@
 
     /// Reads the counters of all engines of the cell; the answer comes as a message.
     fn read_load(&self) {
-        let (Some(office), Some(own)) = (&self.office, self.own.clone()) else {
+        let (Some(term), Some(own)) = (&self.term, self.own.clone()) else {
             return;
         };
-        let token = office.token;
+        let token = term.token;
         let load = self.links.load.clone();
         let engines = self.cell_engines();
         self.links.runtime.spawner.spawn(Box::pin(async move {
@@ -205,15 +209,15 @@
     }
 }
 
-fn availability(office: &Office, engine: MachineId, is_leaving: bool) -> EngineAvailability {
-    let Some(reading) = office.readings.get(&engine) else {
+fn availability(term: &ControllerTerm, engine: MachineId, is_leaving: bool) -> EngineAvailability {
+    let Some(reading) = term.readings.get(&engine) else {
         return EngineAvailability::Lost;
     };
     if is_leaving {
         return EngineAvailability::Lost;
     }
-    let planned = office.roles.get(&engine).copied();
-    match (office.reconciler.phase(engine), planned, reading.role) {
+    let planned = term.roles.get(&engine).copied();
+    match (term.reconciler.phase(engine), planned, reading.role) {
         (Some(EnginePhase::SetAside) | None, _, _) => EngineAvailability::Lost,
         (Some(EnginePhase::Steady), _, Some(_)) => EngineAvailability::Serving,
         (Some(_), Some(to), _) => EngineAvailability::Changing { to },
@@ -222,7 +226,7 @@
     }
 }
 
-fn why(reason: &RoleReason) -> String {
+fn role_reason_text(reason: &RoleReason) -> String {
     match reason {
         RoleReason::Gain(comparison) => format!(
             "expected share in time {:.3} instead of {:.3}; demand {:.0} prompt and {:.0} output \
@@ -243,12 +247,12 @@
 }
 
 /// Releases what an earlier controller left marked.
-pub(crate) struct ReleaseOldMarks;
+pub(crate) struct ReleaseStaleMarks;
 
-impl xtra::Handler<ReleaseOldMarks> for ControllerActor {
+impl xtra::Handler<ReleaseStaleMarks> for ControllerActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: ReleaseOldMarks, _context: &mut xtra::Context<Self>) {
-        self.release_old_marks().await;
+    async fn handle(&mut self, _message: ReleaseStaleMarks, _context: &mut xtra::Context<Self>) {
+        self.release_stale_marks().await;
     }
 }
--- a/crates/daemon/src/actors/controller/office.rs
+++ b/crates/daemon/src/actors/controller/term.rs
@@ -20,7 +20,7 @@
 use crate::actors::{ask, tell};
 
 /// A controller's state under one token.
-pub(crate) struct Office {
+pub(crate) struct ControllerTerm {
     pub(super) token: FencingToken,
     pub(super) reconciler: Reconciler,
     pub(super) tracker: DrainTracker,
@@ -31,13 +31,13 @@
     /// Role that the planner gave each engine last.
     pub(super) roles: BTreeMap<MachineId, EngineRole>,
     /// Role each engine was last seen in, and since when.
-    pub(super) seen_roles: BTreeMap<MachineId, (EngineRole, Timestamp)>,
+    pub(super) observed_roles: BTreeMap<MachineId, (EngineRole, Timestamp)>,
     pub(super) readings: BTreeMap<MachineId, LoadSample>,
     pub(super) last_reading: Timestamp,
     pub(super) wanted: ponddrift_core::orders::WantedState,
 }
 
-impl Office {
+impl ControllerTerm {
     pub(super) fn new(
         now: Timestamp,
         token: FencingToken,
@@ -53,7 +53,7 @@
             last_plan: now,
             next_plan: now,
             roles: BTreeMap::new(),
-            seen_roles: BTreeMap::new(),
+            observed_roles: BTreeMap::new(),
             readings: BTreeMap::new(),
             last_reading: now,
             wanted: ponddrift_core::orders::WantedState::default(),
@@ -62,31 +62,31 @@
 }
 
 impl ControllerActor {
-    pub(super) fn tick_office(&mut self) {
-        if self.office.is_none() {
+    pub(super) fn tick_term(&mut self) {
+        if self.term.is_none() {
             return;
         }
         let now = self.now();
-        self.note_daemons(now);
+        self.update_known_daemons(now);
         self.plan_if_due(now);
-        self.want(now);
-        self.pass_on_acknowledged(now);
+        self.update_wanted_state(now);
+        self.report_acknowledged_drains(now);
         self.orders_event(OrdersEvent::Tick);
     }
 
     pub(super) fn orders_event(&mut self, event: OrdersEvent) {
         let now = self.now();
-        let Some(office) = &mut self.office else {
+        let Some(term) = &mut self.term else {
             return;
         };
-        for action in office.reconciler.handle(now, event) {
-            self.orders_action(action);
+        for action in term.reconciler.handle(now, event) {
+            self.execute_orders_action(action);
         }
     }
 
-    fn note_daemons(&mut self, now: Timestamp) {
+    fn update_known_daemons(&mut self, now: Timestamp) {
         let view = std::sync::Arc::clone(&self.links.members.borrow());
-        let Some(office) = &mut self.office else {
+        let Some(term) = &mut self.term else {
             return;
         };
         for record in view.live.iter().chain(&view.gone) {
@@ -95,16 +95,16 @@
                 incarnation: record.life.incarnation,
                 state: record.state,
             };
-            office.tracker.note_daemon(now, daemon);
+            term.tracker.note_daemon(now, daemon);
         }
     }
 
-    fn pass_on_acknowledged(&mut self, now: Timestamp) {
+    fn report_acknowledged_drains(&mut self, now: Timestamp) {
         let contact = self.links.members.borrow().contact;
-        let Some(office) = &self.office else { return };
-        let engines = office.wanted.engines.iter().map(|wish| wish.engine);
+        let Some(term) = &self.term else { return };
+        let engines = term.wanted.engines.iter().map(|wish| wish.engine);
         let is_acknowledged =
-            |engine: &MachineId| match office.tracker.progress(now, *engine, contact) {
+            |engine: &MachineId| match term.tracker.progress(now, *engine, contact) {
                 DrainProgress::Acknowledged => true,
                 DrainProgress::WaitingFor(daemons) => {
                     tracing::debug!(%engine, ?daemons, ?contact, "drain not acknowledged yet");
@@ -120,23 +120,23 @@
 
     pub(super) fn begin_drain(&mut self, engine: MachineId, reason: DrainReason) {
         let now = self.now();
-        if let Some(office) = &mut self.office {
-            let mark = office.tracker.begin(now, engine, reason);
+        if let Some(term) = &mut self.term {
+            let mark = term.tracker.begin(now, engine, reason);
             tell(&self.links.peers, ControllerMarks(vec![mark]));
         }
     }
 
     pub(super) fn end_drain(&mut self, engine: MachineId) {
         let now = self.now();
-        if let Some(office) = &mut self.office {
-            let mark = office.tracker.release(now, engine);
+        if let Some(term) = &mut self.term {
+            let mark = term.tracker.release(now, engine);
             tell(&self.links.peers, ControllerMarks(vec![mark]));
         }
     }
 
     pub(super) fn peer_input(&mut self, input: ControllerInput) {
         let now = self.now();
-        let Some(office) = &mut self.office else {
+        let Some(term) = &mut self.term else {
             return;
         };
         match input {
@@ -145,11 +145,11 @@
                 incarnation,
                 ack,
             } => {
-                office.tracker.acknowledge(daemon, incarnation, ack);
+                term.tracker.acknowledge(daemon, incarnation, ack);
             }
             ControllerInput::Demand(models) => {
                 for report in &models {
-                    office.demand.add(report);
+                    term.demand.add(report);
                 }
             }
             ControllerInput::ViewRequested {
@@ -167,8 +167,8 @@
                     incarnation,
                     state: MemberState::Alive,
                 };
-                let marks = office.tracker.answer_view(now, known);
-                let token = office.token;
+                let marks = term.tracker.answer_view(now, known);
+                let token = term.token;
                 let part = Part::View {
                     cell: self.cell.clone(),
                     number,
@@ -181,29 +181,28 @@
     }
 
     /// Releases engines that an earlier controller left marked and that need no change.
-    pub(super) async fn release_old_marks(&mut self) {
+    pub(super) async fn release_stale_marks(&mut self) {
         let Ok(marks) = ask(&self.links.peers, AllMarks).await else {
             return;
         };
         let now = self.now();
-        let Some(office) = &mut self.office else {
+        let Some(term) = &mut self.term else {
             return;
         };
-        if !office.reconciler.has_claimed_reachable() {
+        if !term.reconciler.has_claimed_reachable() {
             return;
         }
-        let token = office.token;
-        let is_left_over = |mark: &&DrainMark| {
+        let token = term.token;
+        let is_stale = |mark: &&DrainMark| {
             mark.source == DrainSource::Controller
                 && mark.state == DrainState::Draining
                 && mark.version.token < token
         };
         let mut released = Vec::new();
-        for mark in marks.iter().filter(is_left_over) {
-            let phase = office.reconciler.phase(mark.back_end);
-            if office.reconciler.is_in_service(mark.back_end) && phase == Some(&EnginePhase::Steady)
-            {
-                released.push(office.tracker.release(now, mark.back_end));
+        for mark in marks.iter().filter(is_stale) {
+            let phase = term.reconciler.phase(mark.back_end);
+            if term.reconciler.is_in_service(mark.back_end) && phase == Some(&EnginePhase::Steady) {
+                released.push(term.tracker.release(now, mark.back_end));
             }
         }
         if !released.is_empty() {
--- a/crates/daemon/src/actors/controller/wanted.rs
+++ b/crates/daemon/src/actors/controller/wanted.rs
@@ -15,25 +15,25 @@
 
 impl ControllerActor {
     /// Tells the reconciler what is wanted, when that changed.
-    pub(super) fn want(&mut self, _now: Timestamp) {
+    pub(super) fn update_wanted_state(&mut self, _now: Timestamp) {
         let wanted = self.wanted_state();
-        let Some(office) = &mut self.office else {
+        let Some(term) = &mut self.term else {
             return;
         };
-        if office.wanted == wanted {
+        if term.wanted == wanted {
             return;
         }
-        office.wanted = wanted.clone();
+        term.wanted = wanted.clone();
         self.orders_event(OrdersEvent::Wanted(wanted));
     }
 
     /// The engines of the cell with the models they hold, or are about to.
     pub(super) fn holding_engines(&self) -> Vec<HoldingEngine> {
-        let Some(office) = &self.office else {
+        let Some(term) = &self.term else {
             return Vec::new();
         };
         let target = |engine: MachineId| -> Option<ModelName> {
-            let wish = office
+            let wish = term
                 .wanted
                 .engines
                 .iter()
@@ -43,7 +43,7 @@
                 .map(|target| target.model.model.clone())
         };
         let holding = |machine: ponddrift_core::machine::Machine| {
-            let report = office.reconciler.report(machine.id);
+            let report = term.reconciler.report(machine.id);
             let held = report.and_then(|report| report.model.as_ref());
             let model = target(machine.id).or_else(|| held.map(|held| held.model.clone()));
             HoldingEngine {
@@ -58,16 +58,16 @@
     }
 
     fn wanted_state(&self) -> WantedState {
-        let Some(office) = &self.office else {
+        let Some(term) = &self.term else {
             return WantedState::default();
         };
         let configuration = Arc::clone(&self.links.configuration.borrow());
         let assigned = assign_models(&configuration, &self.holding_engines());
         let wish = |machine: ponddrift_core::machine::Machine| {
-            let report = office.reconciler.report(machine.id);
-            let planned = office.roles.get(&machine.id).copied();
+            let report = term.reconciler.report(machine.id);
+            let planned = term.roles.get(&machine.id).copied();
             let target = assigned.get(&machine.id).and_then(|model| {
-                let role = role_of(planned, report)?;
+                let role = target_role(planned, report)?;
                 Some(TargetState {
                     role,
                     model: model.clone(),
@@ -85,9 +85,9 @@
     }
 }
 
-/// The planned role; before the first plan the one the engine plays. An engine that is in no role and not
-/// planned yet has to wait for the plan.
-fn role_of(planned: Option<EngineRole>, report: Option<&EngineReport>) -> Option<EngineRole> {
+/// The planned role; before the first plan the one the engine plays. An engine that is in no role
+/// and not planned yet has to wait for the plan.
+fn target_role(planned: Option<EngineRole>, report: Option<&EngineReport>) -> Option<EngineRole> {
     planned.or_else(|| report.and_then(|report| report.role))
 }
 
--- a/crates/daemon/src/actors/peer.rs
+++ b/crates/daemon/src/actors/peer.rs
@@ -103,7 +103,7 @@
     facts: FactsTable,
     load: LoadTable,
     /// The last digest that this daemon made of each engine it polled.
-    given: BTreeMap<MachineId, LoadDigest>,
+    own_digests: BTreeMap<MachineId, LoadDigest>,
     directory: BackEndDirectory,
     cells: cells::CellMap,
     /// Whether members changed since the cells were last shared out.
@@ -114,20 +114,20 @@
     outbox: Outbox,
     configuration: Revision,
     /// When the members' view was last published.
-    published: Timestamp,
+    published_at: Timestamp,
     /// Whether facts of members changed since.
     has_new_facts: bool,
     /// Whether members changed since.
     has_new_members: bool,
     next_gossip: Timestamp,
-    next_comparison: Timestamp,
-    pulled_facts: bool,
+    next_digest_exchange: Timestamp,
+    has_pulled_facts: bool,
     must_catch_up: bool,
     catching_up_since: Option<Timestamp>,
     /// Answers to what was asked earlier say nothing of the marks that were made meanwhile.
-    trust_answers_from: Timestamp,
+    trusted_pulls_since: Timestamp,
     /// Revision of the machine list whose marks were taken.
-    list_taken: u64,
+    applied_list_revision: u64,
     next_catch_up: Timestamp,
     own: Option<xtra::WeakAddress<Self>>,
 }
@@ -142,7 +142,7 @@
             views: ViewLeases::new(ponddrift_core::drain::ViewLeaseSettings::default()),
             facts: FactsTable::default(),
             load: LoadTable::new(LoadTableSettings::default()),
-            given: BTreeMap::new(),
+            own_digests: BTreeMap::new(),
             directory,
             cells: cells::CellMap::default(),
             subscriptions_are_stale: true,
@@ -150,16 +150,16 @@
             unacknowledged: BTreeMap::new(),
             outbox: Outbox::default(),
             configuration: Revision(0),
-            published: Timestamp::ZERO,
+            published_at: Timestamp::ZERO,
             has_new_facts: false,
             has_new_members: false,
             next_gossip: Timestamp::ZERO,
-            next_comparison: Timestamp::ZERO,
-            pulled_facts: false,
+            next_digest_exchange: Timestamp::ZERO,
+            has_pulled_facts: false,
             must_catch_up: true,
             catching_up_since: None,
-            trust_answers_from: Timestamp::ZERO,
-            list_taken: 0,
+            trusted_pulls_since: Timestamp::ZERO,
+            applied_list_revision: 0,
             next_catch_up: Timestamp::ZERO,
             own: None,
             links,
@@ -175,7 +175,7 @@
         let actions = self.membership.handle(now, event);
         let mut is_changed = false;
         for action in actions {
-            is_changed |= self.carry_out(now, action);
+            is_changed |= self.execute_action(now, action);
         }
         if is_changed {
             self.subscriptions_are_stale = true;
@@ -184,7 +184,7 @@
     }
 
     /// Carries an action out. Returns whether the view of the members changed.
-    fn carry_out(&mut self, now: Timestamp, action: MembershipAction) -> bool {
+    fn execute_action(&mut self, now: Timestamp, action: MembershipAction) -> bool {
         match action {
             MembershipAction::Send { address, message } => {
                 self.outbox.add(address, Part::Membership(message));
@@ -195,7 +195,7 @@
                     member = %record.machine, incarnation = %record.life.incarnation,
                     state = record.state.as_str(), "member changed"
                 );
-                self.note_configuration(
+                self.record_peer_revision(
                     record.machine,
                     record.life.incarnation,
                     record.facts.configuration,
@@ -204,7 +204,7 @@
             }
             MembershipAction::FactsChanged { member, facts } => {
                 if let Some(incarnation) = self.incarnation_of(member) {
-                    self.note_configuration(member, incarnation, facts.configuration);
+                    self.record_peer_revision(member, incarnation, facts.configuration);
                 }
                 self.has_new_facts = true;
                 false
@@ -232,19 +232,20 @@
         tracing::warn!(frozen_ms = gap.as_millis(), "this process was frozen");
         self.views.woke_after_freeze(now);
         self.must_catch_up = true;
-        self.trust_answers_from = now;
+        self.trusted_pulls_since = now;
         self.next_catch_up = now;
         self.links.caught_up.send_replace(false);
         self.links.resumed.send_replace(now);
     }
 
-    /// Publishes the view when contact changed, or facts did and the last view is old enough: a view of 370
-    /// daemons is not made at every tick. Changes of members are published at the end of each turn.
+    /// Publishes the view when contact changed, or facts did and the last view is old enough: a
+    /// view of 370 daemons is not made at every tick. Changes of members are published at the end
+    /// of each turn.
     fn publish_if_changed(&mut self) {
         let now = self.now();
         let contact = self.membership.contact(now);
         let has_new_contact = contact != self.links.members.borrow().contact;
-        let is_due = self.has_new_facts && now.since(self.published) >= FACTS_PUBLISH_PERIOD;
+        let is_due = self.has_new_facts && now.since(self.published_at) >= FACTS_PUBLISH_PERIOD;
         if has_new_contact || is_due {
             self.publish_members();
         }
@@ -252,7 +253,7 @@
 
     pub(super) fn publish_members(&mut self) {
         let now = self.now();
-        self.published = now;
+        self.published_at = now;
         self.has_new_facts = false;
         self.has_new_members = false;
         let live: Vec<_> = self.membership.live().into_iter().cloned().collect();
@@ -343,7 +344,7 @@
         self.tick_gossip();
         self.publish_if_changed();
         if self.subscriptions_are_stale && self.now() >= self.next_subscription {
-            self.subscribe_to_cells();
+            self.update_subscriptions();
         }
         self.flush().await;
     }
@@ -355,9 +356,9 @@
     async fn handle(&mut self, message: Polled, _context: &mut Context<Self>) {
         let observations = message.0.into_iter();
         let digests = observations
-            .map(|observation| self.observed(observation))
+            .map(|observation| self.record_observation(observation))
             .collect();
-        self.tell_subscribers(digests);
+        self.send_digests_to_subscribers(digests);
         self.refresh_directory();
         self.flush().await;
     }
@@ -367,7 +368,7 @@
     type Return = ();
 
     async fn handle(&mut self, _message: MachineListUpdated, _context: &mut Context<Self>) {
-        self.read_fleet();
+        self.apply_machine_list();
         self.flush().await;
     }
 }
@@ -378,7 +379,7 @@
     async fn handle(&mut self, message: ConfigurationAdopted, _context: &mut Context<Self>) {
         self.configuration = message.0;
         self.member_event(MembershipEvent::ConfigurationInForce(message.0));
-        self.spread_configuration();
+        self.announce_configuration();
         self.flush().await;
     }
 }
@@ -408,7 +409,7 @@
 
     async fn handle(&mut self, message: ControllerMarks, _context: &mut Context<Self>) {
         for mark in message.0 {
-            self.take_mark(mark);
+            self.apply_mark(mark);
         }
         self.gossip_now();
         self.flush().await;
--- a/crates/daemon/src/actors/peer/cells.rs
+++ b/crates/daemon/src/actors/peer/cells.rs
@@ -17,7 +17,7 @@
 /// Shortest time between two rounds of working out who shares what.
 const SUBSCRIPTION_PERIOD: Duration = Duration::from_secs(1);
 /// Digests in one part; each takes 28 bytes.
-const DIGESTS_AT_ONCE: usize = 40;
+const DIGESTS_PER_PART: usize = 40;
 
 /// The cells of the machine list.
 #[derive(Debug, Default)]
@@ -59,36 +59,38 @@
 
 impl PeerActor {
     /// Works out anew who shares the load of which cell, after members or machines changed.
-    pub(super) fn subscribe_to_cells(&mut self) {
+    pub(super) fn update_subscriptions(&mut self) {
         let now = self.now();
         self.subscriptions_are_stale = false;
         self.next_subscription = now + SUBSCRIPTION_PERIOD;
         let own = self.links.identity.machine;
         let live = self.membership.live();
-        let mut near = BTreeSet::new();
-        let mut all = BTreeMap::new();
+        let mut subscribed_cells = BTreeSet::new();
+        let mut subscribers_by_cell = BTreeMap::new();
         for (cell, zones) in &self.cells.zones {
             let subscribers = cell_subscribers(cell, zones, &live, REMOTE_SUBSCRIBERS);
             let others = subscribers.iter().filter(|record| record.machine != own);
             let others: Vec<SocketAddr> = others.map(|record| record.peer_address).collect();
             if others.len() < subscribers.len() {
-                near.insert(cell.clone());
+                subscribed_cells.insert(cell.clone());
             }
-            all.insert(cell.clone(), others);
+            subscribers_by_cell.insert(cell.clone(), others);
         }
         let engines = self.cells.cell_of.iter();
         self.load.subscribe(
             engines
-                .filter(|(_engine, cell)| near.contains(*cell))
+                .filter(|(_engine, cell)| subscribed_cells.contains(*cell))
                 .map(|(engine, _cell)| *engine),
         );
-        self.views.set_near(now, |cell| near.contains(cell));
-        self.cells.subscribers = all;
+        self.views
+            .set_near(now, |cell| subscribed_cells.contains(cell));
+        self.cells.subscribers = subscribers_by_cell;
     }
 
-    /// Sends what this daemon has just polled to everybody who shares the load of the engine's cell. Sent
-    /// once by the poller a digest costs each receiver once; passed on by gossip it came three times.
-    pub(super) fn tell_subscribers(&mut self, digests: Vec<AgedDigest>) {
+    /// Sends what this daemon has just polled to everybody who shares the load of the engine's
+    /// cell. Sent once by the poller a digest costs each receiver once; passed on by gossip it came
+    /// three times.
+    pub(super) fn send_digests_to_subscribers(&mut self, digests: Vec<AgedDigest>) {
         let mut by_cell: BTreeMap<CellName, Vec<AgedDigest>> = BTreeMap::new();
         for digest in digests {
             if let Some(cell) = self.cells.cell_of(digest.digest.engine) {
@@ -99,9 +101,9 @@
             let Some(targets) = self.cells.subscribers.get(&cell) else {
                 continue;
             };
-            for some in digests.chunks(DIGESTS_AT_ONCE) {
+            for chunk in digests.chunks(DIGESTS_PER_PART) {
                 for target in targets {
-                    self.outbox.add(*target, Part::Load(some.to_vec()));
+                    self.outbox.add(*target, Part::Load(chunk.to_vec()));
                 }
             }
         }
--- a/crates/daemon/src/actors/peer/demand.rs
+++ b/crates/daemon/src/actors/peer/demand.rs
@@ -11,16 +11,17 @@
 use super::PeerActor;
 
 /// Engines of each cell that hold a model.
-type Holders = BTreeMap<CellName, usize>;
+type EngineCounts = BTreeMap<CellName, usize>;
 
 impl PeerActor {
-    /// Splits the demand over the cells by their engines, and tells each cell's controller its part.
+    /// Splits the demand over the cells by their engines, and tells each cell's controller its
+    /// part.
     pub(super) fn report_demand(&mut self, demand: &BTreeMap<ModelName, Vec<LevelDemand>>) {
         let mut reports: BTreeMap<CellName, Vec<ModelDemand>> = BTreeMap::new();
         for (model, levels) in demand {
-            let holders = self.holders(model);
-            let all: usize = holders.values().sum();
-            for (cell, engines) in holders {
+            let engine_counts = self.engine_counts(model);
+            let all: usize = engine_counts.values().sum();
+            for (cell, engines) in engine_counts {
                 let report = report_for_cell(model, levels, engines, all);
                 reports.entry(cell).or_default().push(report);
             }
@@ -33,10 +34,10 @@
     }
 
     /// Engines that hold the model, by cell; all engines while none is known to hold it.
-    fn holders(&self, model: &ModelName) -> Holders {
+    fn engine_counts(&self, model: &ModelName) -> EngineCounts {
         let list = self.links.fleet.borrow();
-        let mut holding = Holders::new();
-        let mut all = Holders::new();
+        let mut holding = EngineCounts::new();
+        let mut all = EngineCounts::new();
         for machine in &list.machines {
             let MachineKind::Engine { cell } = &machine.kind else {
                 continue;
--- a/crates/daemon/src/actors/peer/drains.rs
+++ b/crates/daemon/src/actors/peer/drains.rs
@@ -11,54 +11,56 @@
 
 use super::cells::CellMap;
 use super::{KnownController, PeerActor};
-use crate::actors::routing::{IsAtRest, Observe, ViewValid};
+use crate::actors::routing::{ExtendViewValidity, IsIdle, Observe};
 use crate::actors::{ask, tell};
 
-/// How long routing may go on without a tick of this actor: a frozen process must not route on waking.
-const TICK_VALIDITY: Duration = Duration::from_millis(1_000);
+/// How long routing may go on without a tick of this actor: a frozen process must not route on
+/// waking.
+const VIEW_VALIDITY_AFTER_TICK: Duration = Duration::from_millis(1_000);
 /// How long a reading of the machine list stands in for the marks of peers, from its begin.
-const LIST_VALIDITY: Duration = Duration::from_millis(2_500);
+const MACHINE_LIST_VALIDITY: Duration = Duration::from_millis(2_500);
 /// Time between two pulls while this daemon catches up: each opens connections to a peer.
 const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
 /// Peers that are told of a new controller.
 const CONTROLLER_FANOUT: usize = 4;
-/// Without a peer that answers, a daemon that has just started waits so long before it believes that it is
-/// the only one.
-const ALONE_AFTER: Duration = Duration::from_secs(3);
+/// Without a peer that answers, a daemon that has just started waits so long before it believes
+/// that it is the only one.
+const SINGLE_DAEMON_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl PeerActor {
-    pub(super) fn read_fleet(&mut self) {
+    pub(super) fn apply_machine_list(&mut self) {
         let now = self.now();
         let list = self.links.fleet.borrow().clone();
         let own = self.links.identity.machine;
         self.member_event(MembershipEvent::SeedsRead(seeds(&list, own)));
         self.cells = CellMap::new(&list);
         let cells = &self.cells;
-        self.given.retain(|engine, _digest| cells.has(*engine));
+        self.own_digests
+            .retain(|engine, _digest| cells.has(*engine));
         for cell in self.cells.names() {
             self.views.subscribe(cell.clone());
         }
-        self.subscribe_to_cells();
+        self.update_subscriptions();
         for action in self.drains.read_machine_list(now, &list) {
-            self.drain_action(action);
+            self.execute_drain_action(action);
         }
-        self.list_taken = list.revision;
-        self.directory_is_stale();
+        self.applied_list_revision = list.revision;
+        self.mark_directory_stale();
         self.refresh_directory();
-        self.update_standing();
+        self.publish_view_validity();
     }
 
-    pub(super) fn take_mark(&mut self, mark: DrainMark) {
+    pub(super) fn apply_mark(&mut self, mark: DrainMark) {
         let now = self.now();
         if let Some(action) = self.drains.take_mark(now, mark) {
-            self.drain_action(action);
+            self.execute_drain_action(action);
         }
     }
 
-    fn drain_action(&mut self, action: DrainAction) {
+    fn execute_drain_action(&mut self, action: DrainAction) {
         match action {
             DrainAction::StopRouting { back_end, version } => {
-                self.ask_for_unknown_controller(back_end, version);
+                self.request_view_for_unknown_controller(back_end, version);
                 self.set_draining(back_end, true);
                 self.unacknowledged.insert(back_end, version);
             }
@@ -71,7 +73,7 @@
 
     /// A mark of a controller that is not known here: its cell's view names it, so that it gets the
     /// acknowledgement.
-    fn ask_for_unknown_controller(&mut self, back_end: MachineId, version: DrainVersion) {
+    fn request_view_for_unknown_controller(&mut self, back_end: MachineId, version: DrainVersion) {
         let Some(cell) = self.cell_of(back_end) else {
             return;
         };
@@ -93,8 +95,8 @@
     pub(super) async fn tick_drains(&mut self) {
         let now = self.now();
         self.catch_up(now);
-        self.ask_for_views(now);
-        self.update_standing();
+        self.request_views(now);
+        self.publish_view_validity();
         self.acknowledge().await;
     }
 
@@ -116,32 +118,32 @@
         let peers = self.membership.random_peers(1);
         if let Some(peer) = peers.first() {
             self.pull(peer.peer_address, Request::PullDrainMarks);
-            if !self.pulled_facts {
+            if !self.has_pulled_facts {
                 self.pull(peer.peer_address, Request::PullEngineFacts);
             }
-        } else if contact == Contact::Alone && self.time_since(since) >= ALONE_AFTER {
+        } else if contact == Contact::Alone && self.time_since(since) >= SINGLE_DAEMON_TIMEOUT {
             self.views.caught_up();
             self.must_catch_up = false;
         }
     }
 
-    fn ask_for_views(&mut self, now: Timestamp) {
+    fn request_views(&mut self, now: Timestamp) {
         let contact = self.membership.contact(now);
         for request in self.views.tick(now, contact) {
-            let controller = self.view_source(&request.cell);
+            let controller = self.view_request_address(&request.cell);
             let part = Part::ViewRequest {
                 cell: request.cell,
                 number: request.number,
             };
             match controller {
                 Some(address) => self.outbox.add(address, part),
-                None => self.ask_anyone(part),
+                None => self.request_view_from_peers(part),
             }
         }
     }
 
     /// Where a cell's view is asked for; none where peers are to be asked.
-    fn view_source(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
+    fn view_request_address(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
         let known = self.links.controllers.borrow().get(cell).copied();
         let known = known.map(|known| known.machine);
         match ViewSource::new(known, self.links.identity.machine) {
@@ -151,7 +153,7 @@
     }
 
     /// Without a known controller, peers are asked: they point to it.
-    fn ask_anyone(&mut self, part: Part) {
+    fn request_view_from_peers(&mut self, part: Part) {
         let own_address = self.membership.own().peer_address;
         self.outbox.add(own_address, part.clone());
         for peer in self.membership.random_peers(2) {
@@ -160,16 +162,16 @@
     }
 
     /// Tells routing until when it may route to each cell.
-    pub(super) fn update_standing(&mut self) {
+    pub(super) fn publish_view_validity(&mut self) {
         let now = self.now();
         let contact = self.membership.contact(now);
-        let until = now + TICK_VALIDITY;
+        let until = now + VIEW_VALIDITY_AFTER_TICK;
         let cells: Vec<CellName> = self.views.cells().cloned().collect();
         for cell in cells {
             if self.views.standing(&cell, now, contact) != ViewStanding::Cut {
                 tell(
                     &self.links.routing,
-                    ViewValid {
+                    ExtendViewValidity {
                         cell: Some(cell),
                         until,
                     },
@@ -177,7 +179,10 @@
             }
         }
         if let Some(until) = self.plain_view_until(now) {
-            tell(&self.links.routing, ViewValid { cell: None, until });
+            tell(
+                &self.links.routing,
+                ExtendViewValidity { cell: None, until },
+            );
         }
         let is_caught_up = !self.must_catch_up && self.links.fleet.borrow().revision > 0;
         if is_caught_up != *self.links.caught_up.borrow() {
@@ -185,17 +190,18 @@
         }
     }
 
-    /// Until when this daemon may route to plain back ends. They have no controller: their marks come from
-    /// peers, or, where none can be asked, from the machine list as this daemon has just read it.
+    /// Until when this daemon may route to plain back ends. They have no controller: their marks
+    /// come from peers, or, where none can be asked, from the machine list as this daemon has just
+    /// read it.
     fn plain_view_until(&self, now: Timestamp) -> Option<Timestamp> {
-        let until = now + TICK_VALIDITY;
+        let until = now + VIEW_VALIDITY_AFTER_TICK;
         if !self.must_catch_up {
             return Some(until);
         }
-        let list_is_taken = self.links.fleet.borrow().revision == self.list_taken;
+        let is_list_applied = self.links.fleet.borrow().revision == self.applied_list_revision;
         let confirmed = *self.links.machine_list_confirmed_at.borrow();
-        let confirmed_until = confirmed + LIST_VALIDITY;
-        let is_confirmed = confirmed > Timestamp::ZERO && list_is_taken && now < confirmed_until;
+        let confirmed_until = confirmed + MACHINE_LIST_VALIDITY;
+        let is_confirmed = confirmed > Timestamp::ZERO && is_list_applied && now < confirmed_until;
         is_confirmed.then(|| until.min(confirmed_until))
     }
 
@@ -207,7 +213,7 @@
             .map(|(back_end, version)| (*back_end, *version))
             .collect();
         for (back_end, _version) in waiting {
-            if !ask(&self.links.routing, IsAtRest(back_end))
+            if !ask(&self.links.routing, IsIdle(back_end))
                 .await
                 .unwrap_or(false)
             {
@@ -228,7 +234,8 @@
         self.controller_address(&self.cell_of(back_end)?)
     }
 
-    /// Where a cell's controller is reached. One that is not live (any more) has a successor, or will.
+    /// Where a cell's controller is reached. One that is not live (any more) has a successor, or
+    /// will.
     pub(super) fn controller_address(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
         let known = self.links.controllers.borrow().get(cell).copied()?;
         let record = self.membership.member(known.machine)?;
@@ -240,18 +247,18 @@
     }
 
     /// Learns of a controller, and passes the news on.
-    pub(super) fn learn_controller(&mut self, cell: CellName, news: KnownController) {
+    pub(super) fn learn_controller(&mut self, cell: CellName, learned: KnownController) {
         let is_newer = self.links.controllers.send_if_modified(|known| {
-            let is_newer = known.get(&cell).is_none_or(|old| news.token > old.token);
+            let is_newer = known.get(&cell).is_none_or(|old| learned.token > old.token);
             if is_newer {
-                known.insert(cell.clone(), news);
+                known.insert(cell.clone(), learned);
             }
             is_newer
         });
         if !is_newer {
             return;
         }
-        let KnownController { machine, token } = news;
+        let KnownController { machine, token } = learned;
         for peer in self.membership.random_peers(CONTROLLER_FANOUT) {
             let part = Part::Controller {
                 cell: cell.clone(),
--- a/crates/daemon/src/actors/peer/gossip.rs
+++ b/crates/daemon/src/actors/peer/gossip.rs
@@ -16,11 +16,11 @@
 /// Peers told at once of a new configuration.
 const CONFIGURATION_FANOUT: usize = 4;
 /// Time between two comparisons with one peer: configuration, marks and facts.
-const COMPARISON_PERIOD: Duration = Duration::from_secs(2);
+const DIGEST_EXCHANGE_PERIOD: Duration = Duration::from_secs(2);
 /// Marks in one datagram.
-const MARKS_AT_ONCE: usize = 16;
+const MARKS_PER_PART: usize = 16;
 /// Facts in one datagram.
-const FACTS_AT_ONCE: usize = 8;
+const FACTS_PER_PART: usize = 8;
 
 impl PeerActor {
     pub(super) fn tick_gossip(&mut self) {
@@ -29,17 +29,17 @@
             self.next_gossip = now + GOSSIP_PERIOD;
             self.gossip_now();
         }
-        if now >= self.next_comparison {
-            self.next_comparison = now + COMPARISON_PERIOD;
-            self.compare_with_one();
+        if now >= self.next_digest_exchange {
+            self.next_digest_exchange = now + DIGEST_EXCHANGE_PERIOD;
+            self.send_digests_to_random_peer();
         }
     }
 
     /// One round of gossip, if there is something to tell.
     pub(super) fn gossip_now(&mut self) {
         let now = self.now();
-        let marks = self.drains.take_for_gossip(now, MARKS_AT_ONCE);
-        let facts = self.facts.take_for_gossip(FACTS_AT_ONCE);
+        let marks = self.drains.take_for_gossip(now, MARKS_PER_PART);
+        let facts = self.facts.take_for_gossip(FACTS_PER_PART);
         if marks.is_empty() && facts.is_empty() {
             return;
         }
@@ -56,7 +56,7 @@
     }
 
     /// Tells one peer where this daemon stands, so that whoever missed gossip catches up.
-    fn compare_with_one(&mut self) {
+    fn send_digests_to_random_peer(&mut self) {
         for peer in self.membership.random_peers(1) {
             let target = peer.peer_address;
             self.outbox
@@ -70,7 +70,7 @@
         }
     }
 
-    pub(super) fn spread_configuration(&mut self) {
+    pub(super) fn announce_configuration(&mut self) {
         for peer in self.membership.random_peers(CONFIGURATION_FANOUT) {
             self.outbox.add(
                 peer.peer_address,
@@ -80,37 +80,37 @@
     }
 
     /// Takes what a poll of this daemon showed. Returns the digest to tell others.
-    pub(super) fn observed(&mut self, observation: EngineObservation) -> AgedDigest {
+    pub(super) fn record_observation(&mut self, observation: EngineObservation) -> AgedDigest {
         let EngineObservation { facts, mut digest } = observation;
         if facts.is_some_and(|facts| self.facts.observe(facts)) {
-            self.directory_is_stale();
+            self.mark_directory_stale();
         }
         digest.sequence = self.next_sequence(&digest);
         let aged = AgedDigest { digest, age_ms: 0 };
-        self.take_digest(aged);
+        self.apply_digest(aged);
         aged
     }
 
-    /// The number after the last one heard, and after the last one given here: whoever polls an engine of a cell
-    /// whose load it does not share hears no numbers.
+    /// The number after the last one heard, and after the last one given here: whoever polls an
+    /// engine of a cell whose load it does not share hears no numbers.
     fn next_sequence(&mut self, digest: &LoadDigest) -> u32 {
         let heard = self.load.get(self.now(), digest.engine);
         let heard = heard.map(|known| known.digest);
-        let given = self.given.get(&digest.engine).copied();
+        let last_own = self.own_digests.get(&digest.engine).copied();
         let of_this_life = |other: &LoadDigest| other.incarnation == digest.incarnation;
-        let last = heard.into_iter().chain(given).filter(of_this_life);
+        let last = heard.into_iter().chain(last_own).filter(of_this_life);
         let last = last.map(|other| other.sequence).max();
         let sequence = last.map_or(0, |last| last.saturating_add(1));
         let numbered = LoadDigest {
             sequence,
             ..*digest
         };
-        self.given.insert(digest.engine, numbered);
+        self.own_digests.insert(digest.engine, numbered);
         sequence
     }
 
     /// The next refresh must look at every back end.
-    pub(super) fn directory_is_stale(&mut self) {
+    pub(super) fn mark_directory_stale(&mut self) {
         self.directory.mark_stale();
     }
 
--- a/crates/daemon/src/actors/peer/receive.rs
+++ b/crates/daemon/src/actors/peer/receive.rs
@@ -11,7 +11,7 @@
 
 use super::{ControllerInput, KnownController, PeerActor};
 use crate::actors::claims::ApplyShardMap;
-use crate::actors::configuration::{ApplyPullAnswer, NotePeer};
+use crate::actors::configuration::{ApplyPullAnswer, RecordPeerRevision};
 use crate::actors::routing::Observe;
 use crate::actors::tell;
 
@@ -30,7 +30,7 @@
     async fn handle(&mut self, message: Received, _context: &mut Context<Self>) {
         for (from, datagram) in message.0 {
             for part in datagram.body {
-                self.take_part(from, datagram.sender, datagram.incarnation, part);
+                self.handle_part(from, datagram.sender, datagram.incarnation, part);
             }
         }
         self.flush().await;
@@ -44,9 +44,9 @@
         match message.response {
             Response::DrainMarks(marks) => {
                 for mark in marks {
-                    self.take_mark(mark);
+                    self.apply_mark(mark);
                 }
-                if message.asked >= self.trust_answers_from {
+                if message.asked >= self.trusted_pulls_since {
                     self.views.caught_up();
                     self.must_catch_up = false;
                 }
@@ -54,21 +54,21 @@
             Response::EngineFacts(all) => {
                 for facts in all {
                     if self.facts.merge(facts) {
-                        self.directory_is_stale();
+                        self.mark_directory_stale();
                     }
                 }
-                self.pulled_facts = true;
+                self.has_pulled_facts = true;
                 self.refresh_directory();
             }
             Response::ShardMap(map) => tell(&self.links.claims, ApplyShardMap(map)),
             _ => {}
         }
-        self.update_standing();
+        self.publish_view_validity();
     }
 }
 
 impl PeerActor {
-    fn take_part(
+    fn handle_part(
         &mut self,
         from: SocketAddr,
         sender: MachineId,
@@ -84,13 +84,13 @@
             }),
             Part::Load(digests) => {
                 for digest in digests {
-                    self.take_digest(digest);
+                    self.apply_digest(digest);
                 }
             }
             Part::EngineFacts(all) => {
                 for facts in all {
                     if self.facts.merge(facts) {
-                        self.directory_is_stale();
+                        self.mark_directory_stale();
                     }
                 }
                 self.refresh_directory();
@@ -110,7 +110,7 @@
             }
             Part::DrainMarks(marks) => {
                 for mark in marks {
-                    self.take_mark(mark);
+                    self.apply_mark(mark);
                 }
             }
             Part::DrainDigest(digest) => {
@@ -128,14 +128,14 @@
                         incarnation,
                         ack,
                     };
-                    self.to_controller(cell, input);
+                    self.forward_to_controller(cell, input);
                 }
             }
             Part::Demand { cell, models } => {
-                self.to_controller(cell, ControllerInput::Demand(models));
+                self.forward_to_controller(cell, ControllerInput::Demand(models));
             }
             Part::ViewRequest { cell, number } => {
-                self.take_view_request(from, (sender, incarnation), cell, number);
+                self.handle_view_request(from, (sender, incarnation), cell, number);
             }
             Part::View {
                 cell,
@@ -149,15 +149,15 @@
                 };
                 self.learn_controller(cell.clone(), controller);
                 for mark in marks {
-                    self.take_mark(mark);
+                    self.apply_mark(mark);
                 }
                 if self.views.answered(&cell, number, token) {
-                    self.update_standing();
+                    self.publish_view_validity();
                 }
             }
             Part::ConfigurationInForce(revision) => {
-                self.note_configuration(sender, incarnation, revision);
-                self.compare_configuration(from, revision);
+                self.record_peer_revision(sender, incarnation, revision);
+                self.sync_configuration(from, revision);
             }
             Part::ConfigurationQuery => {
                 self.outbox
@@ -179,7 +179,7 @@
         }
     }
 
-    fn take_view_request(
+    fn handle_view_request(
         &mut self,
         from: SocketAddr,
         (daemon, incarnation): (MachineId, Incarnation),
@@ -210,17 +210,17 @@
                     from,
                     number,
                 };
-                self.to_controller(cell, input);
+                self.forward_to_controller(cell, input);
             }
         }
     }
 
-    fn to_controller(&self, cell: CellName, input: ControllerInput) {
+    fn forward_to_controller(&self, cell: CellName, input: ControllerInput) {
         // Without a controller task the daemon is stopping.
         let _stopping = self.links.controller_inputs.send((cell, input));
     }
 
-    pub(super) fn take_digest(&mut self, aged: AgedDigest) {
+    pub(super) fn apply_digest(&mut self, aged: AgedDigest) {
         let now = self.now();
         if self.load.take(now, aged) {
             tell(
@@ -235,13 +235,13 @@
         Some(record.life.incarnation)
     }
 
-    pub(super) fn note_configuration(
+    pub(super) fn record_peer_revision(
         &self,
         peer: MachineId,
         incarnation: Incarnation,
         revision: Revision,
     ) {
-        let note = NotePeer {
+        let note = RecordPeerRevision {
             peer,
             incarnation,
             revision,
@@ -250,7 +250,7 @@
     }
 
     /// Pulls from a peer that is ahead; tells one that is behind.
-    fn compare_configuration(&mut self, from: SocketAddr, theirs: Revision) {
+    fn sync_configuration(&mut self, from: SocketAddr, theirs: Revision) {
         if theirs < self.configuration {
             self.outbox
                 .add(from, Part::ConfigurationInForce(self.configuration));
--- a/crates/daemon/src/actors/routing.rs
+++ b/crates/daemon/src/actors/routing.rs
@@ -47,7 +47,7 @@
             .is_some_and(|until| now < *until)
     }
 
-    fn choose(&mut self, mut request: RouteRequest) -> Result<ReservedPlacement, ChooseRefusal> {
+    fn choose(&mut self, mut request: RouteRequest) -> Result<ReservedPlacement, PlacementRefusal> {
         let now = self.clock.now();
         let expired = self
             .router
@@ -59,9 +59,9 @@
         let placement = match self.router.choose(now, &request) {
             Ok(placement) => placement,
             Err(_no_valid_view) if !expired.is_empty() || !is_any_valid => {
-                return Err(ChooseRefusal::ViewExpired);
+                return Err(PlacementRefusal::ViewExpired);
             }
-            Err(refusal) => return Err(ChooseRefusal::Routing(refusal)),
+            Err(refusal) => return Err(PlacementRefusal::Routing(refusal)),
         };
         let back_ends = back_ends_of(placement.plan);
         for back_end in &back_ends {
@@ -98,7 +98,7 @@
 
 /// Why there is no placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum ChooseRefusal {
+pub(crate) enum PlacementRefusal {
     /// Routing found none.
     #[error(transparent)]
     Routing(RoutingRefusal),
@@ -123,25 +123,28 @@
     fn drop(&mut self) {
         let routing = self.routing.as_ref().and_then(WeakAddress::try_upgrade);
         if let Some(routing) = routing {
-            tell(&routing, GiveBack(std::mem::take(&mut self.back_ends)));
+            tell(
+                &routing,
+                ReleaseReservation(std::mem::take(&mut self.back_ends)),
+            );
         }
     }
 }
 
-struct GiveBack(Vec<MachineId>);
+struct ReleaseReservation(Vec<MachineId>);
 
 /// Asks where a request goes.
-pub(crate) struct Choose(pub(crate) RouteRequest);
+pub(crate) struct ChoosePlacement(pub(crate) RouteRequest);
 
-/// Asks, right before sending, whether the view that a back end was chosen on still holds: time may have
-/// passed since, in a freeze, or while the prompt was read elsewhere for a hand-over.
-pub(crate) struct MaySend(pub(crate) MachineId);
+/// Asks, right before sending, whether the view that a back end was chosen on still holds: time may
+/// have passed since, in a freeze, or while the prompt was read elsewhere for a hand-over.
+pub(crate) struct IsSendAllowed(pub(crate) MachineId);
 
 /// Asks whether nothing of this daemon is under way to a back end.
-pub(crate) struct IsAtRest(pub(crate) MachineId);
+pub(crate) struct IsIdle(pub(crate) MachineId);
 
 /// This daemon may route to a cell (`None`: to plain back ends) until then.
-pub(crate) struct ViewValid {
+pub(crate) struct ExtendViewValidity {
     pub(crate) cell: Option<CellName>,
     pub(crate) until: Timestamp,
 }
@@ -171,18 +174,22 @@
 /// A request was answered whole: it adds to the retry budget.
 pub(crate) struct RequestSucceeded;
 
-impl Handler<Choose> for RoutingActor {
-    type Return = Result<ReservedPlacement, ChooseRefusal>;
+impl Handler<ChoosePlacement> for RoutingActor {
+    type Return = Result<ReservedPlacement, PlacementRefusal>;
 
-    async fn handle(&mut self, message: Choose, _context: &mut Context<Self>) -> Self::Return {
+    async fn handle(
+        &mut self,
+        message: ChoosePlacement,
+        _context: &mut Context<Self>,
+    ) -> Self::Return {
         self.choose(message.0)
     }
 }
 
-impl Handler<GiveBack> for RoutingActor {
+impl Handler<ReleaseReservation> for RoutingActor {
     type Return = ();
 
-    async fn handle(&mut self, message: GiveBack, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReleaseReservation, _context: &mut Context<Self>) {
         for back_end in message.0 {
             if let Some(count) = self.reserved.get_mut(&back_end) {
                 *count = count.saturating_sub(1);
@@ -192,18 +199,18 @@
     }
 }
 
-impl Handler<MaySend> for RoutingActor {
+impl Handler<IsSendAllowed> for RoutingActor {
     type Return = bool;
 
-    async fn handle(&mut self, message: MaySend, _context: &mut Context<Self>) -> bool {
+    async fn handle(&mut self, message: IsSendAllowed, _context: &mut Context<Self>) -> bool {
         self.is_valid(self.clock.now(), message.0) && !self.router.is_draining(message.0)
     }
 }
 
-impl Handler<IsAtRest> for RoutingActor {
+impl Handler<IsIdle> for RoutingActor {
     type Return = bool;
 
-    async fn handle(&mut self, message: IsAtRest, _context: &mut Context<Self>) -> bool {
+    async fn handle(&mut self, message: IsIdle, _context: &mut Context<Self>) -> bool {
         !self.reserved.contains_key(&message.0) && self.router.in_flight(message.0) == 0
     }
 }
@@ -217,20 +224,20 @@
         _context: &mut Context<Self>,
     ) -> Self::Return {
         let now = self.clock.now();
-        let standing = |back_end: MachineId| BackEndStatus {
+        let status = |back_end: MachineId| BackEndStatus {
             running: self.router.in_flight(back_end),
             eligibility: self.router.eligibility(now, back_end),
             is_view_valid: self.is_valid(now, back_end),
         };
         let back_ends = self.router.back_ends();
-        back_ends.map(|id| (id, standing(id))).collect()
+        back_ends.map(|id| (id, status(id))).collect()
     }
 }
 
-impl Handler<ViewValid> for RoutingActor {
+impl Handler<ExtendViewValidity> for RoutingActor {
     type Return = ();
 
-    async fn handle(&mut self, message: ViewValid, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ExtendViewValidity, _context: &mut Context<Self>) {
         self.valid_until.insert(message.cell, message.until);
     }
 }
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -1,4 +1,4 @@
-//! HTTP for callers.
+//! The HTTP gateway: completions, plain services, health probes and the metrics page.
 
 mod attempt;
 mod caller;
@@ -46,17 +46,17 @@
 use crate::requests::RequestRegister;
 use crate::settings::Settings;
 
-/// Path of plain services: `/services/<name>/<path at the back end>`.
+/// Path prefix of plain services; the full path is `/services/<name>/<path at the back end>`.
 const SERVICES_PREFIX: &str = "/services/";
-/// Answers 200 while the process lives.
+/// Liveness probe: always answers 200 while the process runs.
 const HEALTH_PATH: &str = "/healthz";
-/// Answers 200 while the daemon takes requests.
+/// Readiness probe: answers 200 while the daemon accepts requests, otherwise 503.
 const READINESS_PATH: &str = "/readyz";
 
-/// Prometheus text.
+/// Serves the metrics in the Prometheus text format.
 const METRICS_PATH: &str = "/metrics";
 
-/// What claiming a key needs.
+/// Dependencies for claiming idempotency keys.
 pub(crate) struct ClaimLinks {
     pub(crate) own: ClaimMember,
     pub(crate) shard_map: watch::Receiver<Arc<ShardMap>>,
@@ -64,7 +64,7 @@
     pub(crate) client: PeerClient,
 }
 
-/// What every request's handling needs.
+/// State and dependencies shared by all request handlers.
 pub(crate) struct GatewayContext {
     pub(crate) runtime: Runtime,
     pub(crate) settings: Settings,
@@ -73,35 +73,37 @@
     pub(crate) fleet: FleetReceiver,
     pub(crate) configuration: watch::Receiver<Arc<Configuration>>,
     pub(crate) routing: Address<RoutingActor>,
-    /// Admission of completions.
+    /// Admission control for completions.
     pub(crate) completion_admission: Address<AdmissionActor>,
-    /// Admission of plain services: lookups do not queue behind completions.
+    /// Admission control for plain services. It is separate so that plain requests do not queue
+    /// behind completions.
     pub(crate) plain_admission: Address<AdmissionActor>,
-    /// Whether routing knows the fleet.
+    /// Whether this daemon has caught up with its peers, so that routing may begin.
     pub(crate) caught_up: watch::Receiver<bool>,
     pub(crate) random: Mutex<SeededRandom>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) decisions: DecisionLog,
     pub(crate) claims: ClaimLinks,
-    /// What arrived since the last report to the controllers.
+    /// Demand counted since the last report to the controllers.
     pub(crate) demand: Arc<Mutex<DemandCounter>>,
     pub(crate) requests: RequestRegister,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub(crate) stopping: watch::Sender<bool>,
 }
 
 impl GatewayContext {
-    /// Source of request ids.
+    /// Creates the random generator for request ids, seeded from the runtime.
     pub(crate) fn random(runtime: &Runtime) -> Mutex<SeededRandom> {
         Mutex::new(seeded(runtime.seed, "gateway"))
     }
 
-    /// From now on the daemon says that it is not ready.
+    /// Marks the daemon as stopping; from now on the readiness probe fails.
     pub(crate) fn begin_stop(&self) {
         self.stopping.send_replace(true);
     }
 
-    /// Counts a request for the planners, whether it will be admitted or not.
+    /// Adds a request to the demand reported to the role planners. Requests that admission refuses
+    /// count too.
     fn count_demand(
         &self,
         model: &ModelName,
@@ -116,7 +118,8 @@
         demand.count(model, priority, prompt_tokens, output_tokens);
     }
 
-    /// Whether the daemon takes requests.
+    /// Whether the daemon accepts requests: it has a configuration, has caught up with its peers
+    /// and is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         let has_configuration = self.configuration.borrow().revision.0 > 0;
         has_configuration && *self.caught_up.borrow() && !*self.stopping.borrow()
@@ -136,7 +139,7 @@
     }
 }
 
-/// The callers' endpoint.
+/// HTTP handler for client requests.
 pub(crate) struct Gateway {
     context: Arc<GatewayContext>,
 }
@@ -177,7 +180,7 @@
                     .record(DecisionKind::Refusal, subject, outcome, reason);
                 problem.for_request(request_id).into_response()
             });
-            name_request(&mut response, request_id);
+            set_request_id_header(&mut response, request_id);
             let elapsed = context.now().since(arrived);
             context.metrics.request_answered(response.status(), elapsed);
             tracing::info!(
@@ -189,7 +192,7 @@
     }
 }
 
-/// Answers of the probes, which are not logged.
+/// Answers health, readiness and metrics requests, which are not logged.
 fn probe_answer(context: &GatewayContext, path: &str) -> Option<Response<Body>> {
     match path {
         HEALTH_PATH => Some(plain_text(StatusCode::OK, "ok\n")),
@@ -199,7 +202,7 @@
     }
 }
 
-fn name_request(response: &mut Response<Body>, request_id: RequestId) {
+fn set_request_id_header(response: &mut Response<Body>, request_id: RequestId) {
     if let Ok(value) = HeaderValue::from_str(&request_id.to_string()) {
         response.headers_mut().insert(headers::REQUEST_ID, value);
     }
@@ -236,7 +239,7 @@
     }
     plain_text(
         StatusCode::SERVICE_UNAVAILABLE,
-        "no configuration, or no reading of the back ends yet\n",
+        "no configuration yet, or not caught up with the other daemons yet\n",
     )
 }
 
--- a/crates/daemon/src/gateway/attempt.rs
+++ b/crates/daemon/src/gateway/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at a completion: on one engine, or prefill on one and decode on another.
+//! One attempt at a completion: on a single engine, or with prefill on one engine and decode on
+//! another.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,12 +24,12 @@
 use super::events::{AnswerPart, EngineConnection};
 use super::send_guard::SendGuard;
 use crate::actors::ask;
-use crate::actors::routing::{MaySend, ReservedPlacement};
+use crate::actors::routing::{IsSendAllowed, ReservedPlacement};
 
-/// Largest answer to a prefill, in bytes: a handle and token counts.
-const EXPORT_SIZE_LIMIT: usize = 64 * 1024;
+/// Size limit of a prefill answer, which holds a KV transfer handle and token counts.
+const PREFILL_ANSWER_LIMIT_BYTES: usize = 64 * 1024;
 
-/// An answer whose first part has come.
+/// An answer whose first part has arrived.
 pub(super) struct StartedAnswer {
     pub(super) first: AnswerPart,
     pub(super) driver: AnswerDriver,
@@ -36,21 +37,22 @@
     pub(super) engine: SocketAddr,
 }
 
-/// A failed attempt, with words for the caller.
+/// A failed attempt, with a description for the caller.
 #[derive(Debug)]
 pub(super) struct FailedAttempt {
     pub(super) outcome: AttemptOutcome,
     pub(super) detail: String,
 }
 
-/// Runs one attempt until the answer's first part.
+/// Runs one attempt up to the first part of the answer.
 pub(super) async fn run(
     context: &Arc<GatewayContext>,
     job: &CompletionJob,
     chosen: ReservedPlacement,
     claim: Option<&mut Claim>,
 ) -> Result<StartedAnswer, FailedAttempt> {
-    // Held until every send of the plan is known to routing.
+    // Held until routing knows of every send of the plan, so that no drain of these back ends is
+    // acknowledged in between.
     let ReservedPlacement {
         placement,
         reservation: _reservation,
@@ -60,24 +62,26 @@
             let stage = SendStage::Whole;
             start(context, job, back_end, stage, None, claim).await
         }
-        // The prompt's owner may not run twice: the decode engine then reads it itself.
+        // A request of a service that is not repeatable must not run on two engines, so the decode
+        // engine also does the prefill.
         PlacementPlan::Handover { decode, .. } if !job.service.repeatable => {
             start(context, job, decode, SendStage::Whole, None, claim).await
         }
         PlacementPlan::Handover { prefill, decode } => {
-            hand_over(context, job, prefill, decode).await
+            prefill_then_decode(context, job, prefill, decode).await
         }
     }
 }
 
-/// Prefill on one engine, decode on another. If the hand-over fails, the decode engine reads the prompt.
-async fn hand_over(
+/// Runs prefill on one engine and decode on another. If the KV transfer fails, the decode engine
+/// does the prefill itself.
+async fn prefill_then_decode(
     context: &Arc<GatewayContext>,
     job: &CompletionJob,
     prefill: MachineId,
     decode: MachineId,
 ) -> Result<StartedAnswer, FailedAttempt> {
-    let failure = match export(context, job, prefill).await {
+    let failure = match run_prefill(context, job, prefill).await {
         Ok(import) => {
             let stage = SendStage::Decode;
             match start(context, job, decode, stage, Some(import), None).await {
@@ -89,23 +93,24 @@
     };
     tracing::info!(
         request_id = %job.request_id, detail = failure.detail,
-        "hand-over failed: the decode engine reads the prompt itself"
+        "prefill or KV transfer failed; the decode engine runs the prefill itself"
     );
     start(context, job, decode, SendStage::Whole, None, None).await
 }
 
-/// Has the prompt read by `prefill`; gives what the decode engine needs to fetch the cache.
-async fn export(
+/// Runs the prefill on engine `prefill`. Returns the parameters with which the decode engine
+/// fetches the KV cache.
+async fn run_prefill(
     context: &Arc<GatewayContext>,
     job: &CompletionJob,
     prefill: MachineId,
 ) -> Result<KvTransferParams, FailedAttempt> {
-    let machine = machine(context, prefill)?;
+    let machine = find_machine(context, prefill)?;
     check_view(context, &machine).await?;
     let mut request = job.engine_request.clone();
     request.stream = false;
     request.kv_transfer_params = Some(KvTransferParams::Export);
-    let guard = begin(context, job, &machine, SendStage::Prefill);
+    let guard = begin_send(context, job, &machine, SendStage::Prefill);
     let exchange = async {
         let call = job.call(context);
         let response = context
@@ -114,14 +119,14 @@
             .await?;
         let read = body::read_json(
             response.into_body(),
-            EXPORT_SIZE_LIMIT,
+            PREFILL_ANSWER_LIMIT_BYTES,
             job.time_left(context),
         );
         let exported: CompletionResponse = read.await?;
         let handle = exported.kv_transfer_handle;
         handle.ok_or_else(|| CallError::Protocol(String::from("no kv_transfer_handle")))
     };
-    match within(job.time_left(context), exchange).await {
+    match with_timeout(job.time_left(context), exchange).await {
         Ok(handle) => {
             guard.first_token();
             guard.end(SendOutcome::Succeeded {
@@ -133,7 +138,7 @@
                 source: machine.address.to_string(),
             })
         }
-        Err(error) => Err(fail(guard, &machine, &error)),
+        Err(error) => Err(end_failed_send(guard, &machine, &error)),
     }
 }
 
@@ -145,16 +150,16 @@
     import: Option<KvTransferParams>,
     claim: Option<&mut Claim>,
 ) -> Result<StartedAnswer, FailedAttempt> {
-    let machine = machine(context, back_end)?;
+    let machine = find_machine(context, back_end)?;
     check_view(context, &machine).await?;
     begin_dispatch(claim, &machine)?;
     let mut request = job.engine_request.clone();
     request.kv_transfer_params = import;
-    let guard = begin(context, job, &machine, stage);
+    let guard = begin_send(context, job, &machine, stage);
     let opening = open(context, job, &machine, &request);
-    let mut driver = match within(job.time_left(context), opening).await {
+    let mut driver = match with_timeout(job.time_left(context), opening).await {
         Ok(driver) => driver,
-        Err(error) => return Err(fail(guard, &machine, &error)),
+        Err(error) => return Err(end_failed_send(guard, &machine, &error)),
     };
     match driver.step().await {
         Ok(Step::Part(first)) => {
@@ -166,13 +171,13 @@
                 engine: machine.address,
             })
         }
-        Ok(Step::Whole) => {
-            let error = CallError::Protocol(String::from("the answer has no part"));
-            Err(fail(guard, &machine, &error))
+        Ok(Step::Complete) => {
+            let error = CallError::Protocol(String::from("the answer ended before its first part"));
+            Err(end_failed_send(guard, &machine, &error))
         }
         Err(error) => {
             guard.end(SendOutcome::Failed);
-            Err(failed(
+            Err(failed_attempt(
                 &machine,
                 AttemptFailure::AnswerBroken,
                 error.to_string(),
@@ -211,7 +216,8 @@
     Ok(AnswerDriver::new(clock, assembler, connection, head))
 }
 
-/// Right before sending, after the last wait: the claim of the request's key must still be valid.
+/// Checks that the claim on the request's idempotency key is still valid. Call it after the last
+/// await before sending.
 pub(super) fn begin_dispatch(
     claim: Option<&mut Claim>,
     machine: &Machine,
@@ -219,25 +225,27 @@
     let Some(claim) = claim else { return Ok(()) };
     claim
         .begin_dispatch()
-        .map_err(|problem| failed(machine, AttemptFailure::NotSent, problem.detail))
+        .map_err(|problem| failed_attempt(machine, AttemptFailure::NotSent, problem.detail))
 }
 
-/// Right before sending: a process that was frozen since the choice must not act on it.
+/// Checks that this daemon's view of the back end is valid and the back end is not draining. Call
+/// it right before sending: a process that was suspended after the placement must not act on it.
 pub(super) async fn check_view(
     context: &GatewayContext,
     machine: &Machine,
 ) -> Result<(), FailedAttempt> {
-    if ask(&context.routing, MaySend(machine.id))
+    if ask(&context.routing, IsSendAllowed(machine.id))
         .await
         .unwrap_or(false)
     {
         return Ok(());
     }
-    let detail = String::from("this daemon's view ran out between the choice and the sending");
-    Err(failed(machine, AttemptFailure::NotSent, detail))
+    let detail =
+        String::from("this daemon's view of the back end expired between placement and sending");
+    Err(failed_attempt(machine, AttemptFailure::NotSent, detail))
 }
 
-fn begin(
+fn begin_send(
     context: &Arc<GatewayContext>,
     job: &CompletionJob,
     machine: &Machine,
@@ -254,7 +262,7 @@
     SendGuard::begin(context, sent, Some(machine.address))
 }
 
-pub(super) async fn within<T>(
+pub(super) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, CallError>>,
 ) -> Result<T, CallError> {
@@ -263,19 +271,23 @@
         .unwrap_or(Err(CallError::TimedOut(limit)))
 }
 
-/// Ends a send after an error of its call.
-pub(super) fn fail(guard: SendGuard, machine: &Machine, error: &CallError) -> FailedAttempt {
-    let failure = failure_of(error);
+/// Reports the outcome of a send whose call failed.
+pub(super) fn end_failed_send(
+    guard: SendGuard,
+    machine: &Machine,
+    error: &CallError,
+) -> FailedAttempt {
+    let failure = attempt_failure(error);
     match failure {
-        // Dropping the guard cancels at the engine what may still run there.
+        // Dropping the guard cancels the request, which may still run at the engine.
         AttemptFailure::TimedOut => drop(guard),
         AttemptFailure::RefusedNotRun => guard.end(SendOutcome::Neutral),
         _ => guard.end(SendOutcome::Failed),
     }
-    failed(machine, failure, error.to_string())
+    failed_attempt(machine, failure, error.to_string())
 }
 
-fn failed(machine: &Machine, failure: AttemptFailure, detail: String) -> FailedAttempt {
+fn failed_attempt(machine: &Machine, failure: AttemptFailure, detail: String) -> FailedAttempt {
     let outcome = AttemptOutcome {
         back_end: machine.id,
         zone: machine.zone.clone(),
@@ -284,7 +296,7 @@
     FailedAttempt { outcome, detail }
 }
 
-fn failure_of(error: &CallError) -> AttemptFailure {
+fn attempt_failure(error: &CallError) -> AttemptFailure {
     match error {
         CallError::NotSent(_) => AttemptFailure::NotSent,
         CallError::Refused { .. } if error.execution() == Execution::NotStarted => {
@@ -299,8 +311,8 @@
     }
 }
 
-/// The machine-list entry of a back end that routing chose.
-pub(super) fn machine(
+/// Finds the machine-list entry of the back end that routing chose.
+pub(super) fn find_machine(
     context: &GatewayContext,
     back_end: MachineId,
 ) -> Result<Machine, FailedAttempt> {
--- a/crates/daemon/src/gateway/caller.rs
+++ b/crates/daemon/src/gateway/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller's headers say.
+//! Parses the request headers that clients set, and looks up the requested service.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use ponddrift_engine::wire::headers;
 use ponddrift_http::{Problem, ProblemKind};
 
-/// Tenant of callers that name none.
+/// Tenant of requests without a tenant header.
 const DEFAULT_TENANT: &str = "default";
-/// Longest idempotency key accepted, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const IDEMPOTENCY_KEY_LIMIT: usize = 255;
 
-/// What the headers of a request say.
+/// Parsed headers of a client request.
 #[derive(Debug, Clone)]
 pub(crate) struct Caller {
     pub(crate) tenant: TenantName,
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Time the request may take: the service's limit, or less if the caller says so.
+    /// Time limit of the request: the service's limit, or the caller's deadline if that is shorter.
     pub(crate) fn time_limit(&self, service: &ServiceSettings) -> Duration {
         let service_limit = Duration::from_millis(service.deadline_ms);
         self.deadline
@@ -46,7 +46,7 @@
     };
     value.to_str().map(Some).map_err(|_not_ascii| {
         bad_request(format!(
-            "the header {name} holds other characters than visible ASCII"
+            "the header {name} contains characters other than visible ASCII"
         ))
     })
 }
@@ -80,7 +80,10 @@
     Ok(Some(Duration::from_millis(milliseconds)))
 }
 
-/// The service a caller names.
+/// Looks up a service by name.
+///
+/// # Errors
+/// [`ProblemKind::UnknownService`] when the configuration has no such service.
 pub(crate) fn find_service(
     configuration: &Configuration,
     name: &str,
--- a/crates/daemon/src/gateway/claim.rs
+++ b/crates/daemon/src/gateway/claim.rs
@@ -1,4 +1,4 @@
-//! Claiming the idempotency key of a request that may run at most once.
+//! Claims the idempotency keys of requests that must run at most once.
 
 use std::sync::Arc;
 
@@ -17,32 +17,33 @@
 use super::caller::Caller;
 use crate::daemon::peer_address;
 
-/// A key that this request holds. Dropped without an end it stays claimed: the request may have run.
+/// A claimed key. If the claim is dropped without [`Claim::release`] or [`Claim::completed`], the
+/// key stays claimed, because the request may have run.
 pub(super) struct Claim {
     context: Arc<GatewayContext>,
     coordinator: ClaimCoordinator,
 }
 
-/// What became of a claim.
-pub(super) enum Claimed {
+/// Result of claiming a key.
+pub(super) enum ClaimResult {
     /// The request may be dispatched.
     Won(Box<Claim>),
-    /// The request ran before; this is its answer.
+    /// The request already ran; this is its stored answer.
     Answered(Response<Body>),
 }
 
 impl Claim {
-    /// Claims the caller's key, if the service may not be repeated and the caller gave one.
+    /// Claims the idempotency key. Returns `None` when the caller gave none.
     ///
     /// # Errors
-    /// The problem to answer with when the key is not to be had.
+    /// Returns the problem to send to the caller when the key cannot be claimed.
     pub(super) async fn obtain(
         context: &Arc<GatewayContext>,
         caller: &Caller,
         service: &ServiceName,
         request_id: RequestId,
         request_body: &[u8],
-    ) -> Result<Option<Claimed>, Problem> {
+    ) -> Result<Option<ClaimResult>, Problem> {
         let Some(key) = &caller.idempotency_key else {
             return Ok(None);
         };
@@ -58,8 +59,8 @@
             xxh3_64(request_body),
         );
         let Some((coordinator, actions)) = started else {
-            let detail = "no daemons keep idempotency keys yet: run at least three daemons, or come \
-                          back when they have found each other";
+            let detail = "no claim group for idempotency keys exists yet: run at least three daemons, \
+                          or retry once they have discovered each other";
             return Err(Problem::not_started(ProblemKind::ClaimUnavailable, detail)
                 .retry_after(super::dispatch::DEFAULT_RETRY_AFTER));
         };
@@ -67,18 +68,18 @@
             context: Arc::clone(context),
             coordinator,
         };
-        let outcome = claim.decide(actions).await;
+        let outcome = claim.run_until_decided(actions).await;
         match outcome {
-            ClaimOutcome::Won => Ok(Some(Claimed::Won(Box::new(claim)))),
+            ClaimOutcome::Won => Ok(Some(ClaimResult::Won(Box::new(claim)))),
             ClaimOutcome::AlreadyRan {
                 answer: Some(answer),
                 ..
-            } => Ok(Some(Claimed::Answered(kept_answer(answer)))),
-            other => Err(problem_of(&other)),
+            } => Ok(Some(ClaimResult::Answered(stored_answer_response(answer)))),
+            other => Err(outcome_problem(&other)),
         }
     }
 
-    async fn decide(&mut self, mut actions: Vec<ClaimAction>) -> ClaimOutcome {
+    async fn run_until_decided(&mut self, mut actions: Vec<ClaimAction>) -> ClaimOutcome {
         let (replies, mut received) = mpsc::unbounded_channel();
         loop {
             for action in std::mem::take(&mut actions) {
@@ -103,10 +104,11 @@
         }
     }
 
-    /// Allows one dispatch; asked right before sending.
+    /// Allows one dispatch. Call it right before sending.
     ///
     /// # Errors
-    /// The problem to answer with: the process was paused for too long.
+    /// Returns the problem to send to the caller when the claim has expired, for example because
+    /// the process was suspended.
     pub(super) fn begin_dispatch(&mut self) -> Result<(), Problem> {
         let now = self.context.now();
         self.coordinator.begin_dispatch(now).map_err(|expired| {
@@ -116,18 +118,18 @@
         })
     }
 
-    /// The dispatch is known not to have run.
+    /// Records that the last dispatch certainly did not run.
     pub(super) fn dispatch_not_started(&mut self) {
         self.coordinator.dispatch_not_started();
     }
 
-    /// Gives the key back, if no dispatch can have run.
+    /// Releases the key, unless a dispatch may have run.
     pub(super) fn release(&mut self) {
         let withdrawals = self.coordinator.release();
         self.send_all(withdrawals);
     }
 
-    /// Tells the group that the request ran.
+    /// Tells the claim group that the request ran, with the answer to store if there is one.
     pub(super) fn completed(&self, answer: Option<&ClaimAnswer>) {
         let map: Arc<ShardMap> = Arc::clone(&self.context.claims.shard_map.borrow());
         let Some(group) = map.group(self.coordinator.shard()) else {
@@ -143,7 +145,7 @@
     }
 }
 
-/// Sends a message to the member it is meant for; its reply goes to `replies`.
+/// Sends a message to its target member. The reply, if any, goes to `replies`.
 fn send(
     context: &Arc<GatewayContext>,
     message: ClaimMessage,
@@ -157,7 +159,7 @@
         match client.ask(target, Request::Claim(message)).await {
             Ok(PeerResponse::Claim(Some(reply))) => {
                 if let Some(replies) = replies {
-                    // The claim may be decided already.
+                    // The receiver is gone when the claim has already been decided.
                     let _decided = replies.send(reply);
                 }
             }
@@ -167,7 +169,7 @@
     }));
 }
 
-fn kept_answer(answer: ClaimAnswer) -> Response<Body> {
+fn stored_answer_response(answer: ClaimAnswer) -> Response<Body> {
     let mut response = Response::new(body::full(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     if let Ok(value) = HeaderValue::from_str(&answer.content_type) {
@@ -176,19 +178,19 @@
     response
 }
 
-fn problem_of(outcome: &ClaimOutcome) -> Problem {
+fn outcome_problem(outcome: &ClaimOutcome) -> Problem {
     let (kind, detail) = match outcome {
         ClaimOutcome::AlreadyRan { by, .. } => (
             ProblemKind::AlreadyClaimed,
             format!(
-                "a request with this key already ran, through daemon {by}; its answer is not kept"
+                "a request with this key already ran, through daemon {by}; its answer was not stored"
             ),
         ),
         ClaimOutcome::AlreadyClaimed { by } => {
             let by = by.map_or_else(String::new, |by| format!(" through daemon {by}"));
             let detail = format!(
                 "a request with this key is running or ran{by}; ask the service for its outcome, or \
-                 come back with the same key"
+                 retry with the same key"
             );
             (ProblemKind::AlreadyClaimed, detail)
         }
@@ -199,7 +201,7 @@
         ClaimOutcome::Failed(failure) => (ProblemKind::ClaimUnavailable, failure.to_string()),
         ClaimOutcome::Won => (
             ProblemKind::ClaimUnavailable,
-            String::from("the key was won"),
+            String::from("the key was claimed by this request"),
         ),
     };
     Problem::new(kind, detail, outcome.execution())
--- a/crates/daemon/src/gateway/completions.rs
+++ b/crates/daemon/src/gateway/completions.rs
@@ -1,4 +1,4 @@
-//! Completions: from the caller's JSON to an engine and back.
+//! Handles completion requests: parsing, admission, placement and the answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,28 +20,30 @@
 use super::GatewayContext;
 use super::attempt::{self, StartedAnswer};
 use super::caller::{Caller, bad_request, find_service};
-use super::claim::{Claim, Claimed};
+use super::claim::{Claim, ClaimResult};
 use super::dispatch::Dispatch;
 use super::permit::Permit;
 use super::placement;
-use super::stream::{streamed_answer, whole_answer};
+use super::stream::{aggregated_answer, streamed_answer};
 
-/// Output tokens expected of a request that names no limit.
+/// Output tokens assumed for a request without `max_tokens`.
 const DEFAULT_OUTPUT_TOKENS: u32 = 128;
-/// Prompt tokens a second taken off the time to the first token, to see how long a request waited.
-const ASSUMED_PREFILL_RATE: f64 = 8_000.0;
-/// Level of a priority class that the configuration does not know (any more): the lowest.
+/// Assumed prefill speed. The assumed prefill time is subtracted from the time to the first token
+/// to estimate how long the request queued at the engine.
+const ASSUMED_PREFILL_TOKENS_PER_SECOND: f64 = 8_000.0;
+/// Priority level of a class that the configuration does not contain (any more): the lowest.
 const UNKNOWN_PRIORITY_LEVEL: u8 = u8::MAX;
 
-/// One completion, understood.
+/// A parsed and validated completion request.
 pub(super) struct CompletionJob {
     pub(super) request_id: RequestId,
     pub(super) caller: Caller,
-    /// The tenant's weight against others.
+    /// Fair-share weight of the tenant.
     pub(super) weight: u32,
     pub(super) name: ServiceName,
     pub(super) service: ServiceSettings,
-    /// What engines are sent: always streamed, so that a cut answer can be resumed.
+    /// Request sent to the engines. It always asks for a stream, so that an interrupted answer can
+    /// be resumed.
     pub(super) engine_request: CompletionRequest,
     pub(super) path: String,
     pub(super) target: RouteTarget,
@@ -58,7 +60,8 @@
         self.deadline.since(context.now())
     }
 
-    /// What identifies a call at the engine.
+    /// Call context sent to the engine: request id, remaining time, idempotency key and trace
+    /// context.
     pub(super) fn call(&self, context: &GatewayContext) -> CallContext {
         CallContext {
             request_id: self.request_id,
@@ -112,7 +115,7 @@
     let caller = Caller::read(&parts.headers)?;
     let completion = read_completion(context, incoming).await?;
     let is_streamed = completion.stream;
-    let job = understand(context, request_id, caller, completion, parts.uri.path())?;
+    let job = prepare_job(context, request_id, caller, completion, parts.uri.path())?;
     let admission = &context.completion_admission;
     let clock = &context.runtime.clock;
     let request = job.admission_request();
@@ -121,8 +124,8 @@
         .enter(&request, job.prompt_tokens, context.now());
     let permit = Permit::obtain(admission, clock, request, job.work(), entry).await?;
     let mut claim = match claim_key(context, &job).await? {
-        Some(Claimed::Answered(answer)) => return Ok(answer),
-        Some(Claimed::Won(claim)) => Some(*claim),
+        Some(ClaimResult::Answered(answer)) => return Ok(answer),
+        Some(ClaimResult::Won(claim)) => Some(*claim),
         None => None,
     };
     let started = match start(context, &job, &permit, claim.as_mut()).await {
@@ -134,19 +137,20 @@
             return Err(problem);
         }
     };
-    let reading = Duration::from_secs_f64(f64::from(job.prompt_tokens) / ASSUMED_PREFILL_RATE);
-    permit.waited(permit.running_for().saturating_sub(reading));
+    let assumed_prefill_time =
+        Duration::from_secs_f64(f64::from(job.prompt_tokens) / ASSUMED_PREFILL_TOKENS_PER_SECOND);
+    permit.report_queue_wait(permit.running_for().saturating_sub(assumed_prefill_time));
     let engine = started.engine;
     let mut answer = if is_streamed {
         streamed_answer(context, started, permit, claim)
     } else {
-        whole_answer(context, started, permit, claim).await?
+        aggregated_answer(context, started, permit, claim).await?
     };
-    name_back_end(&mut answer, engine);
+    set_back_end_header(&mut answer, engine);
     Ok(answer)
 }
 
-/// Tries engines until one gives the first part of an answer.
+/// Tries engines until one returns the first part of an answer.
 async fn start(
     context: &Arc<GatewayContext>,
     job: &CompletionJob,
@@ -167,18 +171,18 @@
                 }
                 let repeatable = job.service.repeatable;
                 dispatch
-                    .failed(context, failure, repeatable, job.deadline)
+                    .handle_failure(context, failure, repeatable, job.deadline)
                     .await?;
             }
         }
     }
 }
 
-/// Claims the key of a request that may run at most once.
+/// Claims the idempotency key if the service is not repeatable.
 async fn claim_key(
     context: &Arc<GatewayContext>,
     job: &CompletionJob,
-) -> Result<Option<Claimed>, Problem> {
+) -> Result<Option<ClaimResult>, Problem> {
     if job.service.repeatable {
         return Ok(None);
     }
@@ -193,10 +197,10 @@
     let limits = &context.settings.gateway;
     body::read_json(incoming, limits.body_size_limit, limits.body_time_limit)
         .await
-        .map_err(read_problem)
+        .map_err(body_read_problem)
 }
 
-pub(super) fn read_problem(error: ReadError) -> Problem {
+pub(super) fn body_read_problem(error: ReadError) -> Problem {
     let kind = match error {
         ReadError::TooLarge { .. } => ProblemKind::BodyTooLarge,
         ReadError::TooSlow { .. } => ProblemKind::BodyTooSlow,
@@ -205,7 +209,7 @@
     Problem::not_started(kind, error.to_string())
 }
 
-fn understand(
+fn prepare_job(
     context: &GatewayContext,
     request_id: RequestId,
     caller: Caller,
@@ -259,7 +263,7 @@
     class.map_or(UNKNOWN_PRIORITY_LEVEL, |class| class.level)
 }
 
-/// Weight of a caller's tenant; tenants that are not configured weigh 1.
+/// Returns the fair-share weight of the tenant; tenants that are not configured have weight 1.
 pub(super) fn tenant_weight(configuration: &Configuration, caller: &Caller) -> u32 {
     configuration
         .tenants
@@ -267,7 +271,7 @@
         .map_or(1, |tenant| tenant.weight.max(1))
 }
 
-pub(super) fn name_back_end(answer: &mut Response<Body>, back_end: SocketAddr) {
+pub(super) fn set_back_end_header(answer: &mut Response<Body>, back_end: SocketAddr) {
     if let Ok(value) = HeaderValue::from_str(&back_end.to_string()) {
         answer.headers_mut().insert(headers::BACK_END, value);
     }
--- a/crates/daemon/src/gateway/compose.rs
+++ b/crates/daemon/src/gateway/compose.rs
@@ -1,4 +1,4 @@
-//! A whole answer put together from the parts of a streamed one.
+//! Aggregates the parts of a streamed completion into one response.
 
 use ponddrift_engine::wire::completions::{ChatMessage, Choice, CompletionResponse, Usage};
 
@@ -6,9 +6,9 @@
 const CHAT_OBJECT: &str = "chat.completion";
 const ASSISTANT_ROLE: &str = "assistant";
 
-/// Gathers parts; all belong to one answer.
+/// Collects the parts of one answer.
 #[derive(Debug, Default)]
-pub(super) struct Composer {
+pub(super) struct CompletionAggregator {
     id: String,
     model: String,
     is_chat: bool,
@@ -17,8 +17,7 @@
     usage: Option<Usage>,
 }
 
-impl Composer {
-    /// Adds the next part.
+impl CompletionAggregator {
     pub(super) fn add(&mut self, part: &CompletionResponse) {
         self.id.clone_from(&part.id);
         self.model.clone_from(&part.model);
@@ -44,12 +43,12 @@
         }
     }
 
-    /// Tokens of the answer, as the engine counted them.
+    /// Token usage reported by the engine, if any part contained it.
     pub(super) fn usage(&self) -> Option<Usage> {
         self.usage
     }
 
-    /// The whole answer.
+    /// Builds the complete response.
     pub(super) fn finish(self) -> CompletionResponse {
         let mut choice = Choice {
             index: 0,
--- a/crates/daemon/src/gateway/dispatch.rs
+++ b/crates/daemon/src/gateway/dispatch.rs
@@ -1,4 +1,5 @@
-//! Attempts after attempts, until one is answered or the request is given up on.
+//! Retry loop state: chooses a back end for each attempt until one succeeds or the request is given
+//! up.
 
 use std::time::Duration;
 
@@ -12,18 +13,18 @@
 
 use super::GatewayContext;
 use super::attempt::FailedAttempt;
-use crate::actors::routing::{AttemptFailed, Choose, ChooseRefusal, ReservedPlacement};
+use crate::actors::routing::{AttemptFailed, ChoosePlacement, PlacementRefusal, ReservedPlacement};
 use crate::actors::{ActorStopped, ask};
 
-/// Said to callers for whom nothing better is known.
+/// Retry-After value when no better estimate is available.
 pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time that a request waits for a view that has run out: a peer or controller is being asked.
-const VIEW_WAIT: Duration = Duration::from_millis(1_500);
-/// Time between two looks at the view.
-const VIEW_LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a request waits for an expired view to be renewed by a peer or controller.
+const VIEW_REFRESH_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval at which a waiting request checks whether the view has been renewed.
+const VIEW_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The state of a request over its attempts.
+/// State of a request across its attempts.
 pub(super) struct Dispatch {
     excluded: Vec<MachineId>,
     avoided_zone: Option<ZoneName>,
@@ -44,7 +45,7 @@
     /// Chooses the next back end.
     ///
     /// # Errors
-    /// The problem to answer with when there is none.
+    /// Returns the problem to send to the caller when no back end can be chosen.
     pub(super) async fn choose(
         &self,
         context: &GatewayContext,
@@ -52,26 +53,27 @@
     ) -> Result<ReservedPlacement, Problem> {
         request.excluded.clone_from(&self.excluded);
         request.avoided_zone.clone_from(&self.avoided_zone);
-        let waits_until = context.now() + VIEW_WAIT;
+        let view_deadline = context.now() + VIEW_REFRESH_TIMEOUT;
         loop {
-            let chosen = ask(&context.routing, Choose(request.clone()))
+            let chosen = ask(&context.routing, ChoosePlacement(request.clone()))
                 .await
-                .map_err(stopped)?;
+                .map_err(actor_stopped_problem)?;
             match chosen {
                 Ok(placement) => return Ok(placement),
-                Err(ChooseRefusal::ViewExpired) if context.now() < waits_until => {
-                    tokio::time::sleep(VIEW_LOOK_INTERVAL).await;
+                Err(PlacementRefusal::ViewExpired) if context.now() < view_deadline => {
+                    tokio::time::sleep(VIEW_POLL_INTERVAL).await;
                 }
-                Err(refusal) => return Err(self.no_back_end(&refusal)),
+                Err(refusal) => return Err(self.placement_problem(&refusal)),
             }
         }
     }
 
-    /// Decides what follows a failed attempt: returns after the wait if it is to be repeated.
+    /// Decides whether to retry after a failed attempt. Returns after the retry delay if it may be
+    /// retried.
     ///
     /// # Errors
-    /// The problem to answer with when the request is given up on.
-    pub(super) async fn failed(
+    /// Returns the problem to send to the caller when the request is given up.
+    pub(super) async fn handle_failure(
         &mut self,
         context: &GatewayContext,
         attempt: FailedAttempt,
@@ -95,7 +97,9 @@
             outcome: attempt.outcome,
             facts,
         };
-        let decision = ask(&context.routing, question).await.map_err(stopped)?;
+        let decision = ask(&context.routing, question)
+            .await
+            .map_err(actor_stopped_problem)?;
         match decision {
             RetryDecision::Retry {
                 after,
@@ -110,31 +114,31 @@
                 Ok(())
             }
             RetryDecision::GiveUp { reason, execution } => {
-                Err(given_up(reason, execution, failure, &attempt.detail))
+                Err(give_up_problem(reason, execution, failure, &attempt.detail))
             }
         }
     }
 
-    fn no_back_end(&self, refusal: &ChooseRefusal) -> Problem {
+    fn placement_problem(&self, refusal: &PlacementRefusal) -> Problem {
         let (kind, retry_after) = match refusal {
-            ChooseRefusal::ViewExpired => (ProblemKind::Unavailable, DEFAULT_RETRY_AFTER),
-            ChooseRefusal::Routing(RoutingRefusal::DeadlinePassed) => {
+            PlacementRefusal::ViewExpired => (ProblemKind::Unavailable, DEFAULT_RETRY_AFTER),
+            PlacementRefusal::Routing(RoutingRefusal::DeadlinePassed) => {
                 (ProblemKind::DeadlineExceeded, DEFAULT_RETRY_AFTER)
             }
-            ChooseRefusal::Routing(RoutingRefusal::AllSetAside { retry_after }) => {
+            PlacementRefusal::Routing(RoutingRefusal::AllSetAside { retry_after }) => {
                 (ProblemKind::NoBackEnd, *retry_after)
             }
-            ChooseRefusal::Routing(_) => (ProblemKind::NoBackEnd, DEFAULT_RETRY_AFTER),
+            PlacementRefusal::Routing(_) => (ProblemKind::NoBackEnd, DEFAULT_RETRY_AFTER),
         };
         let detail = match &self.last_detail {
-            Some(earlier) => format!("{refusal} (the attempt before: {earlier})"),
+            Some(earlier) => format!("{refusal} (previous attempt: {earlier})"),
             None => refusal.to_string(),
         };
         Problem::new(kind, detail, self.record.combined()).retry_after(retry_after)
     }
 }
 
-fn given_up(
+fn give_up_problem(
     reason: GiveUpReason,
     execution: Execution,
     failure: AttemptFailure,
@@ -154,13 +158,13 @@
     .retry_after(DEFAULT_RETRY_AFTER)
 }
 
-pub(super) fn stopped(stopped: ActorStopped) -> Problem {
-    Problem::not_started(ProblemKind::Unavailable, stopped.to_string())
+pub(super) fn actor_stopped_problem(error: ActorStopped) -> Problem {
+    Problem::not_started(ProblemKind::Unavailable, error.to_string())
         .retry_after(DEFAULT_RETRY_AFTER)
 }
 
-/// The problem of an answer that broke off after its first part.
-pub(super) fn broken_answer(error: &ponddrift_core::answer::AnswerError) -> Problem {
+/// Creates the problem for an answer that failed after its first part.
+pub(super) fn broken_answer_problem(error: &ponddrift_core::answer::AnswerError) -> Problem {
     let kind = match error.fault {
         AnswerFault::DeadlinePassed => ProblemKind::DeadlineExceeded,
         _ => ProblemKind::BackEndFailed,
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the assembly of one streamed answer: feeds events in, carries actions out.
+//! Runs the assembler of one streamed answer: passes it connection events and executes its actions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,16 +8,16 @@
 
 use super::events::{AnswerPart, EngineConnection};
 
-/// What the next step of an answer brought.
+/// Result of one step.
 #[derive(Debug)]
 pub(super) enum Step {
-    /// A part for the caller.
+    /// A part to forward to the caller.
     Part(AnswerPart),
-    /// The answer is whole.
-    Whole,
+    /// The answer is complete.
+    Complete,
 }
 
-/// Assembles one answer from an engine's connections.
+/// Assembles one answer from an engine's connections, resuming it on a new connection if needed.
 pub(super) struct AnswerDriver {
     clock: Arc<dyn Clock>,
     assembler: AnswerAssembler,
@@ -26,7 +26,7 @@
 }
 
 impl AnswerDriver {
-    /// Starts with an open connection and the event of its head.
+    /// Creates a driver for an open connection and the event for its response head.
     pub(super) fn new(
         clock: Arc<dyn Clock>,
         assembler: AnswerAssembler,
@@ -43,15 +43,16 @@
         driver
     }
 
-    /// The next part, or the end of the answer.
+    /// Waits for the next part or the end of the answer.
     ///
     /// # Errors
-    /// [`AnswerError`] when the answer cannot be made whole. Nothing comes after it.
+    /// [`AnswerError`] when the answer cannot be completed. Do not call `step` again after an
+    /// error.
     pub(super) async fn step(&mut self) -> Result<Step, AnswerError> {
         loop {
             match self.actions.pop_front() {
                 Some(AnswerAction::Forward(part)) => return Ok(Step::Part(part)),
-                Some(AnswerAction::Complete) => return Ok(Step::Whole),
+                Some(AnswerAction::Complete) => return Ok(Step::Complete),
                 Some(AnswerAction::Fail(error)) => return Err(error),
                 Some(AnswerAction::Disconnect) => self.connection.disconnect(),
                 Some(AnswerAction::Resume {
@@ -64,7 +65,7 @@
                     self.feed(event);
                 }
                 None => {
-                    let event = self.wait().await;
+                    let event = self.next_event().await;
                     self.feed(event);
                 }
             }
@@ -84,7 +85,7 @@
         }
     }
 
-    async fn wait(&mut self) -> AnswerEvent<AnswerPart> {
+    async fn next_event(&mut self) -> AnswerEvent<AnswerPart> {
         let tick = self.time_to_tick();
         tokio::select! {
             biased;
--- a/crates/daemon/src/gateway/events.rs
+++ b/crates/daemon/src/gateway/events.rs
@@ -1,4 +1,4 @@
-//! Connections to an engine that carry one streamed answer: opening, reading, resuming.
+//! Connections to an engine that carry one streamed answer.
 
 use std::net::SocketAddr;
 
@@ -14,18 +14,18 @@
 use ponddrift_engine::wire::completions::{CompletionRequest, CompletionResponse, DONE};
 use ponddrift_engine::wire::headers::REQUEST_ID;
 
-/// One event of an answer, parsed, with the engine's own text.
+/// One event of an answer, with the JSON text and its parsed form.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct AnswerPart {
-    /// Its number.
+    /// Event number, used to resume the stream.
     pub(super) id: u64,
-    /// Its JSON as the engine wrote it.
+    /// The JSON text exactly as the engine sent it.
     pub(super) data: String,
-    /// The JSON, parsed.
+    /// The parsed JSON.
     pub(super) parsed: CompletionResponse,
 }
 
-/// The connection that carries the answer at the moment.
+/// The connection that currently carries the answer.
 pub(super) struct EngineConnection {
     client: CompletionsClient,
     engine: SocketAddr,
@@ -35,10 +35,11 @@
 }
 
 impl EngineConnection {
-    /// Sends a request. The engine answers once it has the first token.
+    /// Sends a request and waits for the response head, which the engine sends with the first
+    /// token.
     ///
     /// # Errors
-    /// [`CallError`] when the engine did not accept it.
+    /// [`CallError`] when the request could not be sent or the engine did not accept it.
     pub(super) async fn open(
         client: &CompletionsClient,
         engine: SocketAddr,
@@ -62,12 +63,12 @@
         self.number
     }
 
-    /// Drops the connection; nothing more comes from it.
+    /// Closes the connection. No further events come from it.
     pub(super) fn disconnect(&mut self) {
         self.stream = None;
     }
 
-    /// Opens connection `number` for the events after `after`.
+    /// Opens connection number `number` to receive the events that follow event `after`.
     pub(super) async fn resume(
         &mut self,
         number: ConnectionNumber,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Waits for the next event. Without a connection it waits forever.
+    /// Waits for the next event. Never returns while there is no connection.
     pub(super) async fn next(&mut self) -> AnswerEvent<AnswerPart> {
         let Some(stream) = &mut self.stream else {
             return std::future::pending().await;
--- a/crates/daemon/src/gateway/permit.rs
+++ b/crates/daemon/src/gateway/permit.rs
@@ -1,4 +1,4 @@
-//! Asking admission to start, and reporting the end exactly once.
+//! Permits from admission control. The end of each request is reported exactly once.
 
 use std::time::Duration;
 
@@ -12,12 +12,13 @@
 use tokio::sync::oneshot;
 use xtra::Address;
 
-use super::dispatch::stopped;
-use crate::actors::admission::{AdmissionActor, Arrive, Leave, NotifyAdmission};
+use super::dispatch::actor_stopped_problem;
+use crate::actors::admission::{AdmissionActor, EndAdmission, NotifyAdmission, RequestAdmission};
 use crate::actors::{ActorStopped, tell};
 use crate::requests::RegisterEntry;
 
-/// A request's place in admission; dropped, it gives the place back.
+/// A request's slot in admission. Dropping it releases the slot, or leaves the queue if the request
+/// was not started.
 pub(super) struct Permit {
     admission: Address<AdmissionActor>,
     clock: Arc<dyn Clock>,
@@ -31,10 +32,10 @@
 }
 
 impl Permit {
-    /// Waits until the request may start.
+    /// Waits until admission control lets the request start.
     ///
     /// # Errors
-    /// The refusal's problem, at once when it is decided.
+    /// Returns the problem for the refusal as soon as admission decides it.
     pub(super) async fn obtain(
         admission: &Address<AdmissionActor>,
         clock: &Arc<dyn Clock>,
@@ -54,40 +55,42 @@
             entry,
         };
         let (reply, answer) = oneshot::channel();
-        let arrive = Arrive {
+        let arrive = RequestAdmission {
             request,
             work,
             reply,
         };
         tell(admission, arrive);
-        let answer = answer.await.map_err(|_dropped| stopped(ActorStopped))?;
+        let answer = answer
+            .await
+            .map_err(|_dropped| actor_stopped_problem(ActorStopped))?;
         answer.map_err(|refusal| refusal_problem(&refusal))?;
         permit.started_at = Some(clock.now());
         permit.entry.admitted();
         Ok(permit)
     }
 
-    /// Notes where the request is sent, for operators.
-    pub(super) fn placed(&self, plan: PlacementPlan) {
+    /// Records where the request is sent, shown to operators.
+    pub(super) fn record_placement(&self, plan: PlacementPlan) {
         self.entry.placed(plan);
     }
 
-    /// Reports how long the request waited at its back end before it was worked on.
-    pub(super) fn waited(&self, queue_wait: Duration) {
+    /// Reports to admission how long the request queued at its back end.
+    pub(super) fn report_queue_wait(&self, queue_wait: Duration) {
         tell(
             &self.admission,
             NotifyAdmission(AdmissionEvent::Waited { queue_wait }),
         );
     }
 
-    /// Time since the request was started.
+    /// Time since admission started the request; zero if it has not started.
     pub(super) fn running_for(&self) -> Duration {
         self.started_at
             .map_or(Duration::ZERO, |started| self.clock.now().since(started))
     }
 
-    /// Notes a whole answer of so many tokens, prompt and output.
-    pub(super) fn succeeded(&mut self, used_tokens: u32) {
+    /// Records a complete answer with its prompt and output tokens.
+    pub(super) fn record_success(&mut self, used_tokens: u32) {
         self.used_tokens = used_tokens;
         self.elapsed = Some(self.running_for());
     }
@@ -95,7 +98,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let leave = Leave {
+        let leave = EndAdmission {
             id: self.id,
             service: self.service.clone(),
             was_started: self.started_at.is_some(),
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Placements as operators read them: what was chosen, and why.
+//! Records placements in the decision log, in a form readable by operators.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use super::GatewayContext;
 use super::permit::Permit;
 
-/// Notes that a request is sent where `placement` says.
+/// Records the placement of a request and the reason for it.
 pub(super) fn record(
     context: &GatewayContext,
     permit: &Permit,
     request: RequestId,
     placement: &Placement,
 ) {
-    permit.placed(placement.plan);
+    permit.record_placement(placement.plan);
     context.decisions.record(
         DecisionKind::Placement,
         request,
@@ -37,7 +37,7 @@
 
 fn reason_text(reason: &PlacementReason) -> String {
     let mut text = format!(
-        "first token expected in {} ms and the whole answer in {} ms; {} weighed of {} eligible",
+        "first token expected in {} ms and the whole answer in {} ms; {} of {} eligible back ends compared",
         reason.expected_first_token.as_millis(),
         reason.expected_total.as_millis(),
         reason.weighed.len(),
@@ -64,7 +64,7 @@
         None => write!(text, ", load not known"),
     };
     if candidate.probe {
-        text.push_str(", a probe after it was set aside");
+        text.push_str(", probed after an exclusion");
     }
     text
 }
--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: HTTP passed on to a pool of back ends.
+//! Handles requests of plain services, which are proxied to a pool of back ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::caller::{Caller, bad_request, find_service};
-use super::claim::{Claim, Claimed};
-use super::completions::{name_back_end, priority_level, read_problem, tenant_weight};
-use super::dispatch::{Dispatch, broken_answer};
+use super::claim::{Claim, ClaimResult};
+use super::completions::{body_read_problem, priority_level, set_back_end_header, tenant_weight};
+use super::dispatch::{Dispatch, broken_answer_problem};
 use super::permit::Permit;
 use super::placement;
 use super::plain_attempt::{self, BodyReader, StartedBody};
@@ -28,16 +28,17 @@
 use crate::actors::routing::RequestSucceeded;
 use crate::actors::tell;
 
-/// Answers up to this size are checked to be whole before their first byte goes out, in bytes.
-const CHECKED_FIRST: u64 = 256 * 1024;
-/// Pieces of a larger answer held for a caller that reads slowly.
-const BUFFERED_PIECES: usize = 16;
+/// Answers with a `Content-Length` up to this size are read and checked completely before the first
+/// byte is sent to the caller. Larger ones are relayed as they arrive.
+const BUFFERED_ANSWER_LIMIT_BYTES: u64 = 256 * 1024;
+/// Chunks of a relayed answer that are buffered for a slow caller.
+const RELAY_BUFFER_CHUNKS: usize = 16;
 
-/// One request of a plain service, understood.
+/// A parsed request to a plain service.
 pub(super) struct PlainJob {
     pub(super) request_id: RequestId,
     pub(super) caller: Caller,
-    /// The tenant's weight against others.
+    /// Fair-share weight of the tenant.
     pub(super) weight: u32,
     pub(super) name: ServiceName,
     pub(super) service: ServiceSettings,
@@ -55,7 +56,7 @@
     request: Request<Incoming>,
     request_id: RequestId,
 ) -> Result<Response<Body>, Problem> {
-    let job = understand(context, request, request_id).await?;
+    let job = prepare_job(context, request, request_id).await?;
     let clock = &context.runtime.clock;
     let request = admission_request(&job);
     let entry = context.requests.enter(&request, 0, context.now());
@@ -68,15 +69,15 @@
     )
     .await?;
     let mut claim = match claim_key(context, &job).await? {
-        Some(Claimed::Answered(answer)) => return Ok(answer),
-        Some(Claimed::Won(claim)) => Some(*claim),
+        Some(ClaimResult::Answered(answer)) => return Ok(answer),
+        Some(ClaimResult::Won(claim)) => Some(*claim),
         None => None,
     };
     let mut dispatch = Dispatch::new();
     let started = loop {
         let chosen = match dispatch.choose(context, route_request(context, &job)).await {
             Ok(chosen) => chosen,
-            Err(problem) => return Err(released(claim, problem)),
+            Err(problem) => return Err(release_claim(claim, problem)),
         };
         placement::record(context, &permit, request_id, &chosen.placement);
         let failure = match plain_attempt::run(context, &job, chosen, claim.as_mut()).await {
@@ -90,35 +91,35 @@
         }
         let repeatable = job.service.repeatable;
         if let Err(problem) = dispatch
-            .failed(context, failure, repeatable, job.deadline)
+            .handle_failure(context, failure, repeatable, job.deadline)
             .await
         {
-            return Err(released(claim, problem));
+            return Err(release_claim(claim, problem));
         }
     };
     respond(context, started, permit, claim).await
 }
 
-/// Claims the key of a request that may run at most once.
+/// Claims the idempotency key if the service is not repeatable.
 async fn claim_key(
     context: &Arc<GatewayContext>,
     job: &PlainJob,
-) -> Result<Option<Claimed>, Problem> {
+) -> Result<Option<ClaimResult>, Problem> {
     if job.service.repeatable {
         return Ok(None);
     }
     Claim::obtain(context, &job.caller, &job.name, job.request_id, &job.body).await
 }
 
-/// Gives the key back, where no dispatch can have run.
-fn released(claim: Option<Claim>, problem: Problem) -> Problem {
+/// Releases the claim, unless a dispatch may have run, and returns the problem.
+fn release_claim(claim: Option<Claim>, problem: Problem) -> Problem {
     if let Some(mut claim) = claim {
         claim.release();
     }
     problem
 }
 
-async fn understand(
+async fn prepare_job(
     context: &GatewayContext,
     request: Request<Incoming>,
     request_id: RequestId,
@@ -132,7 +133,7 @@
     let limits = &context.settings.gateway;
     let body = body::read_all(incoming, limits.body_size_limit, limits.body_time_limit)
         .await
-        .map_err(read_problem)?;
+        .map_err(body_read_problem)?;
     Ok(PlainJob {
         request_id,
         weight: tenant_weight(&configuration, &caller),
@@ -153,7 +154,7 @@
     let whole = uri.path_and_query().map_or("", |path| path.as_str());
     let rest = whole.strip_prefix(SERVICES_PREFIX).unwrap_or_default();
     let split = rest.find('/').ok_or_else(|| {
-        bad_request("write the path at the back end too: /services/<name>/<path>")
+        bad_request("the path at the back end is missing: use /services/<name>/<path>")
     })?;
     Ok(rest.split_at(split))
 }
@@ -212,25 +213,25 @@
         back_end,
     } = started;
     let length = content_length(&head.headers);
-    let content = if length.is_some_and(|length| length <= CHECKED_FIRST) {
-        let whole = read_checked(context, reader, guard, permit).await?;
+    let content = if length.is_some_and(|length| length <= BUFFERED_ANSWER_LIMIT_BYTES) {
+        let whole = read_whole_body(context, reader, guard, permit).await?;
         if let Some(claim) = claim {
-            claim.completed(Some(&kept(&head, &whole)));
+            claim.completed(Some(&stored_answer(&head, &whole)));
         }
         body::full(whole)
     } else {
         if let Some(claim) = claim {
-            // It ran, whatever becomes of its answer on the way to the caller.
+            // The request has run, even if its answer does not reach the caller.
             claim.completed(None);
         }
-        read_onwards(context, reader, guard, permit)
+        relay_body(context, reader, guard, permit)
     };
-    let mut answer = Response::from_parts(passed_on(head), content);
-    name_back_end(&mut answer, back_end);
+    let mut answer = Response::from_parts(without_connection_headers(head), content);
+    set_back_end_header(&mut answer, back_end);
     Ok(answer)
 }
 
-fn kept(head: &http::response::Parts, whole: &Bytes) -> ClaimAnswer {
+fn stored_answer(head: &http::response::Parts, whole: &Bytes) -> ClaimAnswer {
     let content_type = head.headers.get(header::CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     ClaimAnswer {
@@ -249,8 +250,8 @@
         .ok()
 }
 
-/// The head without what belongs to the connection to the back end (RFC 9110, section 7.6.1).
-fn passed_on(mut head: http::response::Parts) -> http::response::Parts {
+/// Removes the headers that only concern the connection to the back end (RFC 9110, section 7.6.1).
+fn without_connection_headers(mut head: http::response::Parts) -> http::response::Parts {
     head.version = http::Version::HTTP_11;
     for name in [
         header::CONNECTION,
@@ -262,7 +263,7 @@
     head
 }
 
-async fn read_checked(
+async fn read_whole_body(
     context: &GatewayContext,
     mut reader: BodyReader,
     guard: SendGuard,
@@ -275,16 +276,16 @@
             Ok(None) => break,
             Err(error) => {
                 guard.end(SendOutcome::Failed);
-                return Err(broken_answer(&error));
+                return Err(broken_answer_problem(&error));
             }
         }
     }
-    succeed(context, guard, permit);
+    report_success(context, guard, permit);
     Ok(whole.freeze())
 }
 
-fn succeed(context: &GatewayContext, guard: SendGuard, mut permit: Permit) {
-    permit.succeeded(0);
+fn report_success(context: &GatewayContext, guard: SendGuard, mut permit: Permit) {
+    permit.record_success(0);
     guard.first_token();
     guard.end(SendOutcome::Succeeded {
         output_tokens: 0,
@@ -293,14 +294,15 @@
     tell(&context.routing, RequestSucceeded);
 }
 
-/// Passes a large body on as it comes. One that breaks off cuts the caller's connection: HTTP shows it.
-fn read_onwards(
+/// Relays a large body as it arrives. If the body breaks off, the connection to the caller is
+/// closed, which HTTP reports as an incomplete answer.
+fn relay_body(
     context: &Arc<GatewayContext>,
     mut reader: BodyReader,
     guard: SendGuard,
     permit: Permit,
 ) -> Body {
-    let (sender, receiver) = mpsc::channel(BUFFERED_PIECES);
+    let (sender, receiver) = mpsc::channel(RELAY_BUFFER_CHUNKS);
     let relay_context = Arc::clone(context);
     context.runtime.spawner.spawn(Box::pin(async move {
         let limit = relay_context.settings.gateway.stalled_reader_limit;
@@ -311,10 +313,10 @@
                         return;
                     }
                 }
-                Ok(None) => return succeed(&relay_context, guard, permit),
+                Ok(None) => return report_success(&relay_context, guard, permit),
                 Err(error) => {
                     guard.end(SendOutcome::Failed);
-                    // The caller may be gone already.
+                    // The caller may already have disconnected.
                     let _sent = sender.send_timeout(Err(error.into()), limit).await;
                     return;
                 }
--- a/crates/daemon/src/gateway/plain_attempt.rs
+++ b/crates/daemon/src/gateway/plain_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a plain service: the request goes out, the answer's beginning comes back.
+//! One attempt at a plain service: sends the request and waits for the response head.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,13 +20,15 @@
 use ponddrift_http::{Body, body};
 
 use super::GatewayContext;
-use super::attempt::{FailedAttempt, begin_dispatch, check_view, fail, machine, within};
+use super::attempt::{
+    FailedAttempt, begin_dispatch, check_view, end_failed_send, find_machine, with_timeout,
+};
 use super::claim::Claim;
 use super::plain::PlainJob;
 use super::send_guard::SendGuard;
 use crate::actors::routing::ReservedPlacement;
 
-/// An answer whose head has come and is the right one.
+/// An answer whose head has arrived and belongs to this request.
 pub(super) struct StartedBody {
     pub(super) head: http::response::Parts,
     pub(super) reader: BodyReader,
@@ -34,7 +36,7 @@
     pub(super) back_end: SocketAddr,
 }
 
-/// Reads a body and checks that it is whole.
+/// Reads a body and checks that it is complete.
 pub(super) struct BodyReader {
     context: Arc<GatewayContext>,
     assembler: AnswerAssembler,
@@ -42,16 +44,16 @@
 }
 
 impl BodyReader {
-    /// The next bytes, or `None` at the whole answer's end.
+    /// Returns the next bytes, or `None` at the end of a complete answer.
     ///
     /// # Errors
-    /// [`AnswerError`] when the answer is not whole.
+    /// [`AnswerError`] when the answer is incomplete.
     pub(super) async fn next(&mut self) -> Result<Option<Bytes>, AnswerError> {
         loop {
             let due = self.assembler.next_tick().unwrap_or_default();
             let event = tokio::select! {
                 biased;
-                piece = self.stream.next() => bytes_event(piece),
+                chunk = self.stream.next() => bytes_event(chunk),
                 () = tokio::time::sleep(due.since(self.context.now())) => AnswerEvent::Tick,
             };
             for action in self.feed(event) {
@@ -71,8 +73,8 @@
     }
 }
 
-fn bytes_event(piece: Option<Result<Bytes, hyper::Error>>) -> AnswerEvent<Bytes> {
-    match piece {
+fn bytes_event(chunk: Option<Result<Bytes, hyper::Error>>) -> AnswerEvent<Bytes> {
+    match chunk {
         Some(Ok(bytes)) => {
             let length = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
             AnswerEvent::Bytes {
@@ -85,14 +87,15 @@
     }
 }
 
-/// Runs one attempt until the answer's head.
+/// Runs one attempt up to the response head.
 pub(super) async fn run(
     context: &Arc<GatewayContext>,
     job: &PlainJob,
     chosen: ReservedPlacement,
     claim: Option<&mut Claim>,
 ) -> Result<StartedBody, FailedAttempt> {
-    // Held until the send is known to routing.
+    // Held until routing knows of the send, so that no drain of the back end is acknowledged in
+    // between.
     let ReservedPlacement {
         placement,
         reservation: _reservation,
@@ -101,7 +104,7 @@
         PlacementPlan::Single { back_end } => back_end,
         PlacementPlan::Handover { decode, .. } => decode,
     };
-    let machine = machine(context, back_end)?;
+    let machine = find_machine(context, back_end)?;
     check_view(context, &machine).await?;
     begin_dispatch(claim, &machine)?;
     let sent = Sent {
@@ -114,13 +117,13 @@
     };
     let guard = SendGuard::begin(context, sent, None);
     let exchange = async {
-        let request = outgoing(job, machine.address, context)?;
+        let request = build_request(job, machine.address, context)?;
         let response = context.client.send(request).await?;
-        refused_as_not_run(response).await
+        reject_if_not_run(response).await
     };
-    let response = match within(job.deadline.since(context.now()), exchange).await {
+    let response = match with_timeout(job.deadline.since(context.now()), exchange).await {
         Ok(response) => response,
-        Err(error) => return Err(fail(guard, &machine, &error)),
+        Err(error) => return Err(end_failed_send(guard, &machine, &error)),
     };
     match start_reading(context, job, response) {
         Ok((head, reader)) => Ok(StartedBody {
@@ -131,12 +134,12 @@
         }),
         Err(error) => {
             let error = CallError::Protocol(error.to_string());
-            Err(fail(guard, &machine, &error))
+            Err(end_failed_send(guard, &machine, &error))
         }
     }
 }
 
-async fn refused_as_not_run(response: Response<Incoming>) -> Result<Response<Incoming>, CallError> {
+async fn reject_if_not_run(response: Response<Incoming>) -> Result<Response<Incoming>, CallError> {
     if says_not_run(response.headers()) {
         return ponddrift_engine::completions::accepted(response).await;
     }
@@ -181,7 +184,7 @@
     Ok((head, reader))
 }
 
-fn outgoing(
+fn build_request(
     job: &PlainJob,
     back_end: SocketAddr,
     context: &GatewayContext,
--- a/crates/daemon/src/gateway/send_guard.rs
+++ b/crates/daemon/src/gateway/send_guard.rs
@@ -1,4 +1,4 @@
-//! Reports how a send to a back end ended, exactly once, also when the caller goes away.
+//! Reports the outcome of a send to a back end exactly once, even if the caller disconnects.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,34 +10,36 @@
 use crate::actors::routing::Observe;
 use crate::actors::tell;
 
-/// One send in progress. Dropped without [`SendGuard::end`], it cancels the request at the engine.
+/// One send in progress. If it is dropped without [`SendGuard::end`], it reports a neutral outcome
+/// and cancels the request at the engine.
 pub(super) struct SendGuard {
     context: Arc<GatewayContext>,
     request: RequestId,
     back_end: MachineId,
-    cancel_at: Option<SocketAddr>,
+    engine: Option<SocketAddr>,
     ended: bool,
 }
 
 impl SendGuard {
-    /// Reports a send. `cancel_at` is the engine's address, where a request can be cancelled.
+    /// Reports a send to routing. `engine` is the address at which the request can be cancelled;
+    /// `None` where the back end does not support cancellation.
     pub(super) fn begin(
         context: &Arc<GatewayContext>,
         sent: Sent,
-        cancel_at: Option<SocketAddr>,
+        engine: Option<SocketAddr>,
     ) -> Self {
         let guard = Self {
             context: Arc::clone(context),
             request: sent.request,
             back_end: sent.back_end,
-            cancel_at,
+            engine,
             ended: false,
         };
         tell(&context.routing, Observe(RoutingEvent::Sent(sent)));
         guard
     }
 
-    /// Reports the first token.
+    /// Reports that the first token has arrived.
     pub(super) fn first_token(&self) {
         let event = RoutingEvent::FirstToken {
             request: self.request,
@@ -46,7 +48,7 @@
         tell(&self.context.routing, Observe(event));
     }
 
-    /// Reports the end.
+    /// Reports the outcome.
     pub(super) fn end(mut self, outcome: SendOutcome) {
         self.report(outcome);
     }
@@ -72,7 +74,7 @@
             return;
         }
         self.report(SendOutcome::Neutral);
-        let Some(engine) = self.cancel_at else { return };
+        let Some(engine) = self.engine else { return };
         let context = Arc::clone(&self.context);
         let request = self.request;
         self.context.runtime.spawner.spawn(Box::pin(async move {
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a completion: server-sent events as they come, or one whole body.
+//! Sends a completion to the caller, either as server-sent events or as one JSON body.
 
 use std::sync::Arc;
 
@@ -16,27 +16,28 @@
 use super::GatewayContext;
 use super::attempt::StartedAnswer;
 use super::claim::Claim;
-use super::compose::Composer;
-use super::dispatch::broken_answer;
+use super::compose::CompletionAggregator;
+use super::dispatch::broken_answer_problem;
 use super::driver::Step;
 use super::events::AnswerPart;
 use super::permit::Permit;
 use crate::actors::routing::RequestSucceeded;
 use crate::actors::tell;
 
-/// Parts held for a caller that reads slowly; a slower one stops the engine's stream, then is cancelled.
-const BUFFERED_PARTS: usize = 64;
+/// Events buffered for a slow caller. When the buffer is full, reading from the engine pauses;
+/// after the stalled-reader limit the request is cancelled.
+const RELAY_BUFFER_EVENTS: usize = 64;
 
-type Piece = Result<Bytes, BodyError>;
+type Chunk = Result<Bytes, BodyError>;
 
-/// Passes parts on as they come. The answer ends with the end mark, or with an error event.
+/// Relays parts as they arrive. The stream ends with the end marker or an error event.
 pub(super) fn streamed_answer(
     context: &Arc<GatewayContext>,
     started: StartedAnswer,
     permit: Permit,
     claim: Option<Claim>,
 ) -> Response<Body> {
-    let (sender, receiver) = mpsc::channel(BUFFERED_PARTS);
+    let (sender, receiver) = mpsc::channel(RELAY_BUFFER_EVENTS);
     let relay_context = Arc::clone(context);
     context.runtime.spawner.spawn(Box::pin(async move {
         relay(&relay_context, started, sender, permit, claim).await;
@@ -54,7 +55,7 @@
 async fn relay(
     context: &GatewayContext,
     started: StartedAnswer,
-    caller: mpsc::Sender<Piece>,
+    caller: mpsc::Sender<Chunk>,
     mut permit: Permit,
     claim: Option<Claim>,
 ) {
@@ -67,22 +68,23 @@
     let mut usage = first.parsed.usage;
     let mut next = Ok(Step::Part(first));
     loop {
-        let (piece, outcome) = match next {
+        let (chunk, outcome) = match next {
             Ok(Step::Part(part)) => {
                 usage = part.parsed.usage.or(usage);
-                (event(&part), None)
+                (part_event(&part), None)
             }
-            Ok(Step::Whole) => (end_mark(), Some(succeeded(usage))),
+            Ok(Step::Complete) => (end_mark(), Some(success_outcome(usage))),
             Err(error) => (error_event(&error), Some(SendOutcome::Failed)),
         };
-        // A caller that is gone or does not read drops the guard, which cancels at the engine.
-        if !deliver(context, &caller, piece).await {
+        // If the caller has disconnected or does not read, the guard is dropped, which cancels the
+        // request at the engine.
+        if !send_chunk(context, &caller, chunk).await {
             return;
         }
         if let Some(outcome) = outcome {
             guard.end(outcome);
             if matches!(outcome, SendOutcome::Succeeded { .. }) {
-                permit.succeeded(used_tokens(usage));
+                permit.record_success(used_tokens(usage));
                 if let Some(claim) = &claim {
                     claim.completed(None);
                 }
@@ -98,12 +100,12 @@
     }
 }
 
-async fn deliver(context: &GatewayContext, caller: &mpsc::Sender<Piece>, piece: Bytes) -> bool {
+async fn send_chunk(context: &GatewayContext, caller: &mpsc::Sender<Chunk>, chunk: Bytes) -> bool {
     let limit = context.settings.gateway.stalled_reader_limit;
-    caller.send_timeout(Ok(piece), limit).await.is_ok()
+    caller.send_timeout(Ok(chunk), limit).await.is_ok()
 }
 
-fn event(part: &AnswerPart) -> Bytes {
+fn part_event(part: &AnswerPart) -> Bytes {
     Bytes::from(format!("id: {}\ndata: {}\n\n", part.id, part.data))
 }
 
@@ -112,12 +114,12 @@
 }
 
 fn error_event(error: &AnswerError) -> Bytes {
-    let problem = broken_answer(error);
+    let problem = broken_answer_problem(error);
     let document = serde_json::to_string(&problem).unwrap_or_default();
     Bytes::from(format!("event: error\ndata: {document}\n\n"))
 }
 
-fn succeeded(usage: Option<Usage>) -> SendOutcome {
+fn success_outcome(usage: Option<Usage>) -> SendOutcome {
     SendOutcome::Succeeded {
         output_tokens: usage.map_or(0, |usage| usage.completion_tokens),
         cached_tokens: usage.map(|usage| usage.cached_tokens),
@@ -130,11 +132,11 @@
     })
 }
 
-/// Gathers all parts and answers with one body.
+/// Collects all parts and answers with one JSON body.
 ///
 /// # Errors
-/// The problem to answer with when the answer breaks off.
-pub(super) async fn whole_answer(
+/// Returns the problem to send to the caller when the answer breaks off.
+pub(super) async fn aggregated_answer(
     context: &GatewayContext,
     started: StartedAnswer,
     mut permit: Permit,
@@ -146,29 +148,29 @@
         guard,
         ..
     } = started;
-    let mut composer = Composer::default();
-    composer.add(&first.parsed);
+    let mut aggregator = CompletionAggregator::default();
+    aggregator.add(&first.parsed);
     loop {
         match driver.step().await {
-            Ok(Step::Part(part)) => composer.add(&part.parsed),
-            Ok(Step::Whole) => break,
+            Ok(Step::Part(part)) => aggregator.add(&part.parsed),
+            Ok(Step::Complete) => break,
             Err(error) => {
                 guard.end(SendOutcome::Failed);
-                return Err(broken_answer(&error));
+                return Err(broken_answer_problem(&error));
             }
         }
     }
-    guard.end(succeeded(composer.usage()));
-    permit.succeeded(used_tokens(composer.usage()));
+    guard.end(success_outcome(aggregator.usage()));
+    permit.record_success(used_tokens(aggregator.usage()));
     tell(&context.routing, RequestSucceeded);
-    let answer = composer.finish();
+    let answer = aggregator.finish();
     if let Some(claim) = claim {
-        claim.completed(Some(&kept(&answer)));
+        claim.completed(Some(&stored_answer(&answer)));
     }
     Ok(json_response(StatusCode::OK, &answer))
 }
 
-fn kept(answer: &CompletionResponse) -> ClaimAnswer {
+fn stored_answer(answer: &CompletionResponse) -> ClaimAnswer {
     ClaimAnswer {
         status: StatusCode::OK.as_u16(),
         content_type: String::from("application/json"),
