--- a/crates/daemon/src/actors.rs
+++ b/crates/daemon/src/actors.rs
@@ -1,4 +1,5 @@
-//! xtra actors: thin shells around the decision logic of `ponddrift-core`.
+//! Actors (xtra) that connect the I/O-free decision logic of `ponddrift-core` to clocks, sockets
+//! and tasks.
 
 pub(crate) mod admission;
 pub(crate) mod claims;
@@ -13,12 +14,12 @@
 use ponddrift_runtime::Runtime;
 use xtra::{Actor, Address, Handler, Mailbox};
 
-/// The actor has stopped: the daemon is ending.
+/// The actor has stopped because the daemon is shutting down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the daemon is ending; send to another daemon")]
+#[error("the daemon is shutting down; send to another daemon")]
 pub(crate) struct ActorStopped;
 
-/// Starts an actor on the daemon's spawner.
+/// Starts an actor on the runtime's spawner.
 pub(crate) fn start<A>(runtime: &Runtime, actor: A) -> Address<A>
 where
     A: Actor<Stop = ()>,
@@ -28,7 +29,7 @@
     address
 }
 
-/// Asks an actor and waits for its answer.
+/// Sends a message to an actor and waits for the result.
 pub(crate) fn ask<A, M>(
     address: &Address<A>,
     message: M,
@@ -41,14 +42,15 @@
     async move { sending.await.map_err(|_disconnected| ActorStopped) }
 }
 
-/// Tells an actor something without waiting for it. The order of messages to one actor is kept.
+/// Sends a message to an actor without waiting for the result. Messages from one sender to one
+/// actor keep their order.
 ///
-/// Mailboxes are unbounded, so that a single poll puts the message into it.
+/// Mailboxes are unbounded, so a single poll queues the message.
 pub(crate) fn tell<A, M>(address: &Address<A>, message: M)
 where
     A: Actor + Handler<M>,
     M: Send + 'static,
 {
-    // A stopped actor has nothing left to do with the message.
+    // The message is dropped if the actor has stopped.
     let _queued = address.send(message).detach().now_or_never();
 }
--- a/crates/daemon/src/actors/admission.rs
+++ b/crates/daemon/src/actors/admission.rs
@@ -1,4 +1,5 @@
-//! Shell of admission: requests ask to start, and are told so or refused at once.
+//! Actor for admission control: queues requests, starts them, and refuses those that cannot be
+//! served in time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,15 +16,16 @@
 
 use super::tell;
 
-/// Answer to a request that asked to start.
+/// Result of a request for admission.
 pub(crate) type AdmissionAnswer = Result<(), AdmissionRefusal>;
 
-/// Holds admission for one kind of services.
+/// Runs admission control for one kind of service (completions or plain).
 pub(crate) struct AdmissionActor {
     runtime: Runtime,
     admission: Admission,
     service_times: ServiceTimes,
     waiting: IndexMap<RequestId, oneshot::Sender<AdmissionAnswer>>,
+    /// Address of this actor, set when it starts.
     own: Option<WeakAddress<Self>>,
     tick_at: Option<Timestamp>,
 }
@@ -52,12 +54,12 @@
 
     fn reply(&mut self, id: RequestId, answer: AdmissionAnswer) {
         if let Some(waiting) = self.waiting.swap_remove(&id) {
-            // A caller that has gone reports itself as abandoned.
+            // If the caller has disconnected, its permit reports the request as abandoned.
             let _gone = waiting.send(answer);
         }
     }
 
-    /// Has a tick sent when the next waiting request must be given up.
+    /// Schedules a tick for the time at which the next queued request must be given up.
     fn schedule_tick(&mut self) {
         let Some(due) = self.admission.next_tick() else {
             return;
@@ -89,26 +91,26 @@
     async fn stopped(self) {}
 }
 
-/// A request asks to start. Its expected service time is filled in from what was learned.
+/// Requests admission. The expected service time is filled in by the actor from earlier requests.
 pub(crate) struct RequestAdmission {
     pub(crate) request: AdmissionRequest,
-    /// What the request's service time is reckoned from.
+    /// Amount of work, from which the service time is estimated.
     pub(crate) work: WorkUnits,
     pub(crate) reply: oneshot::Sender<AdmissionAnswer>,
 }
 
-/// A started request ended, or its caller left while it waited.
+/// Ends a request: it was started and has finished, or its caller left while it was queued.
 pub(crate) struct EndAdmission {
     pub(crate) id: RequestId,
     pub(crate) service: ServiceName,
     pub(crate) was_started: bool,
     pub(crate) used_tokens: u32,
     pub(crate) work: WorkUnits,
-    /// Time from the start to the whole answer; `None` when it did not end well.
+    /// Time from the start to the complete answer; `None` when the request failed.
     pub(crate) elapsed: Option<Duration>,
 }
 
-/// Anything else that admission is told.
+/// Passes any other event to admission.
 pub(crate) struct NotifyAdmission(pub(crate) AdmissionEvent);
 
 struct TickDue;
@@ -146,8 +148,8 @@
         if !was_started {
             self.feed(AdmissionEvent::Abandoned { id });
         }
-        // One that was started between the two messages ends here too; another is not known any
-        // more.
+        // The request may have been started after the caller left; admission ignores the event if
+        // the request is unknown.
         self.feed(AdmissionEvent::Finished { id, used_tokens });
     }
 }
--- a/crates/daemon/src/actors/claims.rs
+++ b/crates/daemon/src/actors/claims.rs
@@ -1,4 +1,5 @@
-//! Shell of this daemon's part in claim groups: its votes, and the shard map it knows.
+//! Actor for idempotency-key claims: votes as a member of claim groups and keeps the current shard
+//! map.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +11,10 @@
 use ponddrift_runtime::{Clock, watch};
 use xtra::{Context, Handler};
 
-/// Time between two searches for claims that are out of date.
+/// Interval at which expired claims are removed.
 const CLEANUP_PERIOD: Duration = Duration::from_secs(5);
 
-/// Holds the replica and the shard map.
+/// Runs the claim replica of this daemon and publishes the shard map.
 #[derive(xtra::Actor)]
 pub(crate) struct ClaimsActor {
     replica: ClaimReplica,
@@ -38,10 +39,10 @@
     }
 }
 
-/// A message to this member.
+/// A claim message from a coordinator to this replica.
 pub(crate) struct HandleClaim(pub(crate) ClaimMessage);
 
-/// A shard map was read from the store or from a peer.
+/// Replaces the shard map, read from the store or a peer, if the new one has a higher epoch.
 pub(crate) struct ApplyShardMap(pub(crate) ShardMap);
 
 impl Handler<HandleClaim> for ClaimsActor {
@@ -64,7 +65,7 @@
         self.map.send_if_modified(|known| {
             let is_newer = message.0.epoch > known.epoch;
             if is_newer {
-                tracing::info!(epoch = message.0.epoch, "shard map of the claims");
+                tracing::info!(epoch = message.0.epoch, "shard map updated");
                 *known = Arc::new(message.0);
             }
             is_newer
--- a/crates/daemon/src/actors/configuration.rs
+++ b/crates/daemon/src/actors/configuration.rs
@@ -1,4 +1,5 @@
-//! Shell of the configuration in force: whatever the source, it never goes to an older revision.
+//! Actor for the active configuration. It never goes back to an older revision, whatever the
+//! source.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,14 +15,14 @@
 use crate::decisions::DecisionLog;
 use crate::metrics::Metrics;
 
-/// Holds the configuration in force.
+/// Holds the active configuration and the revisions that peers report.
 #[derive(xtra::Actor)]
 pub(crate) struct ConfigurationActor {
     state: ConfigurationState,
     in_force: watch::Sender<Arc<Configuration>>,
     metrics: Arc<Metrics>,
     decisions: DecisionLog,
-    /// The life that each peer's revision was heard of.
+    /// Incarnation to which each peer's reported revision belongs.
     peer_incarnations: BTreeMap<MachineId, Incarnation>,
 }
 
@@ -51,29 +52,29 @@
     }
 }
 
-/// A whole configuration was read from the store.
+/// Applies a complete configuration read from the store.
 pub(crate) struct ApplySnapshot(pub(crate) Configuration);
 
-/// A change was seen in the store.
+/// Applies a change received from the store.
 pub(crate) struct ApplyDelta(pub(crate) Delta);
 
-/// A peer answered a pull.
+/// Applies the answer of a peer to a configuration pull.
 pub(crate) struct ApplyPullAnswer(pub(crate) PullAnswer);
 
-/// A peer asks what it lacks.
+/// Returns the changes after this revision, for a peer that pulls them.
 pub(crate) struct ChangesSince(pub(crate) Revision);
 
-/// A peer has a revision in force.
+/// Records the revision that is active at a peer.
 pub(crate) struct RecordPeerRevision {
     pub(crate) peer: MachineId,
     pub(crate) incarnation: Incarnation,
     pub(crate) revision: Revision,
 }
 
-/// Asks for the revision in force at each peer, as far as it is known.
+/// Returns the last known active revision of each peer.
 pub(crate) struct PeerRevisions;
 
-/// Asks which of `live` are not known to have `revision` in force.
+/// Returns the members of `live` that have not reported `revision` or a later one as active.
 pub(crate) struct PeersWithoutRevision {
     pub(crate) revision: Revision,
     pub(crate) live: Vec<MachineId>,
--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -1,5 +1,5 @@
-//! Shell of a cell's controller: stands for election, and while it holds the lease, reconciles the
-//! cell.
+//! Actor for the controller of one cell: campaigns for the controller lease and, while it holds the
+//! lease, reconciles the engines of the cell.
 
 mod calls;
 mod engines;
@@ -34,12 +34,13 @@
 use crate::settings::Settings;
 use term::ControllerTerm;
 
-/// Daemons that are ranked as candidates of a cell.
+/// Number of daemons that are ranked as controller candidates of each cell.
 pub(crate) const CANDIDATES_PER_CELL: usize = 5;
-/// Smallest number of engines of a cell that may be away at once.
-const MIN_ENGINES_UNAVAILABLE: usize = 1;
+/// Lower bound of the limit on engines of a cell that may be unavailable at the same time, so that
+/// small cells can still be changed.
+const MIN_UNAVAILABLE_LIMIT: usize = 1;
 
-/// What controllers of all cells share.
+/// Dependencies shared by the controllers of all cells.
 #[derive(Clone)]
 pub(crate) struct ControllerLinks {
     pub(crate) runtime: Runtime,
@@ -55,20 +56,23 @@
     pub(crate) decisions: DecisionLog,
 }
 
-/// One cell's controller, or candidate for it.
+/// The controller of one cell, or a candidate for it.
 pub(crate) struct ControllerActor {
     cell: CellName,
     links: ControllerLinks,
     holder: LeaseHolder,
     term: Option<ControllerTerm>,
-    /// End of authority, on this daemon's clock, as the calls under way see it.
+    /// Current authority, read by calls in progress right before they send. Its end is on this
+    /// daemon's clock.
     authority: watch::Sender<Option<Authority>>,
+    /// Address of this actor, set when it starts.
     own: Option<WeakAddress<Self>>,
-    /// The dead controller's token that was hinted at last, and when it may be hinted at again.
+    /// Token of the last controller reported dead, and the time from which the same report is
+    /// handled again.
     last_death_hint: (FencingToken, Timestamp),
 }
 
-/// The token under which calls may be sent until `until`.
+/// Authority to send calls under `token` until `until`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Authority {
     pub(crate) token: FencingToken,
@@ -114,7 +118,7 @@
         self.publish_authority(now);
     }
 
-    /// Calls under way ask this right before they send.
+    /// Publishes the current authority, which calls in progress check right before they send.
     fn publish_authority(&self, now: Timestamp) {
         let order_time = self.links.settings.control.order_time_limit;
         let authority = self
@@ -157,7 +161,7 @@
         let engines = self.cell_engines().len();
         let percent = usize::from(self.links.settings.control.engines_away_percent);
         let orders = OrdersSettings {
-            maximum_away: (engines * percent / 100).max(MIN_ENGINES_UNAVAILABLE),
+            maximum_away: (engines * percent / 100).max(MIN_UNAVAILABLE_LIMIT),
             read_period: self.links.settings.control.reconcile_interval,
             ..OrdersSettings::default()
         };
@@ -178,7 +182,7 @@
     }
 }
 
-/// Engines of a cell.
+/// Returns the engines of a cell.
 pub(crate) fn engines_of(list: &MachineList, cell: &CellName) -> Vec<Machine> {
     let is_in_cell = |machine: &&Machine| matches!(&machine.kind, MachineKind::Engine { cell: its_cell } if its_cell == cell);
     list.machines.iter().filter(is_in_cell).cloned().collect()
@@ -195,40 +199,40 @@
     async fn stopped(self) {}
 }
 
-/// Time passed.
+/// Periodic tick.
 pub(crate) struct ControllerTick;
 
-/// The store answered.
+/// Result of a key-value store call.
 pub(crate) struct StoreAnswered {
     pub(crate) number: CallNumber,
     pub(crate) answer: StoreAnswer,
 }
 
-/// An engine answered, or did not.
+/// Result of an engine call, successful or not.
 pub(crate) struct EngineAnswered {
     pub(crate) token: FencingToken,
     pub(crate) event: OrdersEvent,
 }
 
-/// The load of the cell's engines was read for the planner.
+/// Load of the engines of the cell, read for the role planner.
 pub(crate) struct LoadRead {
     pub(crate) token: FencingToken,
     pub(crate) readings: BTreeMap<MachineId, ponddrift_engine::load::LoadSample>,
 }
 
-/// A peer told the controller something.
+/// Input from a peer daemon.
 pub(crate) struct PeerInput(pub(crate) ControllerInput);
 
-/// This daemon's place among the candidates of the cell.
+/// Sets the rank of this daemon among the controller candidates; `None` when it is not a candidate.
 pub(crate) struct SetRank(pub(crate) Option<u32>);
 
-/// The controller with this token is dead, as far as membership knows.
+/// Membership considers the controller with this token dead.
 pub(crate) struct ControllerDied(pub(crate) FencingToken);
 
-/// The process was frozen.
+/// The process was suspended and has resumed.
 pub(crate) struct ProcessResumed;
 
-/// This daemon stops by plan.
+/// Gives up the lease because this daemon is shutting down.
 pub(crate) struct StepDown;
 
 impl Handler<ControllerTick> for ControllerActor {
@@ -323,5 +327,5 @@
     }
 }
 
-/// Time between two ticks of a controller.
+/// Interval between two controller ticks.
 pub(crate) const CONTROLLER_TICK_PERIOD: Duration = Duration::from_millis(100);
--- a/crates/daemon/src/actors/controller/calls.rs
+++ b/crates/daemon/src/actors/controller/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the key-value service on behalf of the lease holder.
+//! Key-value store calls for the lease holder.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use super::{ControllerActor, StoreAnswered};
 use crate::actors::tell;
 
-/// Value of a controller's key.
+/// Value stored under the controller key of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct ControllerValue {
     machine: MachineId,
--- a/crates/daemon/src/actors/controller/engines.rs
+++ b/crates/daemon/src/actors/controller/engines.rs
@@ -1,4 +1,4 @@
-//! Calls of engines on behalf of the reconciler.
+//! Engine calls for the reconciler.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,8 @@
 use crate::actors::tell;
 
 impl ControllerActor {
-    /// Whether a call may still be sent under `token`: asked when its connection stands.
+    /// Creates a check that calls run once connected, right before sending: the controller must
+    /// still hold authority under `token`.
     fn authority_check(&self, token: FencingToken) -> AuthorityCheck {
         let authority = self.authority.subscribe();
         let clock = Arc::clone(&self.links.runtime.clock);
--- a/crates/daemon/src/actors/controller/planning.rs
+++ b/crates/daemon/src/actors/controller/planning.rs
@@ -1,4 +1,4 @@
-//! Feeding the role planner and taking its plans.
+//! Passes load and demand to the role planner and applies its plans.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use crate::actors::tell;
 use crate::settings::{PlannerSettings, Profile};
 
-/// The planner's settings out of the daemon's.
+/// Builds the planner settings from the daemon's settings.
 pub(super) fn planner_settings(settings: &PlannerSettings) -> CorePlannerSettings {
     let profile = match settings.profile {
         Profile::Hanbit => PlannerProfile::Hanbit,
@@ -35,8 +35,8 @@
 }
 
 impl ControllerTerm {
-    /// Takes readings of the engines' counters: the difference to the last ones is the work of a
-    /// window.
+    /// Takes the counters of the engines. The difference from the previous readings is the work
+    /// done in the window between them.
     pub(super) fn apply_load_readings(
         &mut self,
         now: Timestamp,
@@ -156,7 +156,7 @@
         );
     }
 
-    /// The engines of the cell as the planner takes them.
+    /// Builds the engine states that the planner takes as input.
     fn engine_states(&self, now: Timestamp) -> Vec<EngineState> {
         let Some(term) = &self.term else {
             return Vec::new();
@@ -186,7 +186,7 @@
         states
     }
 
-    /// Reads the counters of all engines of the cell; the answer comes as a message.
+    /// Reads the counters of all engines of the cell; the result arrives as [`LoadRead`].
     fn read_load(&self) {
         let (Some(term), Some(own)) = (&self.term, self.own.clone()) else {
             return;
@@ -230,7 +230,7 @@
     match reason {
         RoleReason::Gain(comparison) => format!(
             "expected share in time {:.3} instead of {:.3}; demand {:.0} prompt and {:.0} output \
-             tokens a second, {:.0} and {:.0} ahead",
+             tokens per second, forecast {:.0} and {:.0}",
             comparison.goodput_changed,
             comparison.goodput_kept,
             comparison.demand.prompt_tokens_now,
@@ -246,7 +246,7 @@
     }
 }
 
-/// Releases what an earlier controller left marked.
+/// Releases drain marks that an earlier controller left behind.
 pub(crate) struct ReleaseStaleMarks;
 
 impl xtra::Handler<ReleaseStaleMarks> for ControllerActor {
--- a/crates/daemon/src/actors/controller/term.rs
+++ b/crates/daemon/src/actors/controller/term.rs
@@ -1,4 +1,5 @@
-//! What a controller holds while it is in office. Nothing of it outlives the token.
+//! State of a controller during one term, that is, under one fencing token. It is discarded when
+//! the authority ends.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +20,7 @@
 use crate::actors::peer::{AllMarks, ControllerAnswer, ControllerInput, ControllerMarks};
 use crate::actors::{ask, tell};
 
-/// A controller's state under one token.
+/// Controller state of one term.
 pub(crate) struct ControllerTerm {
     pub(super) token: FencingToken,
     pub(super) reconciler: Reconciler,
@@ -28,9 +29,9 @@
     pub(super) demand: DemandCounter,
     pub(super) last_plan: Timestamp,
     pub(super) next_plan: Timestamp,
-    /// Role that the planner gave each engine last.
+    /// Role of each engine in the last plan.
     pub(super) roles: BTreeMap<MachineId, EngineRole>,
-    /// Role each engine was last seen in, and since when.
+    /// Role last observed at each engine, and since when.
     pub(super) observed_roles: BTreeMap<MachineId, (EngineRole, Timestamp)>,
     pub(super) readings: BTreeMap<MachineId, LoadSample>,
     pub(super) last_reading: Timestamp,
@@ -180,7 +181,8 @@
         }
     }
 
-    /// Releases engines that an earlier controller left marked and that need no change.
+    /// Releases drain marks of earlier controllers on engines that are in service and need no
+    /// change.
     pub(super) async fn release_stale_marks(&mut self) {
         let Ok(marks) = ask(&self.links.peers, AllMarks).await else {
             return;
--- a/crates/daemon/src/actors/controller/wanted.rs
+++ b/crates/daemon/src/actors/controller/wanted.rs
@@ -1,4 +1,5 @@
-//! What the cell shall be: models by the configuration, roles by the planner and the pins.
+//! Computes the desired state of the cell: models from the configuration, roles from the planner
+//! and operator pins.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 use super::ControllerActor;
 
 impl ControllerActor {
-    /// Tells the reconciler what is wanted, when that changed.
+    /// Sends the desired state to the reconciler if it has changed.
     pub(super) fn update_wanted_state(&mut self, _now: Timestamp) {
         let wanted = self.wanted_state();
         let Some(term) = &mut self.term else {
@@ -27,7 +28,7 @@
         self.orders_event(OrdersEvent::Wanted(wanted));
     }
 
-    /// The engines of the cell with the models they hold, or are about to.
+    /// Returns the live engines of the cell with the model that each holds or is about to load.
     pub(super) fn holding_engines(&self) -> Vec<HoldingEngine> {
         let Some(term) = &self.term else {
             return Vec::new();
@@ -85,13 +86,14 @@
     }
 }
 
-/// The planned role; before the first plan the one the engine plays. An engine that is in no role
-/// and not planned yet has to wait for the plan.
+/// Returns the planned role, or the current role of the engine before the first plan. An engine
+/// without either has no target until the next plan.
 fn target_role(planned: Option<EngineRole>, report: Option<&EngineReport>) -> Option<EngineRole> {
     planned.or_else(|| report.and_then(|report| report.role))
 }
 
-/// The smallest share that the services of each model allow.
+/// Returns the rollout limit of each model: the smallest percentage that any of its services
+/// allows.
 fn rollouts(configuration: &Configuration) -> Vec<RolloutLimit> {
     let mut limits: BTreeMap<ModelName, u8> = BTreeMap::new();
     for service in configuration.services.values() {
--- a/crates/daemon/src/actors/peer.rs
+++ b/crates/daemon/src/actors/peer.rs
@@ -1,4 +1,5 @@
-//! Shell of what daemons tell one another: membership, drain marks, facts and load of engines.
+//! Actor for the communication between daemons: membership, drain marks, engine facts and engine
+//! load.
 
 pub(crate) mod answers;
 mod cells;
@@ -39,30 +40,30 @@
 
 pub(crate) use answers::{AllFacts, AllMarks};
 
-/// Time between two ticks.
+/// Interval between two ticks of the peer actor.
 pub(crate) const PEER_TICK_PERIOD: Duration = Duration::from_millis(100);
-/// Shortest time between two views of the members of which only facts differ.
+/// Minimum interval between two published member views if only member facts changed.
 const FACTS_PUBLISH_PERIOD: Duration = Duration::from_secs(1);
 
-/// A cell's controller, as far as this daemon has heard.
+/// The last known controller of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct KnownController {
     pub(crate) machine: MachineId,
     pub(crate) token: FencingToken,
 }
 
-/// What a controller on this daemon is told by peers.
+/// Input that a controller on this daemon receives from peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ControllerInput {
-    /// A daemon acknowledged a drain.
+    /// A daemon acknowledged a drain mark.
     Acknowledged {
         daemon: MachineId,
         incarnation: ponddrift_core::Incarnation,
         ack: ponddrift_core::drain::DrainAck,
     },
-    /// What arrived at a daemon.
+    /// Demand that a daemon observed.
     Demand(Vec<ponddrift_core::demand::ModelDemand>),
-    /// A daemon asks for a view of the cell.
+    /// A daemon requests the drain marks of the cell.
     ViewRequested {
         daemon: MachineId,
         incarnation: ponddrift_core::Incarnation,
@@ -71,7 +72,7 @@
     },
 }
 
-/// Where the peer actor sends what other parts of the daemon need.
+/// Dependencies of the peer actor.
 pub(crate) struct PeerLinks {
     pub(crate) socket: Arc<dyn DatagramSocket>,
     pub(crate) identity: PeerIdentity,
@@ -84,16 +85,16 @@
     pub(crate) controllers: watch::Sender<BTreeMap<CellName, KnownController>>,
     pub(crate) controller_inputs: mpsc::UnboundedSender<(CellName, ControllerInput)>,
     pub(crate) fleet: FleetReceiver,
-    /// When the last reading of the machine list that succeeded began.
+    /// Start time of the last successful read of the machine list.
     pub(crate) machine_list_confirmed_at: watch::Receiver<Timestamp>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Turns true once routing may begin.
+    /// True while this daemon has caught up with its peers, so that routing may begin.
     pub(crate) caught_up: watch::Sender<bool>,
-    /// Told how long the process was frozen, when it wakes.
+    /// Time at which the process last resumed after being suspended.
     pub(crate) resumed: watch::Sender<Timestamp>,
 }
 
-/// Holds everything that is gossiped.
+/// Holds the state that daemons exchange by gossip.
 pub(crate) struct PeerActor {
     runtime: Runtime,
     links: PeerLinks,
@@ -102,33 +103,35 @@
     views: ViewLeases,
     facts: FactsTable,
     load: LoadTable,
-    /// The last digest that this daemon made of each engine it polled.
+    /// Last load digest that this daemon made for each engine it polled.
     own_digests: BTreeMap<MachineId, LoadDigest>,
     directory: BackEndDirectory,
     cells: cells::CellMap,
-    /// Whether members changed since the cells were last shared out.
+    /// Whether members or machines changed since the cell subscribers were last computed.
     subscriptions_are_stale: bool,
     next_subscription: Timestamp,
-    /// Drains that routing has not come to rest for yet.
+    /// Drain marks that are not acknowledged yet because requests may still be in flight.
     unacknowledged: BTreeMap<MachineId, DrainVersion>,
     outbox: Outbox,
     configuration: Revision,
-    /// When the members' view was last published.
+    /// Time at which the member view was last published.
     published_at: Timestamp,
-    /// Whether facts of members changed since.
+    /// Whether member facts changed since the last published view.
     has_new_facts: bool,
-    /// Whether members changed since.
+    /// Whether members changed since the last published view.
     has_new_members: bool,
     next_gossip: Timestamp,
     next_digest_exchange: Timestamp,
     has_pulled_facts: bool,
     must_catch_up: bool,
     catching_up_since: Option<Timestamp>,
-    /// Answers to what was asked earlier say nothing of the marks that were made meanwhile.
+    /// Pulls sent before this time do not count as catching up: their answers may lack marks made
+    /// while the process was suspended.
     trusted_pulls_since: Timestamp,
-    /// Revision of the machine list whose marks were taken.
+    /// Revision of the machine list whose drain marks were applied.
     applied_list_revision: u64,
     next_catch_up: Timestamp,
+    /// Address of this actor, set when it starts.
     own: Option<xtra::WeakAddress<Self>>,
 }
 
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Carries an action out. Returns whether the view of the members changed.
+    /// Executes a membership action. Returns whether the members changed.
     fn execute_action(&mut self, now: Timestamp, action: MembershipAction) -> bool {
         match action {
             MembershipAction::Send { address, message } => {
@@ -216,7 +219,7 @@
             MembershipAction::Superseded(newer) => {
                 tracing::error!(
                     newer_incarnation = %newer,
-                    "another process runs under this machine's number: stop one of them"
+                    "another process uses this machine id; stop one of them"
                 );
                 false
             }
@@ -227,9 +230,10 @@
         }
     }
 
-    /// Nothing that was known before the freeze is trusted until a peer or controller has answered.
+    /// Handles the resume after a suspension: nothing known from before is trusted until a peer or
+    /// controller has answered.
     fn resumed(&mut self, now: Timestamp, gap: Duration) {
-        tracing::warn!(frozen_ms = gap.as_millis(), "this process was frozen");
+        tracing::warn!(frozen_ms = gap.as_millis(), "this process was suspended");
         self.views.woke_after_freeze(now);
         self.must_catch_up = true;
         self.trusted_pulls_since = now;
@@ -238,9 +242,9 @@
         self.links.resumed.send_replace(now);
     }
 
-    /// Publishes the view when contact changed, or facts did and the last view is old enough: a
-    /// view of 370 daemons is not made at every tick. Changes of members are published at the end
-    /// of each turn.
+    /// Publishes the member view if the contact state changed, or if facts changed and the last
+    /// view is old enough. The rate is limited because building a view copies all members. Member
+    /// changes are published in `flush`.
     fn publish_if_changed(&mut self) {
         let now = self.now();
         let contact = self.membership.contact(now);
@@ -274,7 +278,8 @@
         self.links.members.send_replace(Arc::new(view));
     }
 
-    /// Ends a turn: publishes the members if any changed in it, and sends what was collected.
+    /// Called at the end of each message handler: publishes member changes and sends the queued
+    /// datagrams.
     async fn flush(&mut self) {
         if self.has_new_members {
             self.publish_members();
@@ -296,43 +301,44 @@
     async fn stopped(self) {}
 }
 
-/// Time passed.
+/// Periodic tick.
 pub(crate) struct Tick;
 
-/// This daemon polled engines.
+/// Results of polling engines.
 pub(crate) struct Polled(pub(crate) Vec<EngineObservation>);
 
-/// The machine list was read.
+/// A new machine list has been read.
 pub(crate) struct MachineListUpdated;
 
-/// Another configuration is in force here.
+/// This daemon has activated another configuration revision.
 pub(crate) struct ConfigurationAdopted(pub(crate) Revision);
 
-/// This daemon is ready, or leaving.
+/// Changes the readiness that this daemon announces.
 pub(crate) struct SetReadiness(pub(crate) Readiness);
 
-/// This daemon stops by plan.
+/// Announces that this daemon leaves because of a graceful shutdown.
 pub(crate) struct LeaveMembership;
 
-/// The controller on this daemon marked back ends.
+/// Drain marks set by a controller on this daemon.
 pub(crate) struct ControllerMarks(pub(crate) Vec<DrainMark>);
 
-/// The controller on this daemon answers a view request, or has just taken over a cell.
+/// Sends a part from a controller on this daemon to a peer, for example the answer to a view
+/// request.
 pub(crate) struct ControllerAnswer {
     pub(crate) target: std::net::SocketAddr,
     pub(crate) part: Part,
 }
 
-/// A controller is known for a cell.
+/// Reports the controller of a cell.
 pub(crate) struct ControllerKnown {
     pub(crate) cell: CellName,
     pub(crate) controller: KnownController,
 }
 
-/// What arrived at this daemon, by model.
+/// Demand observed by this daemon, by model.
 pub(crate) struct ReportDemand(pub(crate) BTreeMap<ModelName, Vec<LevelDemand>>);
 
-/// Asks peers that are not known to have a revision in force.
+/// Asks these peers for their active configuration revision.
 pub(crate) struct RequestPeerRevisions(pub(crate) Vec<MachineId>);
 
 impl Handler<Tick> for PeerActor {
--- a/crates/daemon/src/actors/peer/answers.rs
+++ b/crates/daemon/src/actors/peer/answers.rs
@@ -1,4 +1,4 @@
-//! What other parts of the daemon ask the peer actor.
+//! Queries that other modules of the daemon send to the peer actor.
 
 use ponddrift_core::drain::DrainMark;
 use ponddrift_core::engine_facts::EngineFacts;
@@ -7,13 +7,13 @@
 
 use super::PeerActor;
 
-/// Asks for all drain marks.
+/// Returns all drain marks.
 pub(crate) struct AllMarks;
 
-/// Asks for the facts of all engines.
+/// Returns the facts of all engines.
 pub(crate) struct AllFacts;
 
-/// Asks for the newest load digests.
+/// Returns the newest load digests.
 pub(crate) struct AllLoad;
 
 impl Handler<AllMarks> for PeerActor {
--- a/crates/daemon/src/actors/peer/cells.rs
+++ b/crates/daemon/src/actors/peer/cells.rs
@@ -1,4 +1,5 @@
-//! Which daemons share the load of which cells: those of a cell's zones, and a few others.
+//! Subscriptions to the engine load of cells: the daemons in the zones of a cell and a few remote
+//! ones subscribe to it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,19 +13,19 @@
 
 use super::PeerActor;
 
-/// Daemons of other zones that share a cell's load.
+/// Number of daemons in other zones that subscribe to the load of a cell.
 const REMOTE_SUBSCRIBERS: usize = 8;
-/// Shortest time between two rounds of working out who shares what.
+/// Minimum interval between two computations of the subscriptions.
 const SUBSCRIPTION_PERIOD: Duration = Duration::from_secs(1);
-/// Digests in one part; each takes 28 bytes.
+/// Maximum number of load digests in one part; an encoded digest takes 28 bytes.
 const DIGESTS_PER_PART: usize = 40;
 
-/// The cells of the machine list.
+/// Cells and engines of the machine list.
 #[derive(Debug, Default)]
 pub(super) struct CellMap {
     zones: BTreeMap<CellName, Vec<ZoneName>>,
     cell_of: BTreeMap<MachineId, CellName>,
-    /// Addresses of the other daemons that share a cell's load.
+    /// Addresses of the other daemons that subscribe to the load of a cell.
     subscribers: BTreeMap<CellName, Vec<SocketAddr>>,
 }
 
@@ -58,7 +59,7 @@
 }
 
 impl PeerActor {
-    /// Works out anew who shares the load of which cell, after members or machines changed.
+    /// Recomputes the subscribers of each cell, after members or machines changed.
     pub(super) fn update_subscriptions(&mut self) {
         let now = self.now();
         self.subscriptions_are_stale = false;
@@ -87,9 +88,8 @@
         self.cells.subscribers = subscribers_by_cell;
     }
 
-    /// Sends what this daemon has just polled to everybody who shares the load of the engine's
-    /// cell. Sent once by the poller a digest costs each receiver once; passed on by gossip it came
-    /// three times.
+    /// Sends newly polled load digests to all subscribers of the cell of each engine. They are sent
+    /// directly rather than by gossip, so that each subscriber receives a digest only once.
     pub(super) fn send_digests_to_subscribers(&mut self, digests: Vec<AgedDigest>) {
         let mut by_cell: BTreeMap<CellName, Vec<AgedDigest>> = BTreeMap::new();
         for digest in digests {
--- a/crates/daemon/src/actors/peer/demand.rs
+++ b/crates/daemon/src/actors/peer/demand.rs
@@ -1,4 +1,4 @@
-//! Telling the controllers what arrived at this daemon.
+//! Reports the demand observed by this daemon to the controllers of the cells.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 
 use super::PeerActor;
 
-/// Engines of each cell that hold a model.
+/// Number of engines, by cell.
 type EngineCounts = BTreeMap<CellName, usize>;
 
 impl PeerActor {
-    /// Splits the demand over the cells by their engines, and tells each cell's controller its
-    /// part.
+    /// Splits the demand among the cells in proportion to their engines and sends each controller
+    /// its share.
     pub(super) fn report_demand(&mut self, demand: &BTreeMap<ModelName, Vec<LevelDemand>>) {
         let mut reports: BTreeMap<CellName, Vec<ModelDemand>> = BTreeMap::new();
         for (model, levels) in demand {
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Engines that hold the model, by cell; all engines while none is known to hold it.
+    /// Counts the engines that hold the model, by cell; counts all engines if none is known to hold
+    /// it.
     fn engine_counts(&self, model: &ModelName) -> EngineCounts {
         let list = self.links.fleet.borrow();
         let mut holding = EngineCounts::new();
--- a/crates/daemon/src/actors/peer/drains.rs
+++ b/crates/daemon/src/actors/peer/drains.rs
@@ -1,4 +1,5 @@
-//! Drain marks at this daemon: routing stops, comes to rest, and the controller is told.
+//! Applies drain marks: routing to the back end stops, and once no request is in flight the drain
+//! is acknowledged to the controller. Also renews the views that routing depends on.
 
 use std::time::Duration;
 
@@ -14,17 +15,17 @@
 use crate::actors::routing::{ExtendViewValidity, IsIdle, Observe};
 use crate::actors::{ask, tell};
 
-/// How long routing may go on without a tick of this actor: a frozen process must not route on
-/// waking.
+/// How long routing may continue after the last tick of this actor. This must stay short: a process
+/// that resumes after a suspension must not route on an old view.
 const VIEW_VALIDITY_AFTER_TICK: Duration = Duration::from_millis(1_000);
-/// How long a reading of the machine list stands in for the marks of peers, from its begin.
+/// How long a machine list can replace the drain marks of peers, counted from the start of the
+/// read.
 const MACHINE_LIST_VALIDITY: Duration = Duration::from_millis(2_500);
-/// Time between two pulls while this daemon catches up: each opens connections to a peer.
+/// Interval between two pulls while catching up; each pull opens a connection to a peer.
 const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
-/// Peers that are told of a new controller.
+/// Number of peers that are told of a new controller.
 const CONTROLLER_FANOUT: usize = 4;
-/// Without a peer that answers, a daemon that has just started waits so long before it believes
-/// that it is the only one.
+/// Time after which a daemon that finds no peers assumes that it is the only daemon.
 const SINGLE_DAEMON_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl PeerActor {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// A mark of a controller that is not known here: its cell's view names it, so that it gets the
-    /// acknowledgement.
+    /// Requests the view of the cell if the mark comes from an unknown controller: the answer names
+    /// the controller, which needs the acknowledgement.
     fn request_view_for_unknown_controller(&mut self, back_end: MachineId, version: DrainVersion) {
         let Some(cell) = self.cell_of(back_end) else {
             return;
@@ -100,7 +101,8 @@
         self.acknowledge().await;
     }
 
-    /// After a start or a freeze the marks are compared with a peer's before they are trusted.
+    /// Pulls drain marks from a peer after a start, a suspension or an isolation. Until they have
+    /// arrived, the local marks are not trusted.
     fn catch_up(&mut self, now: Timestamp) {
         let contact = self.membership.contact(now);
         if contact == Contact::Isolated {
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Where a cell's view is asked for; none where peers are to be asked.
+    /// Returns the address of the controller to ask for the view of a cell, or `None` if peers must
+    /// be asked instead.
     fn view_request_address(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
         let known = self.links.controllers.borrow().get(cell).copied();
         let known = known.map(|known| known.machine);
@@ -152,7 +155,8 @@
         }
     }
 
-    /// Without a known controller, peers are asked: they point to it.
+    /// Sends a view request to random peers and to this daemon itself, which forward it or name the
+    /// controller.
     fn request_view_from_peers(&mut self, part: Part) {
         let own_address = self.membership.own().peer_address;
         self.outbox.add(own_address, part.clone());
@@ -161,7 +165,8 @@
         }
     }
 
-    /// Tells routing until when it may route to each cell.
+    /// Tells routing until when the view of each cell is valid, and publishes whether this daemon
+    /// has caught up.
     pub(super) fn publish_view_validity(&mut self) {
         let now = self.now();
         let contact = self.membership.contact(now);
@@ -190,9 +195,9 @@
         }
     }
 
-    /// Until when this daemon may route to plain back ends. They have no controller: their marks
-    /// come from peers, or, where none can be asked, from the machine list as this daemon has just
-    /// read it.
+    /// Returns until when this daemon may route to plain back ends. They have no controller: their
+    /// drain marks come from peers or, if no peer can be asked, from a machine list that was read
+    /// recently.
     fn plain_view_until(&self, now: Timestamp) -> Option<Timestamp> {
         let until = now + VIEW_VALIDITY_AFTER_TICK;
         if !self.must_catch_up {
@@ -205,7 +210,7 @@
         is_confirmed.then(|| until.min(confirmed_until))
     }
 
-    /// Acknowledges the drains for which this daemon has nothing under way any more.
+    /// Acknowledges drains of back ends that have no request of this daemon in flight.
     async fn acknowledge(&mut self) {
         let waiting: Vec<(MachineId, DrainVersion)> = self
             .unacknowledged
@@ -223,7 +228,7 @@
                 self.unacknowledged.remove(&back_end);
                 continue;
             };
-            // Sent again at each tick until the mark is released: a lost one does no harm.
+            // Repeated at each tick until the mark is released, so a lost datagram is harmless.
             if let Some(address) = self.controller_of(back_end) {
                 self.outbox.add(address, Part::DrainAcks(vec![ack]));
             }
@@ -234,8 +239,8 @@
         self.controller_address(&self.cell_of(back_end)?)
     }
 
-    /// Where a cell's controller is reached. One that is not live (any more) has a successor, or
-    /// will.
+    /// Returns the address of the known controller of a cell, or `None` if it is not live; it will
+    /// be replaced.
     pub(super) fn controller_address(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
         let known = self.links.controllers.borrow().get(cell).copied()?;
         let record = self.membership.member(known.machine)?;
@@ -246,7 +251,8 @@
         self.cells.cell_of(back_end).cloned()
     }
 
-    /// Learns of a controller, and passes the news on.
+    /// Records a controller of a cell. If it is newer than the known one, forwards it to random
+    /// peers.
     pub(super) fn learn_controller(&mut self, cell: CellName, learned: KnownController) {
         let is_newer = self.links.controllers.send_if_modified(|known| {
             let is_newer = known.get(&cell).is_none_or(|old| learned.token > old.token);
@@ -270,7 +276,7 @@
     }
 }
 
-/// Seeds of the machine list: the other daemons' peer addresses.
+/// Membership seeds: the peer addresses of the other daemons in the machine list.
 fn seeds(list: &MachineList, own: MachineId) -> Vec<Seed> {
     let is_peer =
         |machine: &&Machine| matches!(machine.kind, MachineKind::Daemon) && machine.id != own;
--- a/crates/daemon/src/actors/peer/gossip.rs
+++ b/crates/daemon/src/actors/peer/gossip.rs
@@ -1,4 +1,4 @@
-//! What is passed on to peers, and how often.
+//! Gossip of drain marks and engine facts, and periodic digest exchange with peers.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 use super::PeerActor;
 use crate::polling::EngineObservation;
 
-/// Time between two rounds of gossip of marks and facts.
+/// Interval between two gossip rounds.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(200);
-/// Peers told in one round.
+/// Number of peers that receive each gossip round.
 const GOSSIP_FANOUT: usize = 3;
-/// Peers told at once of a new configuration.
+/// Number of peers that are told immediately of a new configuration.
 const CONFIGURATION_FANOUT: usize = 4;
-/// Time between two comparisons with one peer: configuration, marks and facts.
+/// Interval between two digest exchanges. Each one compares configuration, shard map, marks and
+/// facts with one peer.
 const DIGEST_EXCHANGE_PERIOD: Duration = Duration::from_secs(2);
-/// Marks in one datagram.
+/// Maximum number of drain marks in one part.
 const MARKS_PER_PART: usize = 16;
-/// Facts in one datagram.
+/// Maximum number of engine facts in one part.
 const FACTS_PER_PART: usize = 8;
 
 impl PeerActor {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// One round of gossip, if there is something to tell.
+    /// Runs one gossip round if there are new marks or facts.
     pub(super) fn gossip_now(&mut self) {
         let now = self.now();
         let marks = self.drains.take_for_gossip(now, MARKS_PER_PART);
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Tells one peer where this daemon stands, so that whoever missed gossip catches up.
+    /// Sends the current revisions and digests to one peer, so that a peer that missed gossip
+    /// notices and catches up.
     fn send_digests_to_random_peer(&mut self) {
         for peer in self.membership.random_peers(1) {
             let target = peer.peer_address;
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Takes what a poll of this daemon showed. Returns the digest to tell others.
+    /// Records the result of polling an engine. Returns the load digest to send to subscribers.
     pub(super) fn record_observation(&mut self, observation: EngineObservation) -> AgedDigest {
         let EngineObservation { facts, mut digest } = observation;
         if facts.is_some_and(|facts| self.facts.observe(facts)) {
@@ -91,8 +93,9 @@
         aged
     }
 
-    /// The number after the last one heard, and after the last one given here: whoever polls an
-    /// engine of a cell whose load it does not share hears no numbers.
+    /// Returns the next sequence number for a digest: one above both the last received and the last
+    /// one made here. The latter is needed because a daemon that polls an engine without
+    /// subscribing to its cell receives no digests of it.
     fn next_sequence(&mut self, digest: &LoadDigest) -> u32 {
         let heard = self.load.get(self.now(), digest.engine);
         let heard = heard.map(|known| known.digest);
@@ -109,12 +112,12 @@
         sequence
     }
 
-    /// The next refresh must look at every back end.
+    /// Makes the next refresh check every back end.
     pub(super) fn mark_directory_stale(&mut self) {
         self.directory.mark_stale();
     }
 
-    /// Tells routing what changed in the machine list or in the facts.
+    /// Sends changes of the machine list and of engine facts to routing.
     pub(super) fn refresh_directory(&mut self) {
         let list = self.links.fleet.borrow().clone();
         self.directory.refresh(&list, &self.facts, &self.drains);
--- a/crates/daemon/src/actors/peer/operators.rs
+++ b/crates/daemon/src/actors/peer/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask of the peer actor: everything it knows of the fleet, at one moment.
+//! Operator queries to the peer actor.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,13 @@
 
 use super::{KnownController, PeerActor};
 
-/// Asks for [`FleetView`].
+/// Returns a [`FleetView`].
 pub(crate) struct ViewFleet;
 
-/// The fleet as the answering daemon sees it.
+/// Consistent snapshot of the fleet as seen by this daemon.
 #[derive(Debug, Clone)]
 pub(crate) struct FleetView {
-    /// Every known daemon, this one first, dead and gone ones included.
+    /// All known daemons, including those that are dead or have left. This daemon comes first.
     pub(crate) members: Vec<MemberRecord>,
     pub(crate) contact: Contact,
     pub(crate) marks: Vec<DrainMark>,
@@ -27,7 +27,7 @@
 }
 
 impl FleetView {
-    /// Daemons that take part, this one included.
+    /// Returns the live daemons, including this one.
     pub(crate) fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.iter().filter(|record| record.state.is_live())
     }
--- a/crates/daemon/src/actors/peer/receive.rs
+++ b/crates/daemon/src/actors/peer/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams of peers.
+//! Handles datagrams and pull answers from peers.
 
 use std::net::SocketAddr;
 
@@ -15,10 +15,10 @@
 use crate::actors::routing::Observe;
 use crate::actors::tell;
 
-/// Datagrams of peers came, with their senders' addresses.
+/// Received datagrams with the addresses of their senders.
 pub(crate) struct Received(pub(crate) Vec<(SocketAddr, Datagram)>);
 
-/// A peer answered a pull of facts or marks.
+/// A peer answered a pull of drain marks, engine facts or the shard map.
 pub(crate) struct PullAnswered {
     pub(crate) asked: Timestamp,
     pub(crate) response: Response,
@@ -216,7 +216,7 @@
     }
 
     fn forward_to_controller(&self, cell: CellName, input: ControllerInput) {
-        // Without a controller task the daemon is stopping.
+        // The receiver is gone only while the daemon is shutting down.
         let _stopping = self.links.controller_inputs.send((cell, input));
     }
 
@@ -249,7 +249,8 @@
         tell(&self.links.configuration, note);
     }
 
-    /// Pulls from a peer that is ahead; tells one that is behind.
+    /// Pulls the configuration from a peer with a later revision; tells a peer with an earlier one
+    /// the local revision.
     fn sync_configuration(&mut self, from: SocketAddr, theirs: Revision) {
         if theirs < self.configuration {
             self.outbox
@@ -273,7 +274,7 @@
         }));
     }
 
-    /// Asks a peer over a stream; the answer comes back as a message.
+    /// Sends a request to a peer over a stream. The answer arrives as [`PullAnswered`].
     pub(super) fn pull(&self, target: SocketAddr, request: Request) {
         let Some(own) = self.own.clone() else { return };
         let client = self.links.client.clone();
--- a/crates/daemon/src/actors/routing.rs
+++ b/crates/daemon/src/actors/routing.rs
@@ -1,4 +1,4 @@
-//! Shell of routing and retries: one actor decides for all requests of the daemon.
+//! Actor for routing and retries. One instance decides for all requests of the daemon.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,16 +14,17 @@
 
 use super::tell;
 
-/// Holds the router and the retry policy.
+/// Holds the router, the retry policy and the validity of the views.
 pub(crate) struct RoutingActor {
     router: Router,
     retries: RetryPolicy,
     clock: Arc<dyn Clock>,
+    /// Address of this actor, set when it starts.
     own: Option<WeakAddress<Self>>,
-    /// Placements that were handed out and not given back, by back end.
+    /// Number of outstanding reservations, by back end.
     reserved: BTreeMap<MachineId, usize>,
     cells: BTreeMap<MachineId, CellName>,
-    /// Until when this daemon may route, by cell; `None` stands for plain back ends.
+    /// Until when this daemon may route, by cell; the key `None` stands for plain back ends.
     valid_until: BTreeMap<Option<CellName>, Timestamp>,
 }
 
@@ -96,24 +97,25 @@
     async fn stopped(self) {}
 }
 
-/// Why there is no placement.
+/// Reason why no placement was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum PlacementRefusal {
-    /// Routing found none.
+    /// The router found no usable back end.
     #[error(transparent)]
     Routing(RoutingRefusal),
-    /// This daemon's view is too old to route on: it was cut off or frozen, or has just started.
-    #[error("this daemon is catching up with its peers; send to another daemon or come back soon")]
+    /// The view of this daemon is too old for routing: the daemon was isolated or suspended, or has
+    /// just started.
+    #[error("this daemon is catching up with its peers; send to another daemon or retry shortly")]
     ViewExpired,
 }
 
-/// A placement with its reservation.
+/// A placement together with its reservation.
 pub(crate) struct ReservedPlacement {
     pub(crate) placement: Placement,
     pub(crate) reservation: Reservation,
 }
 
-/// Keeps the drains of the chosen back ends from being acknowledged until it is dropped.
+/// Prevents drains of the chosen back ends from being acknowledged until it is dropped.
 pub(crate) struct Reservation {
     routing: Option<WeakAddress<RoutingActor>>,
     back_ends: Vec<MachineId>,
@@ -133,45 +135,46 @@
 
 struct ReleaseReservation(Vec<MachineId>);
 
-/// Asks where a request goes.
+/// Chooses a placement for a request.
 pub(crate) struct ChoosePlacement(pub(crate) RouteRequest);
 
-/// Asks, right before sending, whether the view that a back end was chosen on still holds: time may
-/// have passed since, in a freeze, or while the prompt was read elsewhere for a hand-over.
+/// Checks right before sending that the view of the back end is still valid and the back end is not
+/// draining. Time may have passed since the placement, for example in a suspension or during the
+/// prefill on another engine.
 pub(crate) struct IsSendAllowed(pub(crate) MachineId);
 
-/// Asks whether nothing of this daemon is under way to a back end.
+/// Returns whether no request of this daemon is reserved for or in flight to a back end.
 pub(crate) struct IsIdle(pub(crate) MachineId);
 
-/// This daemon may route to a cell (`None`: to plain back ends) until then.
+/// Allows routing to a cell (`None`: to plain back ends) until this time.
 pub(crate) struct ExtendViewValidity {
     pub(crate) cell: Option<CellName>,
     pub(crate) until: Timestamp,
 }
 
-/// Asks what this daemon's own requests show of each back end.
+/// Returns the status of each back end, judged by the requests of this daemon.
 pub(crate) struct BackEndStatusQuery;
 
-/// A back end as this daemon's own requests show it.
+/// Status of a back end, judged by the requests of this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct BackEndStatus {
-    /// Own requests there that have not ended.
+    /// Requests of this daemon in flight to the back end.
     pub(crate) running: usize,
     pub(crate) eligibility: Eligibility,
-    /// Whether this daemon's view of the back end's cell is fresh enough to route on.
+    /// Whether the view of the cell is recent enough for routing.
     pub(crate) is_view_valid: bool,
 }
 
-/// Tells the router of something that happened.
+/// Passes an event to the router.
 pub(crate) struct Observe(pub(crate) RoutingEvent);
 
-/// Asks what to do after a failed attempt.
+/// Decides whether to retry after a failed attempt.
 pub(crate) struct AttemptFailed {
     pub(crate) outcome: AttemptOutcome,
     pub(crate) facts: RequestFacts,
 }
 
-/// A request was answered whole: it adds to the retry budget.
+/// Records a complete answer, which adds to the retry budget.
 pub(crate) struct RequestSucceeded;
 
 impl Handler<ChoosePlacement> for RoutingActor {
