--- a/crates/daemon/src/gateway/plain.rs
+++ b/crates/daemon/src/gateway/plain.rs
@@ -29,7 +29,7 @@
 use crate::actors::tell;
 
 /// Answers with a `Content-Length` up to this size are read and checked completely before the first
-/// byte is sent to the caller. Larger ones are relayed as they arrive.
+/// byte is sent to the caller. All other answers are relayed as they arrive.
 const BUFFERED_ANSWER_LIMIT_BYTES: u64 = 256 * 1024;
 /// Chunks of a relayed answer that are buffered for a slow caller.
 const RELAY_BUFFER_CHUNKS: usize = 16;
