--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -42,7 +42,7 @@
 
 /// Dependencies shared by the controllers of all cells.
 #[derive(Clone)]
-pub(crate) struct ControllerLinks {
+pub(crate) struct ControllerDependencies {
     pub(crate) runtime: Runtime,
     pub(crate) settings: Settings,
     pub(crate) identity: PeerIdentity,
@@ -59,7 +59,7 @@
 /// The controller of one cell, or a candidate for it.
 pub(crate) struct ControllerActor {
     cell: CellName,
-    links: ControllerLinks,
+    deps: ControllerDependencies,
     holder: LeaseHolder,
     term: Option<ControllerTerm>,
     /// Current authority, read by calls in progress right before they send. Its end is on this
@@ -80,24 +80,24 @@
 }
 
 impl ControllerActor {
-    pub(crate) fn new(cell: CellName, links: ControllerLinks) -> Self {
+    pub(crate) fn new(cell: CellName, deps: ControllerDependencies) -> Self {
         let authority_settings = AuthoritySettings {
-            time_to_live: links.settings.control.lease_time,
-            keep_alive_period: links.settings.control.lease_time / 4,
-            look_period: links.settings.control.lease_time,
-            clock_margin: links.settings.control.lease_time / 20,
+            time_to_live: deps.settings.control.lease_time,
+            keep_alive_period: deps.settings.control.lease_time / 4,
+            look_period: deps.settings.control.lease_time,
+            clock_margin: deps.settings.control.lease_time / 20,
             ..AuthoritySettings::default()
         };
         let holder = LeaseHolder::new(
             authority_settings,
             cell.clone(),
-            links.identity.machine,
-            links.identity.incarnation,
-            links.runtime.seed,
+            deps.identity.machine,
+            deps.identity.incarnation,
+            deps.runtime.seed,
         );
         Self {
             cell,
-            links,
+            deps,
             holder,
             term: None,
             authority: watch::Sender::new(None),
@@ -107,7 +107,7 @@
     }
 
     fn now(&self) -> Timestamp {
-        self.links.runtime.clock.now()
+        self.deps.runtime.clock.now()
     }
 
     fn authority_event(&mut self, event: AuthorityEvent) {
@@ -120,7 +120,7 @@
 
     /// Publishes the current authority, which calls in progress check right before they send.
     fn publish_authority(&self, now: Timestamp) {
-        let order_time = self.links.settings.control.order_time_limit;
+        let order_time = self.deps.settings.control.order_time_limit;
         let authority = self
             .holder
             .may_order(now, order_time)
@@ -147,38 +147,38 @@
                 };
                 self.announce(controller);
             }
-            AuthorityAction::Record(record) => self.links.decisions.keep(record),
+            AuthorityAction::Record(record) => self.deps.decisions.keep(record),
         }
     }
 
     fn announce(&self, controller: KnownController) {
         let cell = self.cell.clone();
-        tell(&self.links.peers, ControllerKnown { cell, controller });
+        tell(&self.deps.peers, ControllerKnown { cell, controller });
     }
 
     fn start_term(&mut self, now: Timestamp, token: FencingToken) {
         tracing::info!(cell = %self.cell, %token, "this daemon is the cell's controller");
         let engines = self.cell_engines().len();
-        let percent = usize::from(self.links.settings.control.engines_away_percent);
+        let percent = usize::from(self.deps.settings.control.engines_away_percent);
         let orders = OrdersSettings {
             maximum_away: (engines * percent / 100).max(MIN_UNAVAILABLE_LIMIT),
-            read_period: self.links.settings.control.reconcile_interval,
+            read_period: self.deps.settings.control.reconcile_interval,
             ..OrdersSettings::default()
         };
         self.term = Some(ControllerTerm::new(
             now,
             token,
             orders,
-            &self.links.settings.planner,
+            &self.deps.settings.planner,
         ));
         self.announce(KnownController {
-            machine: self.links.identity.machine,
+            machine: self.deps.identity.machine,
             token,
         });
     }
 
     fn cell_engines(&self) -> Vec<Machine> {
-        engines_of(&self.links.fleet.borrow(), &self.cell)
+        engines_of(&self.deps.fleet.borrow(), &self.cell)
     }
 }
 
@@ -224,7 +224,7 @@
 pub(crate) struct PeerInput(pub(crate) ControllerInput);
 
 /// Sets the rank of this daemon among the controller candidates; `None` when it is not a candidate.
-pub(crate) struct SetRank(pub(crate) Option<u32>);
+pub(crate) struct SetCandidateRank(pub(crate) Option<u32>);
 
 /// Membership considers the controller with this token dead.
 pub(crate) struct ControllerDied(pub(crate) FencingToken);
@@ -290,10 +290,10 @@
     }
 }
 
-impl Handler<SetRank> for ControllerActor {
+impl Handler<SetCandidateRank> for ControllerActor {
     type Return = ();
 
-    async fn handle(&mut self, message: SetRank, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: SetCandidateRank, _context: &mut Context<Self>) {
         self.authority_event(AuthorityEvent::RankChanged(message.0));
     }
 }
@@ -305,7 +305,7 @@
         let now = self.now();
         let is_new_token = self.last_death_hint.0 != message.0;
         if is_new_token || now >= self.last_death_hint.1 {
-            self.last_death_hint = (message.0, now + self.links.settings.control.lease_time / 2);
+            self.last_death_hint = (message.0, now + self.deps.settings.control.lease_time / 2);
             self.authority_event(AuthorityEvent::KeyGone);
         }
     }
--- a/crates/daemon/src/actors/controller/calls.rs
+++ b/crates/daemon/src/actors/controller/calls.rs
@@ -24,13 +24,13 @@
 impl ControllerActor {
     pub(super) fn call_store(&self, number: CallNumber, call: StoreCall) {
         let Some(own) = self.own.clone() else { return };
-        let store = std::sync::Arc::clone(&self.links.store);
+        let store = std::sync::Arc::clone(&self.deps.store);
         let key = controller_key(&self.cell);
         let value = ControllerValue {
-            machine: self.links.identity.machine,
-            incarnation: self.links.identity.incarnation,
+            machine: self.deps.identity.machine,
+            incarnation: self.deps.identity.incarnation,
         };
-        self.links.runtime.spawner.spawn(Box::pin(async move {
+        self.deps.runtime.spawner.spawn(Box::pin(async move {
             let outcome = execute_call(store.as_ref(), key, value, call).await;
             let answer = outcome.unwrap_or_else(|error| StoreAnswer::Failed(call_failure(&error)));
             if let Some(own) = own.try_upgrade() {
--- a/crates/daemon/src/actors/controller/engines.rs
+++ b/crates/daemon/src/actors/controller/engines.rs
@@ -18,7 +18,7 @@
     /// still hold authority under `token`.
     fn authority_check(&self, token: FencingToken) -> AuthorityCheck {
         let authority = self.authority.subscribe();
-        let clock = Arc::clone(&self.links.runtime.clock);
+        let clock = Arc::clone(&self.deps.runtime.clock);
         Arc::new(move || {
             let current = *authority.borrow();
             current.is_some_and(|held| held.token == token && clock.now() < held.until)
@@ -26,7 +26,7 @@
     }
 
     pub(super) fn engine_address(&self, engine: MachineId) -> Option<SocketAddr> {
-        let list = self.links.fleet.borrow();
+        let list = self.deps.fleet.borrow();
         list.machines
             .iter()
             .find(|machine| machine.id == engine)
@@ -38,7 +38,7 @@
             let problem = CallProblem::NotSent;
             return self.queue_event(token, OrdersEvent::ClaimFailed { engine, problem });
         };
-        let control = self.links.control.clone();
+        let control = self.deps.control.clone();
         let check = self.authority_check(token);
         self.spawn_call(token, async move {
             match control.claim(address, &ClaimRequest { token }, check).await {
@@ -63,7 +63,7 @@
                 },
             );
         };
-        let control = self.links.control.clone();
+        let control = self.deps.control.clone();
         self.spawn_call(token, async move {
             let report: Option<EngineReport> = control.state(address).await.ok();
             OrdersEvent::Read {
@@ -86,7 +86,7 @@
             };
             return self.queue_event(token, event);
         };
-        let control = self.links.control.clone();
+        let control = self.deps.control.clone();
         let check = self.authority_check(token);
         self.spawn_call(token, async move {
             match control.order(address, &order, check).await {
@@ -113,7 +113,7 @@
         F: Future<Output = OrdersEvent> + Send + 'static,
     {
         let Some(own) = self.own.clone() else { return };
-        self.links.runtime.spawner.spawn(Box::pin(async move {
+        self.deps.runtime.spawner.spawn(Box::pin(async move {
             let event = call.await;
             if let Some(own) = own.try_upgrade() {
                 tell(&own, EngineAnswered { token, event });
@@ -140,7 +140,7 @@
                     newest,
                 });
             }
-            OrdersAction::Record(record) => self.links.decisions.keep(record),
+            OrdersAction::Record(record) => self.deps.decisions.keep(record),
         }
     }
 }
--- a/crates/daemon/src/actors/controller/planning.rs
+++ b/crates/daemon/src/actors/controller/planning.rs
@@ -119,7 +119,7 @@
 
 impl ControllerActor {
     pub(super) fn plan_if_due(&mut self, now: Timestamp) {
-        let interval = self.links.settings.planner.interval;
+        let interval = self.deps.settings.planner.interval;
         let states = self.engine_states(now);
         let Some(term) = &mut self.term else {
             return;
@@ -148,7 +148,7 @@
         let from = decision.from.map_or("none", |role| role.as_str());
         let outcome = format!("{from} to {}", decision.to);
         let subject = format!("engine {}", decision.engine);
-        self.links.decisions.record(
+        self.deps.decisions.record(
             DecisionKind::Role,
             subject,
             outcome,
@@ -161,7 +161,7 @@
         let Some(term) = &self.term else {
             return Vec::new();
         };
-        let configuration = Arc::clone(&self.links.configuration.borrow());
+        let configuration = Arc::clone(&self.deps.configuration.borrow());
         let assigned = assign_models(&configuration, &self.holding_engines());
         let mut states = Vec::new();
         for machine in self.cell_engines() {
@@ -192,9 +192,9 @@
             return;
         };
         let token = term.token;
-        let load = self.links.load.clone();
+        let load = self.deps.load.clone();
         let engines = self.cell_engines();
-        self.links.runtime.spawner.spawn(Box::pin(async move {
+        self.deps.runtime.spawner.spawn(Box::pin(async move {
             let readings = engines.iter().map(|engine| load.read(engine.address));
             let answers = join_all(readings).await;
             let readings = engines
--- a/crates/daemon/src/actors/controller/term.rs
+++ b/crates/daemon/src/actors/controller/term.rs
@@ -86,7 +86,7 @@
     }
 
     fn update_known_daemons(&mut self, now: Timestamp) {
-        let view = std::sync::Arc::clone(&self.links.members.borrow());
+        let view = std::sync::Arc::clone(&self.deps.members.borrow());
         let Some(term) = &mut self.term else {
             return;
         };
@@ -101,7 +101,7 @@
     }
 
     fn report_acknowledged_drains(&mut self, now: Timestamp) {
-        let contact = self.links.members.borrow().contact;
+        let contact = self.deps.members.borrow().contact;
         let Some(term) = &self.term else { return };
         let engines = term.wanted.engines.iter().map(|wish| wish.engine);
         let is_acknowledged =
@@ -123,7 +123,7 @@
         let now = self.now();
         if let Some(term) = &mut self.term {
             let mark = term.tracker.begin(now, engine, reason);
-            tell(&self.links.peers, ControllerMarks(vec![mark]));
+            tell(&self.deps.peers, ControllerMarks(vec![mark]));
         }
     }
 
@@ -131,7 +131,7 @@
         let now = self.now();
         if let Some(term) = &mut self.term {
             let mark = term.tracker.release(now, engine);
-            tell(&self.links.peers, ControllerMarks(vec![mark]));
+            tell(&self.deps.peers, ControllerMarks(vec![mark]));
         }
     }
 
@@ -176,7 +176,7 @@
                     token,
                     marks,
                 };
-                tell(&self.links.peers, ControllerAnswer { target: from, part });
+                tell(&self.deps.peers, ControllerAnswer { target: from, part });
             }
         }
     }
@@ -184,7 +184,7 @@
     /// Releases drain marks of earlier controllers on engines that are in service and need no
     /// change.
     pub(super) async fn release_stale_marks(&mut self) {
-        let Ok(marks) = ask(&self.links.peers, AllMarks).await else {
+        let Ok(marks) = ask(&self.deps.peers, AllMarks).await else {
             return;
         };
         let now = self.now();
@@ -208,7 +208,7 @@
             }
         }
         if !released.is_empty() {
-            tell(&self.links.peers, ControllerMarks(released));
+            tell(&self.deps.peers, ControllerMarks(released));
         }
     }
 }
--- a/crates/daemon/src/actors/controller/wanted.rs
+++ b/crates/daemon/src/actors/controller/wanted.rs
@@ -62,7 +62,7 @@
         let Some(term) = &self.term else {
             return WantedState::default();
         };
-        let configuration = Arc::clone(&self.links.configuration.borrow());
+        let configuration = Arc::clone(&self.deps.configuration.borrow());
         let assigned = assign_models(&configuration, &self.holding_engines());
         let wish = |machine: ponddrift_core::machine::Machine| {
             let report = term.reconciler.report(machine.id);
--- a/crates/daemon/src/actors/peer.rs
+++ b/crates/daemon/src/actors/peer.rs
@@ -73,7 +73,7 @@
 }
 
 /// Dependencies of the peer actor.
-pub(crate) struct PeerLinks {
+pub(crate) struct PeerDependencies {
     pub(crate) socket: Arc<dyn DatagramSocket>,
     pub(crate) identity: PeerIdentity,
     pub(crate) client: PeerClient,
@@ -97,7 +97,7 @@
 /// Holds the state that daemons exchange by gossip.
 pub(crate) struct PeerActor {
     runtime: Runtime,
-    links: PeerLinks,
+    deps: PeerDependencies,
     membership: Membership,
     drains: DrainTable,
     views: ViewLeases,
@@ -136,8 +136,8 @@
 }
 
 impl PeerActor {
-    pub(crate) fn new(runtime: &Runtime, links: PeerLinks, membership: Membership) -> Self {
-        let directory = BackEndDirectory::new(links.routing.clone());
+    pub(crate) fn new(runtime: &Runtime, deps: PeerDependencies, membership: Membership) -> Self {
+        let directory = BackEndDirectory::new(deps.routing.clone());
         Self {
             runtime: runtime.clone(),
             membership,
@@ -165,7 +165,7 @@
             applied_list_revision: 0,
             next_catch_up: Timestamp::ZERO,
             own: None,
-            links,
+            deps,
         }
     }
 
@@ -238,8 +238,8 @@
         self.must_catch_up = true;
         self.trusted_pulls_since = now;
         self.next_catch_up = now;
-        self.links.caught_up.send_replace(false);
-        self.links.resumed.send_replace(now);
+        self.deps.caught_up.send_replace(false);
+        self.deps.resumed.send_replace(now);
     }
 
     /// Publishes the member view if the contact state changed, or if facts changed and the last
@@ -248,7 +248,7 @@
     fn publish_if_changed(&mut self) {
         let now = self.now();
         let contact = self.membership.contact(now);
-        let has_new_contact = contact != self.links.members.borrow().contact;
+        let has_new_contact = contact != self.deps.members.borrow().contact;
         let is_due = self.has_new_facts && now.since(self.published_at) >= FACTS_PUBLISH_PERIOD;
         if has_new_contact || is_due {
             self.publish_members();
@@ -261,7 +261,7 @@
         self.has_new_facts = false;
         self.has_new_members = false;
         let live: Vec<_> = self.membership.live().into_iter().cloned().collect();
-        self.links
+        self.deps
             .metrics
             .live_daemons
             .set(i64::try_from(live.len()).unwrap_or(i64::MAX));
@@ -271,11 +271,11 @@
             .filter(|record| !record.state.is_live());
         let view = MembersView {
             gone: gone.cloned().collect(),
-            own: self.links.identity.machine,
+            own: self.deps.identity.machine,
             live,
             contact: self.membership.contact(now),
         };
-        self.links.members.send_replace(Arc::new(view));
+        self.deps.members.send_replace(Arc::new(view));
     }
 
     /// Called at the end of each message handler: publishes member changes and sends the queued
@@ -284,8 +284,8 @@
         if self.has_new_members {
             self.publish_members();
         }
-        let outgoing: Vec<Outgoing> = self.outbox.pack(self.links.identity);
-        socket::send_all(self.links.socket.as_ref(), &self.links.metrics, outgoing).await;
+        let outgoing: Vec<Outgoing> = self.outbox.pack(self.deps.identity);
+        socket::send_all(self.deps.socket.as_ref(), &self.deps.metrics, outgoing).await;
     }
 }
 
--- a/crates/daemon/src/actors/peer/cells.rs
+++ b/crates/daemon/src/actors/peer/cells.rs
@@ -64,7 +64,7 @@
         let now = self.now();
         self.subscriptions_are_stale = false;
         self.next_subscription = now + SUBSCRIPTION_PERIOD;
-        let own = self.links.identity.machine;
+        let own = self.deps.identity.machine;
         let live = self.membership.live();
         let mut subscribed_cells = BTreeSet::new();
         let mut subscribers_by_cell = BTreeMap::new();
--- a/crates/daemon/src/actors/peer/demand.rs
+++ b/crates/daemon/src/actors/peer/demand.rs
@@ -36,7 +36,7 @@
     /// Counts the engines that hold the model, by cell; counts all engines if none is known to hold
     /// it.
     fn engine_counts(&self, model: &ModelName) -> EngineCounts {
-        let list = self.links.fleet.borrow();
+        let list = self.deps.fleet.borrow();
         let mut holding = EngineCounts::new();
         let mut all = EngineCounts::new();
         for machine in &list.machines {
--- a/crates/daemon/src/actors/peer/drains.rs
+++ b/crates/daemon/src/actors/peer/drains.rs
@@ -31,8 +31,8 @@
 impl PeerActor {
     pub(super) fn apply_machine_list(&mut self) {
         let now = self.now();
-        let list = self.links.fleet.borrow().clone();
-        let own = self.links.identity.machine;
+        let list = self.deps.fleet.borrow().clone();
+        let own = self.deps.identity.machine;
         self.member_event(MembershipEvent::SeedsRead(seeds(&list, own)));
         self.cells = CellMap::new(&list);
         let cells = &self.cells;
@@ -78,7 +78,7 @@
         let Some(cell) = self.cell_of(back_end) else {
             return;
         };
-        let known = self.links.controllers.borrow().get(&cell).copied();
+        let known = self.deps.controllers.borrow().get(&cell).copied();
         if known.is_none_or(|known| known.token < version.token) {
             let now = self.now();
             self.views.ask_soon(now, &cell);
@@ -88,7 +88,7 @@
     fn set_draining(&mut self, back_end: MachineId, draining: bool) {
         self.directory.note_draining(back_end, draining);
         tell(
-            &self.links.routing,
+            &self.deps.routing,
             Observe(RoutingEvent::Draining { back_end, draining }),
         );
     }
@@ -147,9 +147,9 @@
     /// Returns the address of the controller to ask for the view of a cell, or `None` if peers must
     /// be asked instead.
     fn view_request_address(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
-        let known = self.links.controllers.borrow().get(cell).copied();
+        let known = self.deps.controllers.borrow().get(cell).copied();
         let known = known.map(|known| known.machine);
-        match ViewSource::new(known, self.links.identity.machine) {
+        match ViewSource::new(known, self.deps.identity.machine) {
             ViewSource::Controller(_) => self.controller_address(cell),
             ViewSource::Peers => None,
         }
@@ -175,7 +175,7 @@
         for cell in cells {
             if self.views.standing(&cell, now, contact) != ViewStanding::Cut {
                 tell(
-                    &self.links.routing,
+                    &self.deps.routing,
                     ExtendViewValidity {
                         cell: Some(cell),
                         until,
@@ -184,14 +184,11 @@
             }
         }
         if let Some(until) = self.plain_view_until(now) {
-            tell(
-                &self.links.routing,
-                ExtendViewValidity { cell: None, until },
-            );
+            tell(&self.deps.routing, ExtendViewValidity { cell: None, until });
         }
-        let is_caught_up = !self.must_catch_up && self.links.fleet.borrow().revision > 0;
-        if is_caught_up != *self.links.caught_up.borrow() {
-            self.links.caught_up.send_replace(is_caught_up);
+        let is_caught_up = !self.must_catch_up && self.deps.fleet.borrow().revision > 0;
+        if is_caught_up != *self.deps.caught_up.borrow() {
+            self.deps.caught_up.send_replace(is_caught_up);
         }
     }
 
@@ -203,8 +200,8 @@
         if !self.must_catch_up {
             return Some(until);
         }
-        let is_list_applied = self.links.fleet.borrow().revision == self.applied_list_revision;
-        let confirmed = *self.links.machine_list_confirmed_at.borrow();
+        let is_list_applied = self.deps.fleet.borrow().revision == self.applied_list_revision;
+        let confirmed = *self.deps.machine_list_confirmed_at.borrow();
         let confirmed_until = confirmed + MACHINE_LIST_VALIDITY;
         let is_confirmed = confirmed > Timestamp::ZERO && is_list_applied && now < confirmed_until;
         is_confirmed.then(|| until.min(confirmed_until))
@@ -218,7 +215,7 @@
             .map(|(back_end, version)| (*back_end, *version))
             .collect();
         for (back_end, _version) in waiting {
-            if !ask(&self.links.routing, IsIdle(back_end))
+            if !ask(&self.deps.routing, IsIdle(back_end))
                 .await
                 .unwrap_or(false)
             {
@@ -242,7 +239,7 @@
     /// Returns the address of the known controller of a cell, or `None` if it is not live; it will
     /// be replaced.
     pub(super) fn controller_address(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
-        let known = self.links.controllers.borrow().get(cell).copied()?;
+        let known = self.deps.controllers.borrow().get(cell).copied()?;
         let record = self.membership.member(known.machine)?;
         record.state.is_live().then_some(record.peer_address)
     }
@@ -254,7 +251,7 @@
     /// Records a controller of a cell. If it is newer than the known one, forwards it to random
     /// peers.
     pub(super) fn learn_controller(&mut self, cell: CellName, learned: KnownController) {
-        let is_newer = self.links.controllers.send_if_modified(|known| {
+        let is_newer = self.deps.controllers.send_if_modified(|known| {
             let is_newer = known.get(&cell).is_none_or(|old| learned.token > old.token);
             if is_newer {
                 known.insert(cell.clone(), learned);
--- a/crates/daemon/src/actors/peer/gossip.rs
+++ b/crates/daemon/src/actors/peer/gossip.rs
@@ -63,7 +63,7 @@
             let target = peer.peer_address;
             self.outbox
                 .add(target, Part::ConfigurationInForce(self.configuration));
-            let epoch = self.links.shard_map.borrow().epoch;
+            let epoch = self.deps.shard_map.borrow().epoch;
             self.outbox.add(target, Part::ShardMapEpoch(epoch));
             self.outbox
                 .add(target, Part::DrainDigest(self.drains.digest()));
@@ -119,7 +119,7 @@
 
     /// Sends changes of the machine list and of engine facts to routing.
     pub(super) fn refresh_directory(&mut self) {
-        let list = self.links.fleet.borrow().clone();
+        let list = self.deps.fleet.borrow().clone();
         self.directory.refresh(&list, &self.facts, &self.drains);
     }
 
--- a/crates/daemon/src/actors/peer/operators.rs
+++ b/crates/daemon/src/actors/peer/operators.rs
@@ -48,7 +48,7 @@
             marks: self.drains.all(now).collect(),
             facts: facts.map(|facts| (facts.engine, facts)).collect(),
             load: load.map(|known| (known.digest.engine, known)).collect(),
-            controllers: self.links.controllers.borrow().clone(),
+            controllers: self.deps.controllers.borrow().clone(),
         }
     }
 }
--- a/crates/daemon/src/actors/peer/receive.rs
+++ b/crates/daemon/src/actors/peer/receive.rs
@@ -60,7 +60,7 @@
                 self.has_pulled_facts = true;
                 self.refresh_directory();
             }
-            Response::ShardMap(map) => tell(&self.links.claims, ApplyShardMap(map)),
+            Response::ShardMap(map) => tell(&self.deps.claims, ApplyShardMap(map)),
             _ => {}
         }
         self.publish_view_validity();
@@ -96,7 +96,7 @@
                 self.refresh_directory();
             }
             Part::ShardMapEpoch(epoch) => {
-                let known = self.links.shard_map.borrow().epoch;
+                let known = self.deps.shard_map.borrow().epoch;
                 if epoch > known {
                     self.pull(from, Request::PullShardMap);
                 } else if epoch < known {
@@ -186,8 +186,8 @@
         cell: CellName,
         number: u64,
     ) {
-        let own = self.links.identity.machine;
-        let known = self.links.controllers.borrow().get(&cell).copied();
+        let own = self.deps.identity.machine;
+        let known = self.deps.controllers.borrow().get(&cell).copied();
         match known {
             Some(known) if known.machine != own && self.controller_address(&cell).is_some() => {
                 let KnownController {
@@ -217,14 +217,14 @@
 
     fn forward_to_controller(&self, cell: CellName, input: ControllerInput) {
         // The receiver is gone only while the daemon is shutting down.
-        let _stopping = self.links.controller_inputs.send((cell, input));
+        let _stopping = self.deps.controller_inputs.send((cell, input));
     }
 
     pub(super) fn apply_digest(&mut self, aged: AgedDigest) {
         let now = self.now();
         if self.load.take(now, aged) {
             tell(
-                &self.links.routing,
+                &self.deps.routing,
                 Observe(RoutingEvent::Digest(aged.digest)),
             );
         }
@@ -246,7 +246,7 @@
             incarnation,
             revision,
         };
-        tell(&self.links.configuration, note);
+        tell(&self.deps.configuration, note);
     }
 
     /// Pulls the configuration from a peer with a later revision; tells a peer with an earlier one
@@ -261,8 +261,8 @@
             return;
         }
         let since = self.configuration;
-        let client = self.links.client.clone();
-        let configuration = self.links.configuration.clone();
+        let client = self.deps.client.clone();
+        let configuration = self.deps.configuration.clone();
         self.runtime.spawner.spawn(Box::pin(async move {
             match client.ask(from, Request::PullConfiguration { since }).await {
                 Ok(Response::Configuration(answer)) => {
@@ -277,7 +277,7 @@
     /// Sends a request to a peer over a stream. The answer arrives as [`PullAnswered`].
     pub(super) fn pull(&self, target: SocketAddr, request: Request) {
         let Some(own) = self.own.clone() else { return };
-        let client = self.links.client.clone();
+        let client = self.deps.client.clone();
         let asked = self.now();
         self.runtime.spawner.spawn(Box::pin(async move {
             match client.ask(target, request).await {
--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -35,14 +35,14 @@
 use crate::actors::admission::{AdmissionActor, NotifyAdmission};
 use crate::actors::claims::ClaimsActor;
 use crate::actors::configuration::ConfigurationActor;
-use crate::actors::controller::ControllerLinks;
-use crate::actors::peer::{PeerActor, PeerLinks};
+use crate::actors::controller::ControllerDependencies;
+use crate::actors::peer::{PeerActor, PeerDependencies};
 use crate::actors::routing::RoutingActor;
 use crate::actors::{start, tell};
 use crate::configuration;
 use crate::decisions::DecisionLog;
 use crate::fleet::{self, FleetReceiver, FleetSenders};
-use crate::gateway::{ClaimLinks, Gateway, GatewayContext};
+use crate::gateway::{ClaimDependencies, Gateway, GatewayContext};
 use crate::metrics::Metrics;
 use crate::operator::{Fixed, OperatorContext, OperatorEndpoint};
 use crate::peer::client::PeerClient;
@@ -223,7 +223,7 @@
         caught_up,
         metrics: Arc::clone(&shared.metrics),
         decisions: shared.decisions.clone(),
-        claims: ClaimLinks {
+        claims: ClaimDependencies {
             own: shared.claim_member(),
             shard_map: shared.shard_map.clone(),
             members: shared.members.clone(),
@@ -329,7 +329,7 @@
     let (controller_inputs, inputs) = mpsc::unbounded_channel();
     let resumed = watch::Sender::new(Timestamp::ZERO);
     let woke_receiver = resumed.subscribe();
-    let links = PeerLinks {
+    let deps = PeerDependencies {
         socket: Arc::clone(&sockets.datagrams),
         identity: *identity,
         client: shared.peer_client(),
@@ -347,7 +347,7 @@
         resumed,
     };
     let membership = Membership::new(membership_settings(settings), own, runtime.seed);
-    let peers = start(runtime, PeerActor::new(runtime, links, membership));
+    let peers = start(runtime, PeerActor::new(runtime, deps, membership));
     let requests = PeerRequests {
         configuration: shared.configuration_actor.clone(),
         peers: peers.clone(),
@@ -413,7 +413,7 @@
     spawn(Box::pin(claim_groups.run()));
     let (stop_controllers, stop) = mpsc::channel(1);
     let supervisor = ControllerSupervisor::new(
-        ControllerLinks {
+        ControllerDependencies {
             runtime: runtime.clone(),
             settings: settings.clone(),
             identity: *identity,
--- a/crates/daemon/src/daemon/controllers.rs
+++ b/crates/daemon/src/daemon/controllers.rs
@@ -13,8 +13,8 @@
 use xtra::Address;
 
 use crate::actors::controller::{
-    CANDIDATES_PER_CELL, CONTROLLER_TICK_PERIOD, ControllerActor, ControllerDied, ControllerLinks,
-    ControllerTick, PeerInput, ProcessResumed, SetRank, StepDown,
+    CANDIDATES_PER_CELL, CONTROLLER_TICK_PERIOD, ControllerActor, ControllerDependencies,
+    ControllerDied, ControllerTick, PeerInput, ProcessResumed, SetCandidateRank, StepDown,
 };
 use crate::actors::peer::{ControllerInput, KnownController};
 use crate::actors::{ask, start, tell};
@@ -32,7 +32,7 @@
 
 /// Starts controllers, ticks them, and hands them what peers say.
 pub(super) struct ControllerSupervisor {
-    links: ControllerLinks,
+    deps: ControllerDependencies,
     controllers: BTreeMap<CellName, Address<ControllerActor>>,
     known: watch::Receiver<BTreeMap<CellName, KnownController>>,
     next_ranking: Timestamp,
@@ -41,11 +41,11 @@
 
 impl ControllerSupervisor {
     pub(super) fn new(
-        links: ControllerLinks,
+        deps: ControllerDependencies,
         known: watch::Receiver<BTreeMap<CellName, KnownController>>,
     ) -> Self {
         Self {
-            links,
+            deps,
             known,
             controllers: BTreeMap::new(),
             next_ranking: Timestamp::ZERO,
@@ -94,7 +94,7 @@
     }
 
     async fn tick(&mut self) {
-        let now = self.links.runtime.clock.now();
+        let now = self.deps.runtime.clock.now();
         if now >= self.next_ranking && !self.is_stopping {
             self.next_ranking = now + RANKING_PERIOD;
             self.rank();
@@ -105,18 +105,19 @@
     }
 
     fn rank(&mut self) {
-        let list = Arc::clone(&self.links.fleet.borrow());
-        let view = Arc::clone(&self.links.members.borrow());
+        let list = Arc::clone(&self.deps.fleet.borrow());
+        let view = Arc::clone(&self.deps.members.borrow());
         for (cell, zones) in cells(&list) {
             let rank = rank(&view, &cell, &zones);
             if rank.is_none() && !self.controllers.contains_key(&cell) {
                 continue;
             }
-            let links = &self.links;
-            let controller = self.controllers.entry(cell.clone()).or_insert_with(|| {
-                start(&links.runtime, ControllerActor::new(cell, links.clone()))
-            });
-            tell(controller, SetRank(rank));
+            let deps = &self.deps;
+            let controller = self
+                .controllers
+                .entry(cell.clone())
+                .or_insert_with(|| start(&deps.runtime, ControllerActor::new(cell, deps.clone())));
+            tell(controller, SetCandidateRank(rank));
         }
         self.notice_dead_controllers(&view);
     }
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -57,7 +57,7 @@
 const METRICS_PATH: &str = "/metrics";
 
 /// Dependencies for claiming idempotency keys.
-pub(crate) struct ClaimLinks {
+pub(crate) struct ClaimDependencies {
     pub(crate) own: ClaimMember,
     pub(crate) shard_map: watch::Receiver<Arc<ShardMap>>,
     pub(crate) members: watch::Receiver<Arc<MembersView>>,
@@ -83,7 +83,7 @@
     pub(crate) random: Mutex<SeededRandom>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) decisions: DecisionLog,
-    pub(crate) claims: ClaimLinks,
+    pub(crate) claims: ClaimDependencies,
     /// Demand counted since the last report to the controllers.
     pub(crate) demand: Arc<Mutex<DemandCounter>>,
     pub(crate) requests: RequestRegister,
