--- a/crates/daemon/src/actors/controller/planning.rs
+++ b/crates/daemon/src/actors/controller/planning.rs
@@ -48,9 +48,11 @@
             let Some(earlier) = self.readings.get(engine) else {
                 continue;
             };
-            let is_same_life = earlier.incarnation == reading.incarnation;
-            let (Some(role), true) = (reading.role, is_same_life && earlier.role == reading.role)
-            else {
+            let is_same_incarnation = earlier.incarnation == reading.incarnation;
+            let (Some(role), true) = (
+                reading.role,
+                is_same_incarnation && earlier.role == reading.role,
+            ) else {
                 continue;
             };
             let target = self
--- a/crates/daemon/src/actors/peer/demand.rs
+++ b/crates/daemon/src/actors/peer/demand.rs
@@ -20,9 +20,9 @@
         let mut reports: BTreeMap<CellName, Vec<ModelDemand>> = BTreeMap::new();
         for (model, levels) in demand {
             let engine_counts = self.engine_counts(model);
-            let all: usize = engine_counts.values().sum();
+            let total: usize = engine_counts.values().sum();
             for (cell, engines) in engine_counts {
-                let report = report_for_cell(model, levels, engines, all);
+                let report = report_for_cell(model, levels, engines, total);
                 reports.entry(cell).or_default().push(report);
             }
         }
@@ -38,18 +38,22 @@
     fn engine_counts(&self, model: &ModelName) -> EngineCounts {
         let list = self.deps.fleet.borrow();
         let mut holding = EngineCounts::new();
-        let mut all = EngineCounts::new();
+        let mut all_engines = EngineCounts::new();
         for machine in &list.machines {
             let MachineKind::Engine { cell } = &machine.kind else {
                 continue;
             };
-            *all.entry(cell.clone()).or_default() += 1;
+            *all_engines.entry(cell.clone()).or_default() += 1;
             let facts = self.facts.get(machine.id);
             let held = facts.and_then(|facts| facts.model.as_ref());
             if held.is_some_and(|held| held.model == *model) {
                 *holding.entry(cell.clone()).or_default() += 1;
             }
         }
-        if holding.is_empty() { all } else { holding }
+        if holding.is_empty() {
+            all_engines
+        } else {
+            holding
+        }
     }
 }
--- a/crates/daemon/src/actors/peer/gossip.rs
+++ b/crates/daemon/src/actors/peer/gossip.rs
@@ -93,15 +93,18 @@
         aged
     }
 
-    /// Returns the next sequence number for a digest: one above both the last received and the last
-    /// one made here. The latter is needed because a daemon that polls an engine without
-    /// subscribing to its cell receives no digests of it.
+    /// Returns the next sequence number for a digest: one more than the highest of the last
+    /// received digest and the last one made here. The latter is needed because a daemon that polls
+    /// an engine without subscribing to its cell receives no digests of it.
     fn next_sequence(&mut self, digest: &LoadDigest) -> u32 {
-        let heard = self.load.get(self.now(), digest.engine);
-        let heard = heard.map(|known| known.digest);
+        let received = self.load.get(self.now(), digest.engine);
+        let received = received.map(|known| known.digest);
         let last_own = self.own_digests.get(&digest.engine).copied();
-        let of_this_life = |other: &LoadDigest| other.incarnation == digest.incarnation;
-        let last = heard.into_iter().chain(last_own).filter(of_this_life);
+        let is_same_incarnation = |other: &LoadDigest| other.incarnation == digest.incarnation;
+        let last = received
+            .into_iter()
+            .chain(last_own)
+            .filter(is_same_incarnation);
         let last = last.map(|other| other.sequence).max();
         let sequence = last.map_or(0, |last| last.saturating_add(1));
         let numbered = LoadDigest {
--- a/crates/daemon/src/actors/peer/receive.rs
+++ b/crates/daemon/src/actors/peer/receive.rs
@@ -251,13 +251,13 @@
 
     /// Pulls the configuration from a peer with a later revision; tells a peer with an earlier one
     /// the local revision.
-    fn sync_configuration(&mut self, from: SocketAddr, theirs: Revision) {
-        if theirs < self.configuration {
+    fn sync_configuration(&mut self, from: SocketAddr, peer_revision: Revision) {
+        if peer_revision < self.configuration {
             self.outbox
                 .add(from, Part::ConfigurationInForce(self.configuration));
             return;
         }
-        if theirs == self.configuration {
+        if peer_revision == self.configuration {
             return;
         }
         let since = self.configuration;
