--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -64,7 +64,7 @@
         None => write!(text, ", load not known"),
     };
     if candidate.probe {
-        text.push_str(", probed after an exclusion");
+        text.push_str(", probe after being set aside");
     }
     text
 }
