--- a/crates/daemon/src/actors/peer.rs
+++ b/crates/daemon/src/actors/peer.rs
@@ -1,4 +1,5 @@
-//! Shell of what daemons tell one another: membership, drain marks, facts and load of engines.
+//! Actor for the communication between daemons: membership, drain marks, engine facts and engine
+//! load.
 
 pub(crate) mod answers;
 mod cells;
@@ -39,30 +40,30 @@
 
 pub(crate) use answers::{AllFacts, AllMarks};
 
-/// Time between two ticks.
-pub(crate) const TICK: Duration = Duration::from_millis(100);
-/// Shortest time between two views of the members of which only facts differ.
+/// Interval between two ticks of the peer actor.
+pub(crate) const PEER_TICK_PERIOD: Duration = Duration::from_millis(100);
+/// Minimum interval between two published member views if only member facts changed.
 const FACTS_PUBLISH_PERIOD: Duration = Duration::from_secs(1);
 
-/// A cell's controller, as far as this daemon has heard.
+/// The last known controller of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct KnownController {
     pub(crate) machine: MachineId,
     pub(crate) token: FencingToken,
 }
 
-/// What a controller on this daemon is told by peers.
+/// Input that a controller on this daemon receives from peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ControllerInput {
-    /// A daemon acknowledged a drain.
+    /// A daemon acknowledged a drain mark.
     Acknowledged {
         daemon: MachineId,
         incarnation: ponddrift_core::Incarnation,
         ack: ponddrift_core::drain::DrainAck,
     },
-    /// What arrived at a daemon.
+    /// Demand that a daemon observed.
     Demand(Vec<ponddrift_core::demand::ModelDemand>),
-    /// A daemon asks for a view of the cell.
+    /// A daemon requests the drain marks of the cell.
     ViewRequested {
         daemon: MachineId,
         incarnation: ponddrift_core::Incarnation,
@@ -71,8 +72,8 @@
     },
 }
 
-/// Where the peer actor sends what other parts of the daemon need.
-pub(crate) struct PeerLinks {
+/// Dependencies of the peer actor.
+pub(crate) struct PeerDependencies {
     pub(crate) socket: Arc<dyn DatagramSocket>,
     pub(crate) identity: PeerIdentity,
     pub(crate) client: PeerClient,
@@ -84,57 +85,59 @@
     pub(crate) controllers: watch::Sender<BTreeMap<CellName, KnownController>>,
     pub(crate) controller_inputs: mpsc::UnboundedSender<(CellName, ControllerInput)>,
     pub(crate) fleet: FleetReceiver,
-    /// When the last reading of the machine list that succeeded began.
-    pub(crate) list_confirmed: watch::Receiver<Timestamp>,
+    /// Start time of the last successful read of the machine list.
+    pub(crate) machine_list_confirmed_at: watch::Receiver<Timestamp>,
     pub(crate) metrics: Arc<Metrics>,
-    /// Turns true once routing may begin.
+    /// True while this daemon has caught up with its peers, so that routing may begin.
     pub(crate) caught_up: watch::Sender<bool>,
-    /// Told how long the process was frozen, when it wakes.
-    pub(crate) woke: watch::Sender<Timestamp>,
+    /// Time at which the process last resumed after being suspended.
+    pub(crate) resumed: watch::Sender<Timestamp>,
 }
 
-/// Holds everything that is gossiped.
+/// Holds the state that daemons exchange by gossip.
 pub(crate) struct PeerActor {
     runtime: Runtime,
-    links: PeerLinks,
+    deps: PeerDependencies,
     membership: Membership,
     drains: DrainTable,
     views: ViewLeases,
     facts: FactsTable,
     load: LoadTable,
-    /// The last digest that this daemon made of each engine it polled.
-    given: BTreeMap<MachineId, LoadDigest>,
+    /// Last load digest that this daemon made for each engine it polled.
+    own_digests: BTreeMap<MachineId, LoadDigest>,
     directory: BackEndDirectory,
     cells: cells::CellMap,
-    /// Whether members changed since the cells were last shared out.
+    /// Whether members or machines changed since the cell subscribers were last computed.
     subscriptions_are_stale: bool,
     next_subscription: Timestamp,
-    /// Drains that routing has not come to rest for yet.
+    /// Drain marks that are not acknowledged yet because requests may still be in flight.
     unacknowledged: BTreeMap<MachineId, DrainVersion>,
     outbox: Outbox,
     configuration: Revision,
-    /// When the members' view was last published.
-    published: Timestamp,
-    /// Whether facts of members changed since.
+    /// Time at which the member view was last published.
+    published_at: Timestamp,
+    /// Whether member facts changed since the last published view.
     has_new_facts: bool,
-    /// Whether members changed since.
+    /// Whether members changed since the last published view.
     has_new_members: bool,
     next_gossip: Timestamp,
-    next_comparison: Timestamp,
-    pulled_facts: bool,
+    next_digest_exchange: Timestamp,
+    has_pulled_facts: bool,
     must_catch_up: bool,
     catching_up_since: Option<Timestamp>,
-    /// Answers to what was asked earlier say nothing of the marks that were made meanwhile.
-    trust_answers_from: Timestamp,
-    /// Revision of the machine list whose marks were taken.
-    list_taken: u64,
+    /// Pulls sent before this time do not count as catching up: their answers may lack marks made
+    /// while the process was suspended.
+    trusted_pulls_since: Timestamp,
+    /// Revision of the machine list whose drain marks were applied.
+    applied_list_revision: u64,
     next_catch_up: Timestamp,
+    /// Address of this actor, set when it starts.
     own: Option<xtra::WeakAddress<Self>>,
 }
 
 impl PeerActor {
-    pub(crate) fn new(runtime: &Runtime, links: PeerLinks, membership: Membership) -> Self {
-        let directory = BackEndDirectory::new(links.routing.clone());
+    pub(crate) fn new(runtime: &Runtime, deps: PeerDependencies, membership: Membership) -> Self {
+        let directory = BackEndDirectory::new(deps.routing.clone());
         Self {
             runtime: runtime.clone(),
             membership,
@@ -142,7 +145,7 @@
             views: ViewLeases::new(ponddrift_core::drain::ViewLeaseSettings::default()),
             facts: FactsTable::default(),
             load: LoadTable::new(LoadTableSettings::default()),
-            given: BTreeMap::new(),
+            own_digests: BTreeMap::new(),
             directory,
             cells: cells::CellMap::default(),
             subscriptions_are_stale: true,
@@ -150,19 +153,19 @@
             unacknowledged: BTreeMap::new(),
             outbox: Outbox::default(),
             configuration: Revision(0),
-            published: Timestamp::ZERO,
+            published_at: Timestamp::ZERO,
             has_new_facts: false,
             has_new_members: false,
             next_gossip: Timestamp::ZERO,
-            next_comparison: Timestamp::ZERO,
-            pulled_facts: false,
+            next_digest_exchange: Timestamp::ZERO,
+            has_pulled_facts: false,
             must_catch_up: true,
             catching_up_since: None,
-            trust_answers_from: Timestamp::ZERO,
-            list_taken: 0,
+            trusted_pulls_since: Timestamp::ZERO,
+            applied_list_revision: 0,
             next_catch_up: Timestamp::ZERO,
             own: None,
-            links,
+            deps,
         }
     }
 
@@ -175,7 +178,7 @@
         let actions = self.membership.handle(now, event);
         let mut is_changed = false;
         for action in actions {
-            is_changed |= self.carry_out(now, action);
+            is_changed |= self.execute_action(now, action);
         }
         if is_changed {
             self.subscriptions_are_stale = true;
@@ -183,8 +186,8 @@
         }
     }
 
-    /// Carries an action out. Returns whether the view of the members changed.
-    fn carry_out(&mut self, now: Timestamp, action: MembershipAction) -> bool {
+    /// Executes a membership action. Returns whether the members changed.
+    fn execute_action(&mut self, now: Timestamp, action: MembershipAction) -> bool {
         match action {
             MembershipAction::Send { address, message } => {
                 self.outbox.add(address, Part::Membership(message));
@@ -195,7 +198,7 @@
                     member = %record.machine, incarnation = %record.life.incarnation,
                     state = record.state.as_str(), "member changed"
                 );
-                self.note_configuration(
+                self.record_peer_revision(
                     record.machine,
                     record.life.incarnation,
                     record.facts.configuration,
@@ -204,7 +207,7 @@
             }
             MembershipAction::FactsChanged { member, facts } => {
                 if let Some(incarnation) = self.incarnation_of(member) {
-                    self.note_configuration(member, incarnation, facts.configuration);
+                    self.record_peer_revision(member, incarnation, facts.configuration);
                 }
                 self.has_new_facts = true;
                 false
@@ -216,35 +219,37 @@
             MembershipAction::Superseded(newer) => {
                 tracing::error!(
                     newer_incarnation = %newer,
-                    "another process runs under this machine's number: stop one of them"
+                    "another process uses this machine id; stop one of them"
                 );
                 false
             }
             MembershipAction::WokeAfterFreeze(gap) => {
-                self.woke(now, gap);
+                self.resumed(now, gap);
                 true
             }
         }
     }
 
-    /// Nothing that was known before the freeze is trusted until a peer or controller has answered.
-    fn woke(&mut self, now: Timestamp, gap: Duration) {
-        tracing::warn!(frozen_ms = gap.as_millis(), "this process was frozen");
+    /// Handles the resume after a suspension: nothing known from before is trusted until a peer or
+    /// controller has answered.
+    fn resumed(&mut self, now: Timestamp, gap: Duration) {
+        tracing::warn!(frozen_ms = gap.as_millis(), "this process was suspended");
         self.views.invalidate_after_freeze(now);
         self.must_catch_up = true;
-        self.trust_answers_from = now;
+        self.trusted_pulls_since = now;
         self.next_catch_up = now;
-        self.links.caught_up.send_replace(false);
-        self.links.woke.send_replace(now);
+        self.deps.caught_up.send_replace(false);
+        self.deps.resumed.send_replace(now);
     }
 
-    /// Publishes the view when contact changed, or facts did and the last view is old enough: a view of 370
-    /// daemons is not made at every tick. Changes of members are published at the end of each turn.
+    /// Publishes the member view if the contact state changed, or if facts changed and the last
+    /// view is old enough. The rate is limited because building a view copies all members. Member
+    /// changes are published in `flush`.
     fn publish_if_changed(&mut self) {
         let now = self.now();
         let contact = self.membership.contact(now);
-        let has_new_contact = contact != self.links.members.borrow().contact;
-        let is_due = self.has_new_facts && now.since(self.published) >= FACTS_PUBLISH_PERIOD;
+        let has_new_contact = contact != self.deps.members.borrow().contact;
+        let is_due = self.has_new_facts && now.since(self.published_at) >= FACTS_PUBLISH_PERIOD;
         if has_new_contact || is_due {
             self.publish_members();
         }
@@ -252,11 +257,11 @@
 
     pub(super) fn publish_members(&mut self) {
         let now = self.now();
-        self.published = now;
+        self.published_at = now;
         self.has_new_facts = false;
         self.has_new_members = false;
         let live: Vec<_> = self.membership.live().into_iter().cloned().collect();
-        self.links
+        self.deps
             .metrics
             .live_daemons
             .set(i64::try_from(live.len()).unwrap_or(i64::MAX));
@@ -266,20 +271,21 @@
             .filter(|record| !record.state.is_live());
         let view = MembersView {
             gone: gone.cloned().collect(),
-            own: self.links.identity.machine,
+            own: self.deps.identity.machine,
             live,
             contact: self.membership.contact(now),
         };
-        self.links.members.send_replace(Arc::new(view));
+        self.deps.members.send_replace(Arc::new(view));
     }
 
-    /// Ends a turn: publishes the members if any changed in it, and sends what was collected.
+    /// Called at the end of each message handler: publishes member changes and sends the queued
+    /// datagrams.
     async fn flush(&mut self) {
         if self.has_new_members {
             self.publish_members();
         }
-        let outgoing: Vec<Outgoing> = self.outbox.pack(self.links.identity);
-        socket::send_all(self.links.socket.as_ref(), &self.links.metrics, outgoing).await;
+        let outgoing: Vec<Outgoing> = self.outbox.pack(self.deps.identity);
+        socket::send_all(self.deps.socket.as_ref(), &self.deps.metrics, outgoing).await;
     }
 }
 
@@ -295,44 +301,45 @@
     async fn stopped(self) {}
 }
 
-/// Time passed.
+/// Periodic tick.
 pub(crate) struct Tick;
 
-/// This daemon polled engines.
+/// Results of polling engines.
 pub(crate) struct Polled(pub(crate) Vec<EngineObservation>);
 
-/// The machine list was read.
-pub(crate) struct FleetRead;
+/// A new machine list has been read.
+pub(crate) struct MachineListUpdated;
 
-/// Another configuration is in force here.
+/// This daemon has activated another configuration revision.
 pub(crate) struct ConfigurationAdopted(pub(crate) Revision);
 
-/// This daemon is ready, or leaving.
+/// Changes the readiness that this daemon announces.
 pub(crate) struct SetReadiness(pub(crate) Readiness);
 
-/// This daemon stops by plan.
-pub(crate) struct LeavePeers;
+/// Announces that this daemon leaves because of a graceful shutdown.
+pub(crate) struct LeaveMembership;
 
-/// The controller on this daemon marked back ends.
+/// Drain marks set by a controller on this daemon.
 pub(crate) struct ControllerMarks(pub(crate) Vec<DrainMark>);
 
-/// The controller on this daemon answers a view request, or has just taken over a cell.
+/// Sends a part from a controller on this daemon to a peer, for example the answer to a view
+/// request.
 pub(crate) struct ControllerAnswer {
     pub(crate) target: std::net::SocketAddr,
     pub(crate) part: Part,
 }
 
-/// A controller is known for a cell.
+/// Reports the controller of a cell.
 pub(crate) struct ControllerKnown {
     pub(crate) cell: CellName,
     pub(crate) controller: KnownController,
 }
 
-/// What arrived at this daemon, by model.
+/// Demand observed by this daemon, by model.
 pub(crate) struct ReportDemand(pub(crate) BTreeMap<ModelName, Vec<LevelDemand>>);
 
-/// Asks peers that are not known to have a revision in force.
-pub(crate) struct AskInForce(pub(crate) Vec<MachineId>);
+/// Asks these peers for their active configuration revision.
+pub(crate) struct RequestPeerRevisions(pub(crate) Vec<MachineId>);
 
 impl Handler<Tick> for PeerActor {
     type Return = ();
@@ -343,7 +350,7 @@
         self.tick_gossip();
         self.publish_if_changed();
         if self.subscriptions_are_stale && self.now() >= self.next_subscription {
-            self.subscribe_to_cells();
+            self.update_subscriptions();
         }
         self.flush().await;
     }
@@ -355,19 +362,19 @@
     async fn handle(&mut self, message: Polled, _context: &mut Context<Self>) {
         let observations = message.0.into_iter();
         let digests = observations
-            .map(|observation| self.observed(observation))
+            .map(|observation| self.record_observation(observation))
             .collect();
-        self.tell_subscribers(digests);
+        self.send_digests_to_subscribers(digests);
         self.refresh_directory();
         self.flush().await;
     }
 }
 
-impl Handler<FleetRead> for PeerActor {
+impl Handler<MachineListUpdated> for PeerActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: FleetRead, _context: &mut Context<Self>) {
-        self.read_fleet();
+    async fn handle(&mut self, _message: MachineListUpdated, _context: &mut Context<Self>) {
+        self.apply_machine_list();
         self.flush().await;
     }
 }
@@ -378,7 +385,7 @@
     async fn handle(&mut self, message: ConfigurationAdopted, _context: &mut Context<Self>) {
         self.configuration = message.0;
         self.member_event(MembershipEvent::ConfigurationInForce(message.0));
-        self.spread_configuration();
+        self.announce_configuration();
         self.flush().await;
     }
 }
@@ -393,10 +400,10 @@
     }
 }
 
-impl Handler<LeavePeers> for PeerActor {
+impl Handler<LeaveMembership> for PeerActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: LeavePeers, _context: &mut Context<Self>) {
+    async fn handle(&mut self, _message: LeaveMembership, _context: &mut Context<Self>) {
         self.member_event(MembershipEvent::Leave);
         self.publish_members();
         self.flush().await;
@@ -442,10 +449,10 @@
     }
 }
 
-impl Handler<AskInForce> for PeerActor {
+impl Handler<RequestPeerRevisions> for PeerActor {
     type Return = ();
 
-    async fn handle(&mut self, message: AskInForce, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: RequestPeerRevisions, _context: &mut Context<Self>) {
         for machine in message.0 {
             if let Some(record) = self.membership.member(machine) {
                 let target = record.peer_address;
--- a/crates/daemon/src/actors/routing.rs
+++ b/crates/daemon/src/actors/routing.rs
@@ -1,4 +1,4 @@
-//! Shell of routing and retries: one actor decides for all requests of the daemon.
+//! Actor for routing and retries. One instance decides for all requests of the daemon.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,16 +14,17 @@
 
 use super::tell;
 
-/// Holds the router and the retry policy.
+/// Holds the router, the retry policy and the validity of the views.
 pub(crate) struct RoutingActor {
     router: Router,
     retries: RetryPolicy,
     clock: Arc<dyn Clock>,
+    /// Address of this actor, set when it starts.
     own: Option<WeakAddress<Self>>,
-    /// Placements that were handed out and not given back, by back end.
+    /// Number of outstanding reservations, by back end.
     reserved: BTreeMap<MachineId, usize>,
     cells: BTreeMap<MachineId, CellName>,
-    /// Until when this daemon may route, by cell; `None` stands for plain back ends.
+    /// Until when this daemon may route, by cell; the key `None` stands for plain back ends.
     valid_until: BTreeMap<Option<CellName>, Timestamp>,
 }
 
@@ -47,7 +48,7 @@
             .is_some_and(|until| now < *until)
     }
 
-    fn choose(&mut self, mut request: RouteRequest) -> Result<ReservedPlacement, ChooseRefusal> {
+    fn choose(&mut self, mut request: RouteRequest) -> Result<ReservedPlacement, PlacementRefusal> {
         let now = self.clock.now();
         let expired = self
             .router
@@ -59,9 +60,9 @@
         let placement = match self.router.choose(now, &request) {
             Ok(placement) => placement,
             Err(_no_valid_view) if !expired.is_empty() || !is_any_valid => {
-                return Err(ChooseRefusal::ViewExpired);
+                return Err(PlacementRefusal::ViewExpired);
             }
-            Err(refusal) => return Err(ChooseRefusal::Routing(refusal)),
+            Err(refusal) => return Err(PlacementRefusal::Routing(refusal)),
         };
         let back_ends = back_ends_of(placement.plan);
         for back_end in &back_ends {
@@ -96,24 +97,25 @@
     async fn stopped(self) {}
 }
 
-/// Why there is no placement.
+/// Reason why no placement was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum ChooseRefusal {
-    /// Routing found none.
+pub(crate) enum PlacementRefusal {
+    /// The router found no usable back end.
     #[error(transparent)]
     Routing(RoutingRefusal),
-    /// This daemon's view is too old to route on: it was cut off or frozen, or has just started.
-    #[error("this daemon is catching up with its peers; send to another daemon or come back soon")]
+    /// The view of this daemon is too old for routing: the daemon was isolated or suspended, or has
+    /// just started.
+    #[error("this daemon is catching up with its peers; send to another daemon or retry shortly")]
     ViewExpired,
 }
 
-/// A placement with its reservation.
+/// A placement together with its reservation.
 pub(crate) struct ReservedPlacement {
     pub(crate) placement: Placement,
     pub(crate) reservation: Reservation,
 }
 
-/// Keeps the drains of the chosen back ends from being acknowledged until it is dropped.
+/// Prevents drains of the chosen back ends from being acknowledged until it is dropped.
 pub(crate) struct Reservation {
     routing: Option<WeakAddress<RoutingActor>>,
     back_ends: Vec<MachineId>,
@@ -123,66 +125,74 @@
     fn drop(&mut self) {
         let routing = self.routing.as_ref().and_then(WeakAddress::try_upgrade);
         if let Some(routing) = routing {
-            tell(&routing, GiveBack(std::mem::take(&mut self.back_ends)));
+            tell(
+                &routing,
+                ReleaseReservation(std::mem::take(&mut self.back_ends)),
+            );
         }
     }
 }
 
-struct GiveBack(Vec<MachineId>);
+struct ReleaseReservation(Vec<MachineId>);
 
-/// Asks where a request goes.
-pub(crate) struct Choose(pub(crate) RouteRequest);
+/// Chooses a placement for a request.
+pub(crate) struct ChoosePlacement(pub(crate) RouteRequest);
 
-/// Asks, right before sending, whether the view that a back end was chosen on still holds: time may have
-/// passed since, in a freeze, or while the prompt was read elsewhere for a hand-over.
-pub(crate) struct MaySend(pub(crate) MachineId);
+/// Checks right before sending that the view of the back end is still valid and the back end is not
+/// draining. Time may have passed since the placement, for example in a suspension or during the
+/// prefill on another engine.
+pub(crate) struct IsSendAllowed(pub(crate) MachineId);
 
-/// Asks whether nothing of this daemon is under way to a back end.
-pub(crate) struct IsAtRest(pub(crate) MachineId);
+/// Returns whether no request of this daemon is reserved for or in flight to a back end.
+pub(crate) struct IsIdle(pub(crate) MachineId);
 
-/// This daemon may route to a cell (`None`: to plain back ends) until then.
-pub(crate) struct ViewValid {
+/// Allows routing to a cell (`None`: to plain back ends) until this time.
+pub(crate) struct ExtendViewValidity {
     pub(crate) cell: Option<CellName>,
     pub(crate) until: Timestamp,
 }
 
-/// Asks what this daemon's own requests show of each back end.
-pub(crate) struct ViewBackEnds;
+/// Returns the status of each back end, judged by the requests of this daemon.
+pub(crate) struct BackEndStatusQuery;
 
-/// A back end as this daemon's own requests show it.
+/// Status of a back end, judged by the requests of this daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct BackEndStanding {
-    /// Own requests there that have not ended.
+pub(crate) struct BackEndStatus {
+    /// Requests of this daemon in flight to the back end.
     pub(crate) running: usize,
     pub(crate) eligibility: Eligibility,
-    /// Whether this daemon's view of the back end's cell is fresh enough to route on.
+    /// Whether the view of the cell is recent enough for routing.
     pub(crate) is_view_valid: bool,
 }
 
-/// Tells the router of something that happened.
+/// Passes an event to the router.
 pub(crate) struct Observe(pub(crate) RoutingEvent);
 
-/// Asks what to do after a failed attempt.
+/// Decides whether to retry after a failed attempt.
 pub(crate) struct AttemptFailed {
     pub(crate) outcome: AttemptOutcome,
     pub(crate) facts: RequestFacts,
 }
 
-/// A request was answered whole: it adds to the retry budget.
+/// Records a complete answer, which adds to the retry budget.
 pub(crate) struct RequestSucceeded;
 
-impl Handler<Choose> for RoutingActor {
-    type Return = Result<ReservedPlacement, ChooseRefusal>;
+impl Handler<ChoosePlacement> for RoutingActor {
+    type Return = Result<ReservedPlacement, PlacementRefusal>;
 
-    async fn handle(&mut self, message: Choose, _context: &mut Context<Self>) -> Self::Return {
+    async fn handle(
+        &mut self,
+        message: ChoosePlacement,
+        _context: &mut Context<Self>,
+    ) -> Self::Return {
         self.choose(message.0)
     }
 }
 
-impl Handler<GiveBack> for RoutingActor {
+impl Handler<ReleaseReservation> for RoutingActor {
     type Return = ();
 
-    async fn handle(&mut self, message: GiveBack, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReleaseReservation, _context: &mut Context<Self>) {
         for back_end in message.0 {
             if let Some(count) = self.reserved.get_mut(&back_end) {
                 *count = count.saturating_sub(1);
@@ -192,45 +202,45 @@
     }
 }
 
-impl Handler<MaySend> for RoutingActor {
+impl Handler<IsSendAllowed> for RoutingActor {
     type Return = bool;
 
-    async fn handle(&mut self, message: MaySend, _context: &mut Context<Self>) -> bool {
+    async fn handle(&mut self, message: IsSendAllowed, _context: &mut Context<Self>) -> bool {
         self.is_valid(self.clock.now(), message.0) && !self.router.is_draining(message.0)
     }
 }
 
-impl Handler<IsAtRest> for RoutingActor {
+impl Handler<IsIdle> for RoutingActor {
     type Return = bool;
 
-    async fn handle(&mut self, message: IsAtRest, _context: &mut Context<Self>) -> bool {
+    async fn handle(&mut self, message: IsIdle, _context: &mut Context<Self>) -> bool {
         !self.reserved.contains_key(&message.0) && self.router.in_flight(message.0) == 0
     }
 }
 
-impl Handler<ViewBackEnds> for RoutingActor {
-    type Return = BTreeMap<MachineId, BackEndStanding>;
+impl Handler<BackEndStatusQuery> for RoutingActor {
+    type Return = BTreeMap<MachineId, BackEndStatus>;
 
     async fn handle(
         &mut self,
-        _message: ViewBackEnds,
+        _message: BackEndStatusQuery,
         _context: &mut Context<Self>,
     ) -> Self::Return {
         let now = self.clock.now();
-        let standing = |back_end: MachineId| BackEndStanding {
+        let status = |back_end: MachineId| BackEndStatus {
             running: self.router.in_flight(back_end),
             eligibility: self.router.eligibility(now, back_end),
             is_view_valid: self.is_valid(now, back_end),
         };
         let back_ends = self.router.back_ends();
-        back_ends.map(|id| (id, standing(id))).collect()
+        back_ends.map(|id| (id, status(id))).collect()
     }
 }
 
-impl Handler<ViewValid> for RoutingActor {
+impl Handler<ExtendViewValidity> for RoutingActor {
     type Return = ();
 
-    async fn handle(&mut self, message: ViewValid, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ExtendViewValidity, _context: &mut Context<Self>) {
         self.valid_until.insert(message.cell, message.until);
     }
 }
