--- a/crates/daemon/src/actors/controller/planning.rs
+++ b/crates/daemon/src/actors/controller/planning.rs
@@ -232,7 +232,7 @@
     match reason {
         RoleReason::Gain(comparison) => format!(
             "expected share in time {:.3} instead of {:.3}; demand {:.0} prompt and {:.0} output \
-             tokens per second, forecast {:.0} and {:.0}",
+             tokens a second, {:.0} and {:.0} ahead",
             comparison.goodput_changed,
             comparison.goodput_kept,
             comparison.demand.prompt_tokens_now,
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -239,7 +239,7 @@
     }
     plain_text(
         StatusCode::SERVICE_UNAVAILABLE,
-        "no configuration yet, or not caught up with the other daemons yet\n",
+        "no configuration, or no reading of the back ends yet\n",
     )
 }
 
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -37,7 +37,7 @@
 
 fn reason_text(reason: &PlacementReason) -> String {
     let mut text = format!(
-        "first token expected in {} ms and the whole answer in {} ms; {} of {} eligible back ends compared",
+        "first token expected in {} ms and the whole answer in {} ms; {} weighed of {} eligible",
         reason.expected_first_token.as_millis(),
         reason.expected_total.as_millis(),
         reason.weighed.len(),
@@ -64,7 +64,7 @@
         None => write!(text, ", load not known"),
     };
     if candidate.probe {
-        text.push_str(", probe after being set aside");
+        text.push_str(", a probe after it was set aside");
     }
     text
 }
