--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -27,7 +27,7 @@
 use crate::actors::peer::{ControllerInput, ControllerKnown, KnownController, PeerActor};
 use crate::actors::tell;
 use crate::decisions::DecisionLog;
-use crate::fleet::FleetReceiver;
+use crate::fleet::MachineListReceiver;
 use crate::peer::PeerIdentity;
 use crate::peer::view::MembersView;
 use crate::settings::Settings;
@@ -49,7 +49,7 @@
     pub(crate) load: LoadClient,
     pub(crate) peers: Address<PeerActor>,
     pub(crate) members: watch::Receiver<Arc<MembersView>>,
-    pub(crate) fleet: FleetReceiver,
+    pub(crate) fleet: MachineListReceiver,
     pub(crate) configuration: watch::Receiver<Arc<Configuration>>,
     pub(crate) decisions: DecisionLog,
 }
@@ -154,7 +154,7 @@
     fn take_office(&mut self, now: Timestamp, token: FencingToken) {
         tracing::info!(cell = %self.cell, %token, "this daemon is the cell's controller");
         let engines = self.cell_engines().len();
-        let share = usize::from(self.links.settings.control.engines_away_percent);
+        let share = usize::from(self.links.settings.control.maximum_unavailable_percent);
         let orders = OrdersSettings {
             maximum_away: (engines * share / 100).max(LEAST_AWAY),
             read_period: self.links.settings.control.reconcile_interval,
--- a/crates/daemon/src/actors/peer.rs
+++ b/crates/daemon/src/actors/peer.rs
@@ -29,10 +29,10 @@
 use crate::actors::configuration::ConfigurationActor;
 use crate::actors::routing::RoutingActor;
 use crate::back_ends::BackEndDirectory;
-use crate::fleet::FleetReceiver;
+use crate::fleet::MachineListReceiver;
 use crate::metrics::Metrics;
 use crate::peer::client::PeerClient;
-use crate::peer::outbox::{Outbox, Outgoing};
+use crate::peer::outbox::{Outbox, OutgoingDatagram};
 use crate::peer::view::MembersView;
 use crate::peer::{PeerIdentity, socket};
 use crate::polling::EngineObservation;
@@ -83,7 +83,7 @@
     pub(crate) members: watch::Sender<Arc<MembersView>>,
     pub(crate) controllers: watch::Sender<BTreeMap<CellName, KnownController>>,
     pub(crate) controller_inputs: mpsc::UnboundedSender<(CellName, ControllerInput)>,
-    pub(crate) fleet: FleetReceiver,
+    pub(crate) fleet: MachineListReceiver,
     /// When the last reading of the machine list that succeeded began.
     pub(crate) list_confirmed: watch::Receiver<Timestamp>,
     pub(crate) metrics: Arc<Metrics>,
@@ -278,7 +278,7 @@
         if self.has_new_members {
             self.publish_members();
         }
-        let outgoing: Vec<Outgoing> = self.outbox.pack(self.links.identity);
+        let outgoing: Vec<OutgoingDatagram> = self.outbox.pack(self.links.identity);
         socket::send_all(self.links.socket.as_ref(), &self.links.metrics, outgoing).await;
     }
 }
--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -41,7 +41,7 @@
 use crate::actors::{start, tell};
 use crate::configuration;
 use crate::decisions::DecisionLog;
-use crate::fleet::{self, FleetReceiver, FleetSenders};
+use crate::fleet::{self, MachineListReceiver, MachineListSenders};
 use crate::gateway::{ClaimLinks, Gateway, GatewayContext};
 use crate::metrics::Metrics;
 use crate::operator::{Fixed, OperatorContext, OperatorEndpoint};
@@ -51,7 +51,7 @@
 use crate::peer::view::MembersView;
 use crate::peer::{PeerIdentity, server};
 use crate::polling::{self, EnginePoller};
-use crate::requests::RequestRegister;
+use crate::requests::RequestRegistry;
 use crate::settings::Settings;
 
 /// Time limit of a request to a peer.
@@ -116,7 +116,7 @@
     client: Client,
     metrics: Arc<Metrics>,
     decisions: DecisionLog,
-    fleet: FleetReceiver,
+    fleet: MachineListReceiver,
     list_confirmed: watch::Receiver<Timestamp>,
     configuration: watch::Receiver<Arc<Configuration>>,
     configuration_actor: Address<ConfigurationActor>,
@@ -146,7 +146,7 @@
             Arc::new(machine_list),
             settings.platform.machine_list_interval,
             Arc::clone(&runtime.clock),
-            FleetSenders { list, confirmed },
+            MachineListSenders { list, confirmed },
         )));
         let (configuration_sender, configuration) =
             watch::channel(Arc::new(Configuration::default()));
@@ -230,7 +230,7 @@
             client: shared.peer_client(),
         },
         demand: Arc::default(),
-        requests: RequestRegister::default(),
+        requests: RequestRegistry::default(),
         stopping: watch::Sender::new(false),
     };
     (Arc::new(context), caught_up_sender)
--- a/crates/daemon/src/daemon/claim_groups.rs
+++ b/crates/daemon/src/daemon/claim_groups.rs
@@ -21,7 +21,7 @@
 
 use crate::actors::claims::{ClaimsActor, TakeShardMap};
 use crate::actors::tell;
-use crate::fleet::FleetReceiver;
+use crate::fleet::MachineListReceiver;
 use crate::peer::client::PeerClient;
 use crate::peer::view::MembersView;
 
@@ -43,7 +43,7 @@
     pub(super) claims: Address<ClaimsActor>,
     pub(super) shard_map: watch::Receiver<Arc<ShardMap>>,
     pub(super) members: watch::Receiver<Arc<MembersView>>,
-    pub(super) fleet: FleetReceiver,
+    pub(super) fleet: MachineListReceiver,
 }
 
 /// The map as it was read, with the revision that the next one is compared with.
--- a/crates/daemon/src/daemon/duties.rs
+++ b/crates/daemon/src/daemon/duties.rs
@@ -18,7 +18,7 @@
 use crate::actors::peer::receive::Received;
 use crate::actors::peer::{ConfigurationAdopted, FleetRead, PeerActor, ReportDemand, TICK, Tick};
 use crate::actors::{ask, tell};
-use crate::fleet::FleetReceiver;
+use crate::fleet::MachineListReceiver;
 use crate::metrics::Metrics;
 use crate::peer::view::MembersView;
 use crate::peer::{PeerIdentity, socket};
@@ -76,7 +76,7 @@
 }
 
 /// Tells the peer actor of each new machine list.
-pub(super) async fn pass_on_fleet(mut fleet: FleetReceiver, peers: Address<PeerActor>) {
+pub(super) async fn pass_on_fleet(mut fleet: MachineListReceiver, peers: Address<PeerActor>) {
     while fleet.changed().await.is_ok() {
         tell(&peers, FleetRead);
     }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -9,10 +9,10 @@
 use ponddrift_runtime::{Clock, watch};
 
 /// Latest list read; revision 0 before the first reading.
-pub(crate) type FleetReceiver = watch::Receiver<Arc<MachineList>>;
+pub(crate) type MachineListReceiver = watch::Receiver<Arc<MachineList>>;
 
 /// Where readings go.
-pub(crate) struct FleetSenders {
+pub(crate) struct MachineListSenders {
     /// The latest list.
     pub(crate) list: watch::Sender<Arc<MachineList>>,
     /// When the last reading that succeeded began, told after its list.
@@ -24,7 +24,7 @@
     source: Arc<dyn MachineListSource>,
     interval: Duration,
     clock: Arc<dyn Clock>,
-    senders: FleetSenders,
+    senders: MachineListSenders,
 ) {
     let mut ticker = tokio::time::interval(interval);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -39,11 +39,11 @@
 use crate::actors::admission::AdmissionActor;
 use crate::actors::routing::RoutingActor;
 use crate::decisions::DecisionLog;
-use crate::fleet::FleetReceiver;
+use crate::fleet::MachineListReceiver;
 use crate::metrics::Metrics;
 use crate::peer::client::PeerClient;
 use crate::peer::view::MembersView;
-use crate::requests::RequestRegister;
+use crate::requests::RequestRegistry;
 use crate::settings::Settings;
 
 /// Path of plain services: `/services/<name>/<path at the back end>`.
@@ -70,7 +70,7 @@
     pub(crate) settings: Settings,
     pub(crate) client: Client,
     pub(crate) completions: CompletionsClient,
-    pub(crate) fleet: FleetReceiver,
+    pub(crate) fleet: MachineListReceiver,
     pub(crate) configuration: watch::Receiver<Arc<Configuration>>,
     pub(crate) routing: Address<RoutingActor>,
     /// Admission of completions.
@@ -85,7 +85,7 @@
     pub(crate) claims: ClaimLinks,
     /// What arrived since the last report to the controllers.
     pub(crate) demand: Arc<Mutex<DemandCounter>>,
-    pub(crate) requests: RequestRegister,
+    pub(crate) requests: RequestRegistry,
     /// Whether a planned stop has begun.
     pub(crate) stopping: watch::Sender<bool>,
 }
--- a/crates/daemon/src/gateway/permit.rs
+++ b/crates/daemon/src/gateway/permit.rs
@@ -15,7 +15,7 @@
 use super::dispatch::stopped;
 use crate::actors::admission::{AdmissionActor, Arrive, Inform, Leave};
 use crate::actors::{ActorStopped, tell};
-use crate::requests::RegisterEntry;
+use crate::requests::RequestGuard;
 
 /// A request's place in admission; dropped, it gives the place back.
 pub(super) struct Permit {
@@ -27,7 +27,7 @@
     used_tokens: u32,
     work: WorkUnits,
     elapsed: Option<Duration>,
-    entry: RegisterEntry,
+    entry: RequestGuard,
 }
 
 impl Permit {
@@ -40,7 +40,7 @@
         clock: &Arc<dyn Clock>,
         request: AdmissionRequest,
         work: WorkUnits,
-        entry: RegisterEntry,
+        entry: RequestGuard,
     ) -> Result<Self, Problem> {
         let mut permit = Self {
             admission: admission.clone(),
--- a/crates/daemon/src/peer/outbox.rs
+++ b/crates/daemon/src/peer/outbox.rs
@@ -12,7 +12,7 @@
 
 /// An encoded datagram with its target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingDatagram {
     pub(crate) target: SocketAddr,
     pub(crate) bytes: Vec<u8>,
 }
@@ -29,7 +29,7 @@
     }
 
     /// Packs everything collected. A part that fits no datagram is dropped and logged.
-    pub(crate) fn pack(&mut self, identity: PeerIdentity) -> Vec<Outgoing> {
+    pub(crate) fn pack(&mut self, identity: PeerIdentity) -> Vec<OutgoingDatagram> {
         let mut outgoing = Vec::new();
         for (target, parts) in std::mem::take(&mut self.parts) {
             let mut packer = Packer {
@@ -55,7 +55,7 @@
 }
 
 impl Packer {
-    fn add(&mut self, part: Part, outgoing: &mut Vec<Outgoing>) {
+    fn add(&mut self, part: Part, outgoing: &mut Vec<OutgoingDatagram>) {
         let length = borsh::object_length(&part).unwrap_or(usize::MAX);
         let is_full = self.bytes.saturating_add(length) > MAXIMUM_DATAGRAM_BYTES
             || self.body.len() == MAXIMUM_PARTS;
@@ -66,7 +66,7 @@
         self.body.push(part);
     }
 
-    fn flush(&mut self, outgoing: &mut Vec<Outgoing>) {
+    fn flush(&mut self, outgoing: &mut Vec<OutgoingDatagram>) {
         self.bytes = ENVELOPE_BYTES;
         if self.body.is_empty() {
             return;
@@ -78,7 +78,7 @@
             body: std::mem::take(&mut self.body),
         };
         match encode_datagram(&datagram) {
-            Ok(bytes) => outgoing.push(Outgoing {
+            Ok(bytes) => outgoing.push(OutgoingDatagram {
                 target: self.target,
                 bytes,
             }),
--- a/crates/daemon/src/peer/socket.rs
+++ b/crates/daemon/src/peer/socket.rs
@@ -8,7 +8,7 @@
 use ponddrift_runtime::{BoxedDatagram, BoxedListener, Datagram as DatagramSocket, Runtime};
 
 use super::PeerIdentity;
-use super::outbox::Outgoing;
+use super::outbox::OutgoingDatagram;
 use crate::metrics::{Direction, Metrics};
 
 /// Tries to find a port that is free for both, when the system chooses it.
@@ -48,7 +48,7 @@
 pub(crate) async fn send_all(
     socket: &dyn DatagramSocket,
     metrics: &Metrics,
-    outgoing: Vec<Outgoing>,
+    outgoing: Vec<OutgoingDatagram>,
 ) {
     for datagram in outgoing {
         metrics.datagram(Direction::Sent, datagram.bytes.len());
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -19,7 +19,7 @@
 
 use crate::actors::ask;
 use crate::actors::peer::{PeerActor, Polled};
-use crate::fleet::FleetReceiver;
+use crate::fleet::MachineListReceiver;
 use crate::peer::view::MembersView;
 
 /// Daemons that poll one engine: a second one goes on when the first has just died.
@@ -174,7 +174,7 @@
 pub(crate) async fn follow(
     poller: EnginePoller,
     interval: Duration,
-    fleet: FleetReceiver,
+    fleet: MachineListReceiver,
     members: watch::Receiver<Arc<MembersView>>,
     peers: Address<PeerActor>,
 ) {
@@ -204,7 +204,7 @@
 
 impl Assigned {
     fn new(
-        fleet: &FleetReceiver,
+        fleet: &MachineListReceiver,
         members: &watch::Receiver<Arc<MembersView>>,
         is_joining: bool,
     ) -> Self {
@@ -221,7 +221,7 @@
 
     fn refresh(
         &mut self,
-        fleet: &FleetReceiver,
+        fleet: &MachineListReceiver,
         members: &watch::Receiver<Arc<MembersView>>,
         is_joining: bool,
     ) {
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -45,18 +45,18 @@
 
 /// All requests in progress; clones share them.
 #[derive(Clone, Default)]
-pub(crate) struct RequestRegister {
+pub(crate) struct RequestRegistry {
     entries: Arc<Mutex<Entries>>,
 }
 
-impl RequestRegister {
+impl RequestRegistry {
     /// Adds a request that waits for admission; it goes when the entry is dropped.
     pub(crate) fn enter(
         &self,
         request: &AdmissionRequest,
         prompt_tokens: u32,
         now: Timestamp,
-    ) -> RegisterEntry {
+    ) -> RequestGuard {
         let in_progress = RequestInProgress {
             id: request.id,
             service: request.service.clone(),
@@ -69,7 +69,7 @@
             attempts: 0,
         };
         self.lock().insert(request.id, in_progress);
-        RegisterEntry {
+        RequestGuard {
             register: self.clone(),
             id: request.id,
         }
@@ -91,12 +91,12 @@
 }
 
 /// A request's entry; it is removed when this is dropped.
-pub(crate) struct RegisterEntry {
-    register: RequestRegister,
+pub(crate) struct RequestGuard {
+    register: RequestRegistry,
     id: RequestId,
 }
 
-impl RegisterEntry {
+impl RequestGuard {
     /// The request was admitted.
     pub(crate) fn admitted(&self) {
         self.change(|entry| entry.state = RequestState::Running);
@@ -120,7 +120,7 @@
     }
 }
 
-impl Drop for RegisterEntry {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.register.lock().remove(&self.id);
     }
--- a/crates/daemon/src/settings/load.rs
+++ b/crates/daemon/src/settings/load.rs
@@ -298,7 +298,7 @@
         lease_time: reader.milliseconds("control.lease_ms", 10_000, 1_000..=600_000),
         order_time_limit: reader.milliseconds("control.order_time_limit_ms", 1_000, 10..=60_000),
         reconcile_interval: reader.milliseconds("control.reconcile_interval_ms", 500, 10..=60_000),
-        engines_away_percent: u8::try_from(engines_away).unwrap_or(100),
+        maximum_unavailable_percent: u8::try_from(engines_away).unwrap_or(100),
     };
     if control.lease_time < control.order_time_limit * 4 {
         let remedy = "must be at least four times control.order_time_limit_ms: raise it";
--- a/crates/daemon/src/settings/model.rs
+++ b/crates/daemon/src/settings/model.rs
@@ -133,7 +133,7 @@
     /// Time between two rounds of reconciliation.
     pub reconcile_interval: Duration,
     /// Most engines of a cell that are away at once, in per cent.
-    pub engines_away_percent: u8,
+    pub maximum_unavailable_percent: u8,
 }
 
 /// Which of the two figures weighs more.
