--- a/crates/daemon/src/back_ends.rs
+++ b/crates/daemon/src/back_ends.rs
@@ -1,4 +1,4 @@
-//! Tells routing which back ends there are and what they hold.
+//! Keeps routing informed of the available back ends and the models they have loaded.
 
 use std::collections::BTreeSet;
 
@@ -13,10 +13,10 @@
 use crate::actors::routing::{Observe, RoutingActor};
 use crate::actors::tell;
 
-/// Back ends as the machine list, the engines' facts and the drain marks show them.
+/// Back ends derived from the machine list, the engine facts and the drain marks.
 pub(crate) struct BackEndDirectory {
     routing: Address<RoutingActor>,
-    told: IndexMap<MachineId, BackEndView>,
+    published: IndexMap<MachineId, BackEndView>,
     is_stale: bool,
 }
 
@@ -24,37 +24,37 @@
     pub(crate) fn new(routing: Address<RoutingActor>) -> Self {
         Self {
             routing,
-            told: IndexMap::new(),
+            published: IndexMap::new(),
             is_stale: true,
         }
     }
 
-    /// Something changed that the next refresh has to look at.
+    /// Makes the next `refresh` recompute the back ends.
     pub(crate) fn mark_stale(&mut self) {
         self.is_stale = true;
     }
 
-    /// Routing was told directly that a back end drains, or does so no longer.
+    /// Records a drain change that was already sent to routing.
     pub(crate) fn note_draining(&mut self, back_end: MachineId, draining: bool) {
-        if let Some(view) = self.told.get_mut(&back_end) {
+        if let Some(view) = self.published.get_mut(&back_end) {
             view.draining = draining;
         }
     }
 
-    /// Tells routing what changed, if anything did.
+    /// Sends routing the changes since the last refresh.
     pub(crate) fn refresh(&mut self, list: &MachineList, facts: &FactsTable, drains: &DrainTable) {
         if !std::mem::take(&mut self.is_stale) {
             return;
         }
         let listed: BTreeSet<MachineId> = list.machines.iter().map(|machine| machine.id).collect();
         let gone: Vec<MachineId> = self
-            .told
+            .published
             .keys()
             .copied()
             .filter(|id| !listed.contains(id))
             .collect();
         for id in gone {
-            self.told.shift_remove(&id);
+            self.published.shift_remove(&id);
             tell(&self.routing, Observe(RoutingEvent::Removed(id)));
         }
         for machine in &list.machines {
@@ -62,8 +62,8 @@
             let Some(view) = view(machine, facts.get(machine.id), draining) else {
                 continue;
             };
-            if self.told.get(&machine.id) != Some(&view) {
-                self.told.insert(machine.id, view.clone());
+            if self.published.get(&machine.id) != Some(&view) {
+                self.published.insert(machine.id, view.clone());
                 tell(&self.routing, Observe(RoutingEvent::BackEnd(view)));
             }
         }
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Following the configuration in the key-value service, while this daemon is one that watches it.
+//! Watches the configuration in the key-value service while this daemon is an elected watcher.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use crate::actors::ask;
 use crate::actors::configuration::{ConfigurationActor, TakeDelta, TakeSnapshot};
 
-/// First pause after a failure; it doubles up to [`LONGEST_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause: the store is back within this time of being reachable again.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// Initial backoff after a failure; it doubles up to [`MAXIMUM_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Maximum backoff; bounds the delay until the store is read again after an outage.
+const MAXIMUM_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Why following was interrupted.
+/// Reason why the watch was interrupted.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FollowError {
     /// The store failed.
@@ -32,8 +32,8 @@
     Key(#[from] KeyError),
     /// A value is not UTF-8.
     #[error("the value of {0} is not text: write the record again")]
-    NotText(String),
-    /// Something between two revisions is missing.
+    NotUtf8(String),
+    /// A change between two revisions is missing.
     #[error("a change between two revisions is missing: reading everything")]
     Gap,
     /// The daemon is ending.
@@ -41,18 +41,18 @@
     Stopped(#[from] crate::actors::ActorStopped),
 }
 
-/// Follows the store while `is_watcher` is true.
+/// Watches the store while `is_watcher` is true.
 pub(crate) async fn follow(
     store: Arc<dyn KeyValueStore>,
     configuration: Address<ConfigurationActor>,
     mut is_watcher: watch::Receiver<bool>,
 ) {
-    let mut pause = FIRST_PAUSE;
+    let mut pause = INITIAL_BACKOFF;
     loop {
         if is_watcher.wait_for(|is_watcher| *is_watcher).await.is_err() {
             return;
         }
-        let following = watch_once(store.as_ref(), &configuration, &mut pause);
+        let following = read_and_watch(store.as_ref(), &configuration, &mut pause);
         let ended = match is_watcher
             .run_while(|is_watcher| *is_watcher, following)
             .await
@@ -65,12 +65,12 @@
             tracing::info!(%error, "following the configuration was interrupted");
         }
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAXIMUM_BACKOFF);
     }
 }
 
-/// Reads everything, then follows the changes until something fails.
-async fn watch_once(
+/// Reads the whole configuration, then applies watch events until an error occurs.
+async fn read_and_watch(
     store: &dyn KeyValueStore,
     configuration: &Address<ConfigurationActor>,
     pause: &mut Duration,
@@ -81,9 +81,9 @@
     let mut events = store
         .watch(CONFIGURATION_PREFIX, Revision(range.revision.0 + 1))
         .await?;
-    *pause = FIRST_PAUSE;
+    *pause = INITIAL_BACKOFF;
     while let Some(batch) = events.next().await {
-        for (revision, writes) in by_revision(batch?)? {
+        for (revision, writes) in group_by_revision(batch?)? {
             let delta = delta_from_writes(revision, &writes)?;
             let outcome = ask(configuration, TakeDelta(delta)).await?;
             if matches!(outcome, DeltaOutcome::Gap { .. }) {
@@ -96,10 +96,10 @@
 
 fn text(value: &StoredValue) -> Result<String, FollowError> {
     String::from_utf8(value.value.to_vec())
-        .map_err(|_not_text| FollowError::NotText(value.key.clone()))
+        .map_err(|_not_text| FollowError::NotUtf8(value.key.clone()))
 }
 
-/// The stored values as the configuration's own reader takes them.
+/// Converts stored values to configuration entries.
 pub(crate) fn entries(range: &RangeResult) -> Result<Vec<StoredEntry>, FollowError> {
     let entry = |value: &StoredValue| {
         Ok(StoredEntry {
@@ -114,7 +114,7 @@
 /// The writes of one revision.
 type RevisionWrites = (Revision, Vec<KeyWrite>);
 
-fn by_revision(events: Vec<WatchEvent>) -> Result<Vec<RevisionWrites>, FollowError> {
+fn group_by_revision(events: Vec<WatchEvent>) -> Result<Vec<RevisionWrites>, FollowError> {
     let mut batches: Vec<RevisionWrites> = Vec::new();
     for event in events {
         let (revision, write) = match event {
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A running daemon: starting it and stopping it.
+//! Startup and graceful shutdown of a daemon.
 
 mod addresses;
 mod assemble;
@@ -27,10 +27,10 @@
 use crate::actors::peer::{LeavePeers, PeerActor, SetReadiness};
 use crate::gateway::GatewayContext;
 
-/// Longest wait of a planned stop for other daemons to take its claims over.
+/// Maximum time that a graceful shutdown waits for other daemons to take over this daemon's claims.
 const HANDOVER_LIMIT: Duration = Duration::from_secs(20);
-/// Time between two looks at whether all peers know.
-const HANDOVER_LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between checks that all peers have the new shard map.
+const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running daemon.
 pub struct Daemon {
@@ -43,24 +43,24 @@
 }
 
 impl Daemon {
-    /// Addresses that were bound.
+    /// Addresses that the daemon's sockets are bound to.
     #[must_use]
     pub fn addresses(&self) -> DaemonAddresses {
         self.addresses
     }
 
-    /// Gives the leases of this daemon's controllers back.
+    /// Releases the leases of this daemon's controllers.
     async fn step_down(&self) {
         let (stopped, is_stopped) = oneshot::channel();
         if self.stop_controllers.send(stopped).await.is_ok() {
-            // Without an answer the controllers have ended by themselves.
+            // An error means that the supervisor has already stopped.
             let _ended = is_stopped.await;
         }
     }
 
-    /// Waits until other daemons keep the claims of this one. Without it two planned stops in a row could take
-    /// a claim group's majority away, and its keys would be refused for a quarantine.
-    async fn hand_claims_over(&self) {
+    /// Waits until no claim group contains this daemon. Otherwise two successive shutdowns could
+    /// remove a group's majority, and its keys would be refused during a quarantine.
+    async fn hand_over_claims(&self) {
         let own = self.context.claims.own;
         let others = self.context.claims.members.borrow().serving().count();
         if others < GROUP_SIZE {
@@ -73,7 +73,7 @@
                     return;
                 }
             }
-            self.await_peers_with_the_map().await;
+            self.await_shard_map_propagation().await;
         };
         if tokio::time::timeout(HANDOVER_LIMIT, handed_over)
             .await
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Waits until no serving peer that answers knows a map any more that names this daemon. A peer with the older map
-    /// would ask this daemon for keys after its end, and refuse them.
-    async fn await_peers_with_the_map(&self) {
+    /// Waits until no reachable serving peer has a shard map that names this daemon. A peer with an
+    /// outdated map would query this daemon after it has stopped, and refuse the keys concerned.
+    async fn await_shard_map_propagation(&self) {
         let claims = &self.context.claims;
         loop {
             let peers: Vec<SocketAddr> = claims
@@ -104,18 +104,19 @@
             if !is_behind {
                 return;
             }
-            tokio::time::sleep(HANDOVER_LOOK_INTERVAL).await;
+            tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
         }
     }
 
-    /// A planned stop: takes nothing new, lets every request in progress end, then leaves its peers.
+    /// Shuts down gracefully: rejects new requests, completes those in progress, then leaves the
+    /// cluster.
     pub async fn stop(&self) {
         self.context.begin_stop();
-        // An actor that has stopped already needs no telling.
+        // The actor may have stopped already.
         let _told = ask(&self.peers, SetReadiness(Readiness::Leaving)).await;
         self.step_down().await;
         self.gateway.stop().await;
-        self.hand_claims_over().await;
+        self.hand_over_claims().await;
         self.operator.stop().await;
         let _left = ask(&self.peers, LeavePeers).await;
     }
--- a/crates/daemon/src/daemon/addresses.rs
+++ b/crates/daemon/src/daemon/addresses.rs
@@ -2,13 +2,13 @@
 
 use std::net::SocketAddr;
 
-/// Addresses that were bound.
+/// Addresses that the daemon's sockets are bound to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct DaemonAddresses {
-    /// HTTP of callers.
+    /// HTTP address for callers.
     pub gateway: SocketAddr,
-    /// HTTP of operators.
+    /// HTTP address for operators.
     pub operator: SocketAddr,
-    /// UDP and TCP of other daemons.
+    /// UDP and TCP address for other daemons.
     pub peer: SocketAddr,
 }
--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a daemon together. Nothing is decided here.
+//! Constructs the components of a daemon and connects them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -46,7 +46,7 @@
 use crate::metrics::Metrics;
 use crate::operator::{Fixed, OperatorContext, OperatorEndpoint};
 use crate::peer::client::PeerClient;
-use crate::peer::requests::PeerRequests;
+use crate::peer::requests::PeerRequestHandler;
 use crate::peer::socket::{self, PeerSockets};
 use crate::peer::view::MembersView;
 use crate::peer::{PeerIdentity, server};
@@ -54,14 +54,14 @@
 use crate::requests::RequestRegistry;
 use crate::settings::Settings;
 
-/// Time limit of a request to a peer.
+/// Timeout of a request to a peer.
 const PEER_TIME_LIMIT: Duration = Duration::from_secs(2);
 
 impl Daemon {
-    /// Starts a daemon. `incarnation` must be larger than that of any earlier start of this machine.
+    /// Starts a daemon. `incarnation` must be larger than in any previous start of this machine.
     ///
     /// # Errors
-    /// [`StartError`] when an address cannot be bound.
+    /// Returns [`StartError`] when an address cannot be bound.
     pub async fn start(
         runtime: Runtime,
         settings: Settings,
@@ -108,7 +108,7 @@
     }
 }
 
-/// What many parts need.
+/// Dependencies shared by several components.
 struct Shared {
     runtime: Runtime,
     settings: Settings,
@@ -271,7 +271,7 @@
         identity,
         ..
     } = shared;
-    // Daemons of one process may share a seed; their change ids must differ all the same.
+    // Daemons in one process may share a seed, but their change ids must differ.
     let life = format!("operator {} {}", identity.machine, identity.incarnation);
     OperatorContext {
         gateway: Arc::clone(gateway),
@@ -348,7 +348,7 @@
     };
     let membership = Membership::new(membership_settings(settings), own, runtime.seed);
     let peers = start(runtime, PeerActor::new(runtime, links, membership));
-    let requests = PeerRequests {
+    let requests = PeerRequestHandler {
         configuration: shared.configuration_actor.clone(),
         peers: peers.clone(),
         claims: shared.claims_actor.clone(),
@@ -369,11 +369,11 @@
         peers.clone(),
     )));
     spawn(Box::pin(duties::tick(peers.clone())));
-    spawn(Box::pin(duties::pass_on_fleet(
+    spawn(Box::pin(duties::forward_machine_list(
         shared.fleet.clone(),
         peers.clone(),
     )));
-    spawn(Box::pin(duties::pass_on_configuration(
+    spawn(Box::pin(duties::forward_configuration(
         shared.configuration.clone(),
         peers.clone(),
     )));
@@ -446,7 +446,7 @@
     }
 }
 
-/// What the daemon keeps of its peers' side.
+/// Handles to the peer components that the daemon needs for its shutdown.
 struct PeerSide {
     peers: Address<PeerActor>,
     stop_controllers: mpsc::Sender<oneshot::Sender<()>>,
--- a/crates/daemon/src/daemon/claim_groups.rs
+++ b/crates/daemon/src/daemon/claim_groups.rs
@@ -1,5 +1,5 @@
-//! Plans the claim groups and carries their changes out: the work of one daemon at a time, though nothing
-//! depends on its being only one.
+//! Plans the claim groups and applies membership changes to them. Normally one daemon does this at
+//! a time; correctness does not depend on that.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,18 +25,18 @@
 use crate::peer::client::PeerClient;
 use crate::peer::view::MembersView;
 
-/// Key of the shard map.
+/// Key of the shard map in the key-value store.
 const SHARD_MAP_KEY: &str = "ponddrift/claims/shard_map";
-/// Shards of a new map. A key stays in its shard for good.
+/// Number of shards of a new map. It must not change later: a key never moves to another shard.
 const SHARD_COUNT: u32 = 32;
-/// Time between two rounds.
+/// Interval between planning rounds.
 const ROUND_PERIOD: Duration = Duration::from_secs(2);
-/// Time between two rounds while there is no map, or a group is being changed.
+/// Interval between planning rounds while there is no map or a group change is in progress.
 const CHANGE_PERIOD: Duration = Duration::from_millis(500);
-/// Rendezvous key of the daemon that does this work.
-const PLANNER: &str = "claim-groups";
+/// Rendezvous hashing key that selects the planning daemon.
+const PLANNER_RENDEZVOUS_KEY: &str = "claim-groups";
 
-/// What the work needs.
+/// Plans the claim groups and applies their changes.
 pub(super) struct ClaimGroups {
     pub(super) store: Arc<dyn KeyValueStore>,
     pub(super) client: PeerClient,
@@ -46,14 +46,14 @@
     pub(super) fleet: MachineListReceiver,
 }
 
-/// The map as it was read, with the revision that the next one is compared with.
+/// A shard map with its store revision, which the next write compares against.
 struct StoredMap {
     map: ShardMap,
     revision: Option<Revision>,
 }
 
 impl ClaimGroups {
-    /// Runs until the daemon ends.
+    /// Runs until the daemon stops.
     pub(super) async fn run(self) {
         let mut changes: BTreeMap<(ShardNumber, GroupEpoch), EpochChange> = BTreeMap::new();
         let mut listed: BTreeSet<MachineId> = BTreeSet::new();
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether the map that this daemon knows names groups, and none that is being changed.
+    /// Whether the local shard map has groups, all of them settled.
     fn is_settled(&self) -> bool {
         let map = self.shard_map.borrow();
         !map.shards.is_empty() && map.shards.iter().all(|group| group.settled)
@@ -87,7 +87,7 @@
         let view = Arc::clone(&self.members.borrow());
         let live = view.live_records();
         let workers = workers(&live);
-        let ranked = rendezvous(PLANNER, &workers, 1, ZoneSpread::Ignore);
+        let ranked = rendezvous(PLANNER_RENDEZVOUS_KEY, &workers, 1, ZoneSpread::Ignore);
         rank_of(view.own, &ranked) == Some(0)
     }
 
@@ -102,7 +102,7 @@
         if let Some(next) = plan_shard_map(&stored.map, SHARD_COUNT, &fleet) {
             return self.write(&stored, next).await;
         }
-        self.carry_out(&stored, changes, &fleet.ended).await
+        self.advance_changes(&stored, changes, &fleet.ended).await
     }
 
     async fn read(&self) -> Result<StoredMap, StoreError> {
@@ -120,8 +120,8 @@
         })
     }
 
-    /// Writes a map if the one it was made from still stands. A lost answer is settled by the next round,
-    /// which reads.
+    /// Writes `map` if the stored map is still `base`. If the response is lost, the next round
+    /// reads the stored map again.
     async fn write(&self, base: &StoredMap, map: ShardMap) -> Result<(), StoreError> {
         let key = SHARD_MAP_KEY.to_owned();
         let compare = match base.revision {
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Carries out the changes that the map names and that are not settled.
-    async fn carry_out(
+    /// Advances all group changes in the map that are not settled.
+    async fn advance_changes(
         &self,
         stored: &StoredMap,
         changes: &mut BTreeMap<(ShardNumber, GroupEpoch), EpochChange>,
@@ -212,7 +212,7 @@
         Ok(())
     }
 
-    /// Sends what a change waits for. Returns whether it is done.
+    /// Sends the pending messages of a change. Returns whether the change is complete.
     async fn advance(&self, change: &mut EpochChange, ended: &BTreeSet<ClaimMember>) -> bool {
         for member in ended {
             change.ended(*member);
@@ -248,7 +248,7 @@
     }
 }
 
-/// Where a member of a claim group is reached.
+/// Returns the peer address of a claim group member, if its machine is live.
 pub(crate) fn peer_address(
     view: &MembersView,
     member: ClaimMember,
--- a/crates/daemon/src/daemon/controllers.rs
+++ b/crates/daemon/src/daemon/controllers.rs
@@ -1,4 +1,4 @@
-//! Keeps a controller, or candidate, for each cell that this daemon is ranked for.
+//! Runs a controller or standby candidate for each cell that ranks this daemon as a candidate.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,17 +20,17 @@
 use crate::actors::{ask, start, tell};
 use crate::peer::view::MembersView;
 
-/// Time between two rankings of the candidates.
+/// Interval between rankings of the controller candidates.
 const RANKING_PERIOD: Duration = Duration::from_secs(1);
 
-/// What a supervisor listens to.
+/// Event channels of a supervisor.
 pub(super) struct ControllerEvents {
     pub(super) inputs: mpsc::UnboundedReceiver<(CellName, ControllerInput)>,
     pub(super) woke: watch::Receiver<Timestamp>,
     pub(super) stop: mpsc::Receiver<oneshot::Sender<()>>,
 }
 
-/// Starts controllers, ticks them, and hands them what peers say.
+/// Starts controllers, ticks them, and forwards peer messages to them.
 pub(super) struct ControllerSupervisor {
     links: ControllerLinks,
     controllers: BTreeMap<CellName, Address<ControllerActor>>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Runs until the daemon ends.
+    /// Runs until the daemon stops.
     pub(super) async fn run(mut self, mut events: ControllerEvents) {
         let mut ticker = tokio::time::interval(CONTROLLER_TICK);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Gives every lease back, so that another daemon can take over at once.
+    /// Releases every lease, so that other daemons can take over without waiting for its expiry.
     async fn step_down(&mut self, stopped: oneshot::Sender<()>) {
         self.is_stopping = true;
         for controller in self.controllers.values() {
-            // A controller that has stopped holds nothing.
+            // A stopped controller holds no lease.
             let _told = ask(controller, StepDown).await;
         }
-        // Whoever waits may have given up.
+        // The receiver may have been dropped.
         let _gone = stopped.send(());
     }
 
@@ -118,11 +118,12 @@
             });
             tell(controller, SetRank(rank));
         }
-        self.notice_dead_controllers(&view);
+        self.report_dead_controllers(&view);
     }
 
-    /// A controller that died leaves its key behind until its lease ends: the candidates look soon.
-    fn notice_dead_controllers(&self, view: &MembersView) {
+    /// Reports dead controllers to the local candidates: the key of a dead controller remains until
+    /// its lease expires.
+    fn report_dead_controllers(&self, view: &MembersView) {
         for (cell, known) in self.known.borrow().iter() {
             let is_gone = view
                 .gone
@@ -135,7 +136,7 @@
     }
 }
 
-/// Cells of a machine list with the zones of their engines.
+/// Groups the engines' zones by cell.
 fn cells(list: &MachineList) -> BTreeMap<CellName, Vec<ZoneName>> {
     let mut cells: BTreeMap<CellName, Vec<ZoneName>> = BTreeMap::new();
     for machine in &list.machines {
--- a/crates/daemon/src/daemon/duties.rs
+++ b/crates/daemon/src/daemon/duties.rs
@@ -1,4 +1,5 @@
-//! Background work of a daemon: ticks, datagrams, the machine list, who watches the store.
+//! Background tasks of a daemon: ticks, datagrams, machine list updates, election of store
+//! watchers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -23,14 +24,14 @@
 use crate::peer::view::MembersView;
 use crate::peer::{PeerIdentity, socket};
 
-/// Daemons of a zone that watch the store.
+/// Number of daemons per zone that watch the store.
 const WATCHERS_PER_ZONE: usize = 2;
-/// Most datagrams that are handled without a look at anything else.
-const DATAGRAMS_AT_ONCE: usize = 32;
-/// Largest datagram and one byte, so that a longer one is noticed.
+/// Maximum number of datagrams passed to the peer actor in one message.
+const MAXIMUM_BATCH_DATAGRAMS: usize = 32;
+/// One byte more than the largest datagram, so that oversized datagrams are detected.
 const BUFFER_BYTES: usize = MAXIMUM_DATAGRAM_BYTES + 1;
 
-/// Ticks the peer actor. A tick waits for the one before.
+/// Ticks the peer actor. Each tick waits until the previous one is complete.
 pub(super) async fn tick(peers: Address<PeerActor>) {
     let mut ticker = tokio::time::interval(TICK);
     ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -42,9 +43,9 @@
     }
 }
 
-/// Hands datagrams to the peer actor, those that have come together at once. The next ones wait for it: a flood
-/// fills the socket, not the memory. One by one a busy machine would wake two tasks for each datagram, and
-/// the socket would overflow meanwhile.
+/// Passes datagrams to the peer actor in batches and waits for each batch to be processed. The wait
+/// bounds memory use under load: excess datagrams stay in the socket buffer. Batching avoids two
+/// task wakeups per datagram.
 pub(super) async fn receive(
     datagrams: Arc<dyn Datagram>,
     metrics: Arc<Metrics>,
@@ -62,7 +63,7 @@
                 continue;
             }
         };
-        while batch.len() < DATAGRAMS_AT_ONCE {
+        while batch.len() < MAXIMUM_BATCH_DATAGRAMS {
             let next = socket::receive(datagrams.as_ref(), &metrics, identity, &mut buffer);
             let Some(Ok(next)) = next.now_or_never() else {
                 break;
@@ -75,15 +76,18 @@
     }
 }
 
-/// Tells the peer actor of each new machine list.
-pub(super) async fn pass_on_fleet(mut fleet: MachineListReceiver, peers: Address<PeerActor>) {
+/// Notifies the peer actor of each new machine list.
+pub(super) async fn forward_machine_list(
+    mut fleet: MachineListReceiver,
+    peers: Address<PeerActor>,
+) {
     while fleet.changed().await.is_ok() {
         tell(&peers, FleetRead);
     }
 }
 
-/// Tells the peer actor of each new configuration.
-pub(super) async fn pass_on_configuration(
+/// Notifies the peer actor of each new configuration.
+pub(super) async fn forward_configuration(
     mut configuration: watch::Receiver<Arc<Configuration>>,
     peers: Address<PeerActor>,
 ) {
@@ -93,7 +97,7 @@
     }
 }
 
-/// Tells the controllers, at an interval, what arrived here.
+/// Periodically reports the demand measured at this daemon to the controllers.
 pub(super) async fn report_demand(
     demand: Arc<Mutex<DemandCounter>>,
     interval: Duration,
@@ -110,7 +114,8 @@
     }
 }
 
-/// Decides whether this daemon watches the store: about two of each zone do, and any that knows nobody.
+/// Decides whether this daemon watches the store: [`WATCHERS_PER_ZONE`] daemons per zone do, and
+/// any daemon that has no contact with its peers.
 pub(super) async fn elect_watcher(
     own: MachineId,
     zone: ZoneName,
@@ -122,9 +127,9 @@
         let live = view.live_records();
         let watchers = store_watchers(&zone, &live, WATCHERS_PER_ZONE);
         let is_chosen = watchers.iter().any(|watcher| watcher.machine == own);
-        let stands_alone = view.contact != Contact::InContact;
+        let has_no_contact = view.contact != Contact::InContact;
         is_watcher.send_if_modified(|current| {
-            let should_watch = is_chosen || stands_alone;
+            let should_watch = is_chosen || has_no_contact;
             std::mem::replace(current, should_watch) != should_watch
         });
         if members.changed().await.is_err() {
--- a/crates/daemon/src/daemon/limits.rs
+++ b/crates/daemon/src/daemon/limits.rs
@@ -1,4 +1,4 @@
-//! Tells admission the limits of the configuration and the number of daemons that share them.
+//! Passes the configured tenant limits and the number of daemons sharing them to admission control.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::actors::tell;
 use crate::peer::view::MembersView;
 
-/// Passes on each new configuration and each new number of live daemons, until the daemon ends.
+/// Forwards changes of the tenant limits and of the live daemon count until the daemon stops.
 pub(super) async fn follow(
     mut configuration: watch::Receiver<Arc<Configuration>>,
     mut members: watch::Receiver<Arc<MembersView>>,
@@ -70,7 +70,7 @@
         .collect()
 }
 
-/// Daemons that serve callers; at least this one.
+/// Number of daemons that serve callers, at least 1 (this one).
 fn live_daemons(view: &MembersView) -> u32 {
     u32::try_from(view.serving().count())
         .unwrap_or(u32::MAX)
--- a/crates/daemon/src/daemon/start_error.rs
+++ b/crates/daemon/src/daemon/start_error.rs
@@ -1,19 +1,19 @@
-//! Why a daemon did not start.
+//! Startup errors.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a daemon did not start.
+/// An error that prevents a daemon from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address cannot be bound.
     #[error("{key} = {address} cannot be bound: {source}; choose a free address of this machine")]
     Bind {
-        /// The settings' key.
+        /// The settings key.
         key: &'static str,
-        /// Its value.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the bind call.
         source: io::Error,
     },
 }
--- a/crates/daemon/src/decisions.rs
+++ b/crates/daemon/src/decisions.rs
@@ -1,7 +1,7 @@
-//! The latest decisions of this daemon, with their reasons, for operators.
+//! In-memory log of this daemon's latest decisions, with reasons, for operators.
 //!
-//! Placements and refusals of requests come by the thousand; they are kept apart from all other
-//! decisions, so that they never push the reason of a role or a version out.
+//! Placements and refusals of requests are frequent, so they have a buffer of their own and cannot
+//! evict other decisions.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,12 +9,12 @@
 use ponddrift_core::decision::{DecisionKind, DecisionRecord};
 use ponddrift_runtime::Clock;
 
-/// Decisions of requests kept; the oldest go first.
+/// Capacity for placement and refusal decisions; the oldest are evicted first.
 const REQUEST_CAPACITY: usize = 4_096;
-/// All other decisions kept; the oldest go first.
+/// Capacity for all other decisions; the oldest are evicted first.
 const OTHER_CAPACITY: usize = 4_096;
 
-/// Keeps decisions; clones share them.
+/// Decision log; clones share its content.
 #[derive(Clone)]
 pub(crate) struct DecisionLog {
     clock: Arc<dyn Clock>,
@@ -27,13 +27,13 @@
     record: DecisionRecord,
 }
 
-/// Decisions of one sort, ordered by position.
-struct Ring {
+/// Bounded buffer of decisions, ordered by position.
+struct DecisionRing {
     capacity: usize,
     entries: VecDeque<Entry>,
 }
 
-impl Ring {
+impl DecisionRing {
     const fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -57,17 +57,17 @@
 }
 
 struct Kept {
-    requests: Ring,
-    others: Ring,
-    /// Decisions ever kept: the position of the newest one.
+    requests: DecisionRing,
+    others: DecisionRing,
+    /// Total number of decisions recorded, which is the position of the newest one.
     position: u64,
 }
 
 impl Default for Kept {
     fn default() -> Self {
         Self {
-            requests: Ring::new(REQUEST_CAPACITY),
-            others: Ring::new(OTHER_CAPACITY),
+            requests: DecisionRing::new(REQUEST_CAPACITY),
+            others: DecisionRing::new(OTHER_CAPACITY),
             position: 0,
         }
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Keeps a decision and writes it to the log.
+    /// Records a decision and logs it.
     pub(crate) fn record(
         &self,
         kind: DecisionKind,
@@ -106,7 +106,7 @@
         });
     }
 
-    /// Keeps a decision that a module recorded itself.
+    /// Records and logs a decision that already has a timestamp.
     pub(crate) fn keep(&self, record: DecisionRecord) {
         tracing::info!(
             kind = record.kind.as_str(),
@@ -129,7 +129,7 @@
         ring.push(Entry { position, record });
     }
 
-    /// Up to `limit` decisions after `position`, oldest first.
+    /// Returns up to `limit` decisions after `position`, oldest first.
     pub(crate) fn after(&self, position: u64, limit: usize) -> DecisionPage {
         let kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
         let mut newer: Vec<&Entry> = kept.requests.after(position).collect();
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemon's copy of the machine list: read at an interval, the newest revision kept.
+//! Periodically reads the machine list and keeps the newest revision.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,18 +8,19 @@
 use ponddrift_platform::machines::MachineListSource;
 use ponddrift_runtime::{Clock, watch};
 
-/// Latest list read; revision 0 before the first reading.
+/// Receives the latest machine list; its revision is 0 before the first read.
 pub(crate) type MachineListReceiver = watch::Receiver<Arc<MachineList>>;
 
-/// Where readings go.
+/// Channels that publish the results of reads.
 pub(crate) struct MachineListSenders {
     /// The latest list.
     pub(crate) list: watch::Sender<Arc<MachineList>>,
-    /// When the last reading that succeeded began, told after its list.
+    /// Start time of the last successful read, published after its list.
     pub(crate) confirmed: watch::Sender<Timestamp>,
 }
 
-/// Reads the list forever. A failed reading leaves the last list in use; an older one is dropped.
+/// Reads the list periodically. After a failed read the last list stays in use; older revisions are
+/// ignored.
 pub(crate) async fn follow(
     source: Arc<dyn MachineListSource>,
     interval: Duration,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,6 +1,7 @@
-//! The daemon: gateway for callers, operator endpoint, peer and, by election, controller of a cell.
+//! The daemon: HTTP gateway, operator endpoint, cluster member and, if elected, controller of a
+//! cell.
 //!
-//! Decisions live in `ponddrift-core`; the xtra actors here are thin shells around them.
+//! The decision logic is in `ponddrift-core`; the xtra actors in this crate perform its I/O.
 
 mod actors;
 mod back_ends;
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -4,21 +4,21 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// A log filter that cannot be read.
+/// Failure to initialize logging.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    /// The filter's text is wrong.
+    /// The filter is invalid.
     #[error("the log filter cannot be read: {0}; write for example info,ponddrift_daemon=debug")]
     Filter(#[from] tracing_subscriber::filter::ParseError),
-    /// A subscriber stands already.
+    /// A global subscriber is already installed.
     #[error("logging was started twice: {0}")]
-    Twice(#[from] tracing_subscriber::util::TryInitError),
+    AlreadyStarted(#[from] tracing_subscriber::util::TryInitError),
 }
 
 /// Starts writing JSON lines to standard error.
 ///
 /// # Errors
-/// [`LoggingError`].
+/// Returns [`LoggingError`] if the filter is invalid or a subscriber is already installed.
 pub fn start(filter: &str) -> Result<(), LoggingError> {
     let layer = tracing_subscriber::fmt::layer()
         .json()
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -14,7 +14,7 @@
 use rand::rngs::SysRng;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Exit code when the settings are refused.
+/// Exit code for invalid settings.
 const EXIT_BAD_SETTINGS: u8 = 2;
 
 fn command() -> Command {
@@ -114,13 +114,15 @@
     Ok(())
 }
 
-/// Milliseconds of the wall clock: larger at each start, as long as a machine starts at most once in one.
+/// Uses the wall clock in milliseconds as the incarnation number. It grows with each start,
+/// provided that a machine starts at most once per millisecond and its clock does not go back.
 fn incarnation() -> Result<Incarnation> {
     let since_epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?;
     Ok(Incarnation(u64::try_from(since_epoch.as_millis())?))
 }
 
-/// One JSON line with the addresses that were bound, for whoever started the process.
+/// Formats the bound addresses as one JSON line, which tells the parent process that startup is
+/// complete.
 fn ready_line(daemon: &Daemon) -> Result<String> {
     #[derive(serde::Serialize)]
     struct Ready {
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -12,11 +12,11 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-/// First bound of the time histograms, in seconds.
+/// Upper bound of the first histogram bucket, in seconds.
 const FIRST_BUCKET: f64 = 0.001;
-/// Factor between two bounds.
+/// Factor between consecutive bucket bounds.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Bounds of a time histogram: up to about 32 s.
+/// Number of histogram buckets; the last bound is about 32 s.
 const BUCKETS: u16 = 16;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -45,7 +45,7 @@
     problem: ProblemLabelValue,
 }
 
-/// Whether bytes came or went.
+/// Direction of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum Direction {
     Received,
@@ -167,7 +167,7 @@
         self.bad_datagrams.inc();
     }
 
-    /// All values as Prometheus text.
+    /// Encodes all metrics in the Prometheus text format.
     pub(crate) fn page(&self) -> String {
         let mut page = String::new();
         if encode(&mut page, &self.registry).is_err() {
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,4 +1,4 @@
-//! HTTP for operators: questions, changes, status, probes and metrics.
+//! HTTP endpoint for operators: queries, changes, status, health probes and metrics.
 
 mod apply;
 mod decisions;
@@ -27,9 +27,9 @@
 use crate::gateway::{GatewayContext, metrics_page, plain_text, readiness};
 use crate::peer::client::PeerClient;
 
-/// Path of questions.
+/// Path for queries.
 pub const QUERY_PATH: &str = "/v1/query";
-/// Path of changes.
+/// Path for configuration changes.
 pub const APPLY_PATH: &str = "/v1/apply";
 /// Path of the daemon's own state.
 pub const STATUS_PATH: &str = "/v1/status";
@@ -43,7 +43,7 @@
 /// Prometheus text.
 const METRICS_PATH: &str = "/metrics";
 
-/// What every statement's handling needs.
+/// Dependencies of the statement handlers.
 pub(crate) struct OperatorContext {
     pub(crate) gateway: Arc<GatewayContext>,
     pub(crate) own: MachineId,
@@ -51,7 +51,7 @@
     pub(crate) peer_client: PeerClient,
     pub(crate) configuration: Address<ConfigurationActor>,
     pub(crate) store: Arc<dyn KeyValueStore>,
-    /// Source of change ids and pauses.
+    /// Generates change ids and backoff jitter.
     pub(crate) random: Mutex<SeededRandom>,
     pub(crate) status: status::Fixed,
 }
@@ -70,7 +70,7 @@
 
 pub(crate) use status::Fixed;
 
-/// The operators' endpoint. It listens before the parts that it asks have started.
+/// The operator endpoint. It accepts connections before the components it queries have started.
 #[derive(Clone)]
 pub(crate) struct OperatorEndpoint {
     context: Arc<OnceLock<Arc<OperatorContext>>>,
@@ -85,9 +85,9 @@
         }
     }
 
-    /// From now on statements are answered.
+    /// Starts answering statements. Must be called once.
     pub(crate) fn open(&self, context: OperatorContext) {
-        // It is opened once, at the daemon's start.
+        // Fails only if `open` is called a second time.
         let _opened = self.context.set(Arc::new(context));
     }
 }
@@ -105,7 +105,7 @@
             let Some(context) = endpoint.context.get().cloned() else {
                 return starting(&path);
             };
-            if let Some(response) = probe_answer(&context, &path) {
+            if let Some(response) = probe_response(&context, &path) {
                 return response;
             }
             let answer = endpoint.answer(context, request).await;
@@ -163,11 +163,11 @@
         ProblemKind::Unavailable,
         "this daemon is starting; come back in a second",
     )
-    .retry_after(limits::COME_BACK)
+    .retry_after(limits::RETRY_AFTER)
     .into_response()
 }
 
-fn probe_answer(context: &OperatorContext, path: &str) -> Option<Response<Body>> {
+fn probe_response(context: &OperatorContext, path: &str) -> Option<Response<Body>> {
     match path {
         HEALTH_PATH => Some(plain_text(StatusCode::OK, "ok\n")),
         READINESS_PATH => Some(readiness(&context.gateway)),
@@ -176,7 +176,7 @@
     }
 }
 
-fn ending(stopped: ActorStopped) -> Problem {
+fn actor_stopped_problem(stopped: ActorStopped) -> Problem {
     Problem::not_started(ProblemKind::Unavailable, stopped.to_string())
-        .retry_after(limits::COME_BACK)
+        .retry_after(limits::RETRY_AFTER)
 }
--- a/crates/daemon/src/operator/apply.rs
+++ b/crates/daemon/src/operator/apply.rs
@@ -1,4 +1,5 @@
-//! Changes: read, judge, write under a compare, settle, and wait until they are in force.
+//! Configuration changes: read, validate, compare-and-swap, and wait until daemons apply the
+//! result.
 
 mod change;
 mod conflict;
@@ -19,29 +20,30 @@
 use tokio::sync::{OwnedSemaphorePermit, oneshot};
 
 use self::read::StoredConfiguration;
-use self::send::Sent;
+use self::send::WriteOutcome;
 use super::query::refused;
 use super::wire::ApplyAnswer;
-use super::{OPERATOR_HEADER, OperatorContext, ending, limits};
+use super::{OPERATOR_HEADER, OperatorContext, actor_stopped_problem, limits};
 use crate::actors::ActorStopped;
 
-/// Who a change is by when the request does not say.
+/// Author of a change whose request has no operator header.
 const DEFAULT_AUTHOR: &str = "operator";
-/// Longest name of an operator, in bytes: the head of the configuration keeps the last ones.
-const LONGEST_AUTHOR: usize = 64;
-/// How long an answer waits until the change is in force everywhere, unless the request says.
+/// Maximum length of an operator name. The configuration head stores the names of recent authors.
+const MAXIMUM_AUTHOR_BYTES: usize = 64;
+/// Default time that a response waits for the change to be in force at all live daemons.
 const DEFAULT_WAIT: Duration = Duration::from_secs(6);
-/// Longest such time.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// Parameter of the request that says how long.
+/// Maximum value of the wait parameter.
+const MAXIMUM_WAIT: Duration = Duration::from_secs(60);
+/// Query parameter for the wait time, in milliseconds.
 const WAIT_PARAMETER: &str = "wait_ms";
-/// Times that a change is made again on a newer configuration, when other rows were changed meanwhile.
-const MAXIMUM_RACES: u32 = 16;
-/// Pause after a lost race, multiplied by the races lost and a random share.
-const RACE_PAUSE: Duration = Duration::from_millis(20);
-
-/// A change as the operator sent it.
-struct Order {
+/// Maximum number of attempts to write a change while concurrent changes to other rows succeed.
+const MAXIMUM_ATTEMPTS: u32 = 16;
+/// Maximum backoff after the first conflict; it grows linearly and is multiplied by a random
+/// factor.
+const BACKOFF_STEP: Duration = Duration::from_millis(20);
+
+/// A change requested by an operator.
+struct RequestedChange {
     statement: String,
     request: ChangeRequest,
     key: ItemKey,
@@ -52,7 +54,7 @@
 /// An accepted change.
 struct Accepted {
     change: ConfigurationChange,
-    /// What it was made on.
+    /// The configuration that the change was applied to.
     base: Configuration,
     revision: Revision,
 }
@@ -67,16 +69,18 @@
     let author = author(&parts.headers)?;
     let wait = wait(&parts.uri)?;
     let statement = limits::read_statement(incoming).await?;
-    let order = understand(statement, author, wait)?;
+    let order = parse_change(statement, author, wait)?;
     let (reply, answer) = oneshot::channel();
     let runner = Arc::clone(context);
-    // An operator who goes away does not leave a change half settled.
+    // Runs as a separate task, so that a disconnecting operator does not interrupt the change.
     context.gateway.runtime.spawner.spawn(Box::pin(async move {
         let _place = place;
-        let answer = carry_out(&runner, &order).await;
+        let answer = apply_change(&runner, &order).await;
         let _gone = reply.send(answer);
     }));
-    let answer = answer.await.map_err(|_dropped| ending(ActorStopped))??;
+    let answer = answer
+        .await
+        .map_err(|_dropped| actor_stopped_problem(ActorStopped))??;
     Ok(body::json_response(StatusCode::OK, &answer))
 }
 
@@ -89,9 +93,9 @@
         return Ok(DEFAULT_AUTHOR.to_owned());
     };
     let name = value.to_str().unwrap_or_default().trim();
-    if name.is_empty() || name.len() > LONGEST_AUTHOR {
+    if name.is_empty() || name.len() > MAXIMUM_AUTHOR_BYTES {
         return Err(bad_request(format!(
-            "{OPERATOR_HEADER} is no name: use 1 to {LONGEST_AUTHOR} ASCII characters"
+            "{OPERATOR_HEADER} is no name: use 1 to {MAXIMUM_AUTHOR_BYTES} ASCII characters"
         )));
     }
     Ok(name.to_owned())
@@ -103,13 +107,17 @@
     let Some(given) = given else {
         return Ok(DEFAULT_WAIT);
     };
-    let limit = LONGEST_WAIT.as_millis();
+    let limit = MAXIMUM_WAIT.as_millis();
     let wait = given.parse().map(Duration::from_millis);
-    let wait = wait.ok().filter(|wait| *wait <= LONGEST_WAIT);
+    let wait = wait.ok().filter(|wait| *wait <= MAXIMUM_WAIT);
     wait.ok_or_else(|| bad_request(format!("{WAIT_PARAMETER} is a number from 0 to {limit}")))
 }
 
-fn understand(statement: String, author: String, wait: Duration) -> Result<Order, Problem> {
+fn parse_change(
+    statement: String,
+    author: String,
+    wait: Duration,
+) -> Result<RequestedChange, Problem> {
     let request = match parse(&statement).map_err(|error| refused(&error))? {
         Statement::Change(request) => request,
         Statement::Select(_) => {
@@ -119,7 +127,7 @@
             ));
         }
     };
-    Ok(Order {
+    Ok(RequestedChange {
         key: change::key(&request),
         statement,
         request,
@@ -128,8 +136,12 @@
     })
 }
 
-/// Accepts the change and waits until it is in force, or refuses it; keeps either as a decision.
-async fn carry_out(context: &OperatorContext, order: &Order) -> Result<ApplyAnswer, Problem> {
+/// Writes the change and waits until it is in force. Records the acceptance or refusal as a
+/// decision.
+async fn apply_change(
+    context: &OperatorContext,
+    order: &RequestedChange,
+) -> Result<ApplyAnswer, Problem> {
     let decisions = &context.gateway.decisions;
     let subject = format!("{} by {}", order.key, order.author);
     let accepted = match accept_order(context, order).await {
@@ -143,20 +155,25 @@
     let outcome = format!("accepted at revision {}", accepted.revision);
     let reason = order.statement.trim();
     decisions.record(DecisionKind::Configuration, subject, outcome, reason);
-    in_force::adopt(context, &accepted).await.map_err(ending)?;
+    in_force::adopt(context, &accepted)
+        .await
+        .map_err(actor_stopped_problem)?;
     in_force::wait(context, &accepted, order.wait)
         .await
-        .map_err(ending)
+        .map_err(actor_stopped_problem)
 }
 
-/// Tries until the change is written, refused, or lost to another one of the same row.
-async fn accept_order(context: &OperatorContext, order: &Order) -> Result<Accepted, Problem> {
+/// Retries until the change is written, refused, or conflicts with another change of the same row.
+async fn accept_order(
+    context: &OperatorContext,
+    order: &RequestedChange,
+) -> Result<Accepted, Problem> {
     let mut first_row: Option<Option<Revision>> = None;
-    for race in 1..=MAXIMUM_RACES {
+    for race in 1..=MAXIMUM_ATTEMPTS {
         let stored = read::read(context).await?;
         let row = stored.configuration.row_revision(&order.key);
         let expected = order.request.expected_revision;
-        // Deleted rows have no revision; the statement is refused for them further on.
+        // Deleted rows have no revision; `validate_change` refuses statements on them.
         let moved_from_expected =
             expected.filter(|expected| row.is_some_and(|row| row != *expected));
         let moved_from_first = first_row.filter(|first| *first != row);
@@ -164,28 +181,28 @@
         if moved_from_expected.is_some() || moved_from_first.is_some() {
             return Err(conflict::problem(order, &stored, row));
         }
-        let change = judge(context, order, &stored.configuration)?;
+        let change = validate_change(context, order, &stored.configuration)?;
         match send::send(context, &order.key, &change, stored.head.as_ref()).await? {
-            Sent::Accepted(revision) => {
+            WriteOutcome::Accepted(revision) => {
                 return Ok(Accepted {
                     change,
                     base: stored.configuration,
                     revision,
                 });
             }
-            Sent::LostRace => pause(context, race).await,
+            WriteOutcome::LostRace => pause(context, race).await,
         }
     }
     let detail = format!(
-        "{MAXIMUM_RACES} times another change of the configuration came first: nothing was changed, send it again"
+        "{MAXIMUM_ATTEMPTS} times another change of the configuration came first: nothing was changed, send it again"
     );
-    Err(Problem::not_started(ProblemKind::Conflict, detail).retry_after(limits::COME_BACK))
+    Err(Problem::not_started(ProblemKind::Conflict, detail).retry_after(limits::RETRY_AFTER))
 }
 
-/// The change as it is written, if it is valid on `configuration`.
-fn judge(
+/// Builds the change and validates it against `configuration`.
+fn validate_change(
     context: &OperatorContext,
-    order: &Order,
+    order: &RequestedChange,
     configuration: &Configuration,
 ) -> Result<ConfigurationChange, Problem> {
     let records = resolve(configuration, &order.request).map_err(|error| refused(&error))?;
@@ -206,7 +223,7 @@
 async fn pause(context: &OperatorContext, race: u32) {
     let share = context.random_number() % 100;
     let share = u32::try_from(share).unwrap_or_default();
-    tokio::time::sleep(RACE_PAUSE * race * share / 100).await;
+    tokio::time::sleep(BACKOFF_STEP * race * share / 100).await;
 }
 
 impl Accepted {
@@ -217,7 +234,7 @@
 }
 
 impl StoredConfiguration {
-    /// Who led to `revision`, as far as the head tells.
+    /// Returns the author of `revision`, if the configuration head still lists it.
     fn author_of(&self, revision: Revision) -> Option<&str> {
         let stored = self.head.as_ref()?;
         if stored.revision == revision {
--- a/crates/daemon/src/operator/apply/change.rs
+++ b/crates/daemon/src/operator/apply/change.rs
@@ -1,4 +1,4 @@
-//! From a statement to the change that is written.
+//! Translates a statement into configuration change steps.
 
 use ponddrift_core::configuration::{
     ChangeStep, Configuration, ConfigurationItem, FleetFacts, ItemKey, ValidationError,
@@ -46,7 +46,8 @@
     }
 }
 
-/// What the machine list says of the fleet. It does not tell the engines' memory: none refuses a model.
+/// Extracts fleet facts from the machine list. The list does not state the engines' memory, so
+/// memory is treated as unlimited.
 pub(super) fn fleet_facts(list: &MachineList) -> FleetFacts {
     let mut facts = FleetFacts::default();
     for machine in &list.machines {
@@ -69,7 +70,7 @@
     if list.revision == 0 && errors.iter().all(names_pool) {
         let detail = "this daemon has not read the machine list yet, so it knows no pool: nothing was changed, send it again in a second";
         return Problem::not_started(ProblemKind::Unavailable, detail)
-            .retry_after(limits::COME_BACK);
+            .retry_after(limits::RETRY_AFTER);
     }
     let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
     Problem::not_started(ProblemKind::Refused, messages.join("; "))
--- a/crates/daemon/src/operator/apply/conflict.rs
+++ b/crates/daemon/src/operator/apply/conflict.rs
@@ -1,20 +1,20 @@
-//! Telling an operator who changed the row first, and what to do.
+//! Conflict errors: who changed the row first, and how to proceed.
 
 use ponddrift_core::Revision;
 use ponddrift_core::configuration::ItemKey;
 use ponddrift_http::{Problem, ProblemKind};
 
-use super::Order;
+use super::RequestedChange;
 use super::read::StoredConfiguration;
 
-/// The row is at `row` (`None`: it is gone), and the change was made for another revision.
+/// Builds the conflict error for a row now at revision `row` (`None` if it was deleted).
 pub(super) fn problem(
-    order: &Order,
+    order: &RequestedChange,
     stored: &StoredConfiguration,
     row: Option<Revision>,
 ) -> Problem {
     let key = &order.key;
-    let question = question(key);
+    let select_statement = select_statement(key);
     let detail = match row {
         Some(revision) => {
             let author = stored.author_of(revision);
@@ -24,22 +24,22 @@
                 format!(", not at revision {expected} any more")
             });
             format!(
-                "{key} was changed by {author} and is at revision {revision} now{expected}; nothing was changed by you: look with {question}, then repeat your change with AND revision = {revision}"
+                "{key} was changed by {author} and is at revision {revision} now{expected}; nothing was changed by you: look with {select_statement}, then repeat your change with AND revision = {revision}"
             )
         }
         None => {
             let last = stored.head.as_ref().map(|stored| &stored.head.author);
             let last = last.map_or("nobody", String::as_str);
             format!(
-                "{key} was deleted meanwhile (the last change of the configuration is by {last}); nothing was changed by you: look with {question}, then use INSERT if you still want it"
+                "{key} was deleted meanwhile (the last change of the configuration is by {last}); nothing was changed by you: look with {select_statement}, then use INSERT if you still want it"
             )
         }
     };
     Problem::not_started(ProblemKind::Conflict, detail)
 }
 
-/// The question that shows the row.
-pub(super) fn question(key: &ItemKey) -> String {
+/// Returns the query that shows the row.
+pub(super) fn select_statement(key: &ItemKey) -> String {
     match key {
         ItemKey::Service(name) => format!("SELECT * FROM services WHERE name = '{name}'"),
         ItemKey::Model(name) => format!("SELECT * FROM models WHERE name = '{name}'"),
--- a/crates/daemon/src/operator/apply/in_force.rs
+++ b/crates/daemon/src/operator/apply/in_force.rs
@@ -1,4 +1,4 @@
-//! Bringing an accepted change into force, and seeing where it is.
+//! Applies an accepted change locally and tracks its propagation to the other daemons.
 
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 use crate::actors::peer::operators::ViewFleet;
 use crate::actors::{ActorStopped, ask, tell};
 
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(25);
-/// Looks between two questions to daemons that have not said so yet.
-const LOOKS_PER_QUESTION: u32 = 8;
+/// Interval between status polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Number of status polls between queries to daemons that have not confirmed the revision.
+const POLLS_PER_QUERY: u32 = 8;
 
-/// Takes the change here at once; gossip brings it to the others.
+/// Applies the change at this daemon; gossip propagates it to the others.
 pub(super) async fn adopt(
     context: &OperatorContext,
     accepted: &Accepted,
@@ -40,22 +40,22 @@
     }
 }
 
-/// Live daemons at one look.
-struct Standing {
+/// Propagation status at one poll.
+struct RolloutStatus {
     live: usize,
     missing: Vec<MachineId>,
 }
 
-/// Waits until the change is in force at all live daemons, at most for `limit`.
+/// Waits, for at most `limit`, until the change is in force at all live daemons.
 pub(super) async fn wait(
     context: &OperatorContext,
     accepted: &Accepted,
     limit: Duration,
 ) -> Result<ApplyAnswer, ActorStopped> {
     let begin = context.gateway.now();
-    let mut looks = 0;
+    let mut polls = 0;
     loop {
-        let standing = look(context, accepted.revision).await?;
+        let standing = poll_status(context, accepted.revision).await?;
         let waited = context.gateway.now().since(begin);
         if standing.missing.is_empty() || waited >= limit {
             return Ok(ApplyAnswer {
@@ -68,15 +68,18 @@
                 waited_ms: u64::try_from(waited.as_millis()).unwrap_or(u64::MAX),
             });
         }
-        if looks % LOOKS_PER_QUESTION == 0 {
+        if polls % POLLS_PER_QUERY == 0 {
             tell(&context.peers, AskInForce(standing.missing));
         }
-        looks += 1;
-        tokio::time::sleep(LOOK_INTERVAL.min(limit - waited)).await;
+        polls += 1;
+        tokio::time::sleep(POLL_INTERVAL.min(limit - waited)).await;
     }
 }
 
-async fn look(context: &OperatorContext, revision: Revision) -> Result<Standing, ActorStopped> {
+async fn poll_status(
+    context: &OperatorContext,
+    revision: Revision,
+) -> Result<RolloutStatus, ActorStopped> {
     let view = ask(&context.peers, ViewFleet).await?;
     let others = view.live().map(|record| record.machine);
     let others: Vec<MachineId> = others.filter(|machine| *machine != context.own).collect();
@@ -90,5 +93,5 @@
         missing.push(context.own);
     }
     missing.sort_unstable();
-    Ok(Standing { live, missing })
+    Ok(RolloutStatus { live, missing })
 }
--- a/crates/daemon/src/operator/apply/read.rs
+++ b/crates/daemon/src/operator/apply/read.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the key-value service, which alone decides.
+//! Reads the configuration from the key-value service, the source of truth.
 
 use ponddrift_core::configuration::{
     CONFIGURATION_PREFIX, Configuration, HEAD_KEY, StoredEntry, StoredHead, snapshot_from_entries,
@@ -16,7 +16,7 @@
     pub(super) head: Option<StoredHead>,
 }
 
-/// Reads everything.
+/// Reads the whole configuration.
 pub(super) async fn read(context: &OperatorContext) -> Result<StoredConfiguration, Problem> {
     let range = context.store.range(CONFIGURATION_PREFIX).await;
     let range = range.map_err(|error| nothing_written(&error))?;
@@ -46,12 +46,12 @@
     Ok(snapshot_from_entries(&entries(range)?)?)
 }
 
-/// The store failed before anything was written.
+/// Builds the error for a store failure before anything was written.
 pub(super) fn nothing_written(error: &StoreError) -> Problem {
     let detail = format!(
         "{error}; your change is not accepted, and the configuration in force stays: send it again when the key-value service answers"
     );
-    Problem::not_started(ProblemKind::StoreUnavailable, detail).retry_after(limits::COME_BACK)
+    Problem::not_started(ProblemKind::StoreUnavailable, detail).retry_after(limits::RETRY_AFTER)
 }
 
 fn unreadable(error: &FollowError) -> Problem {
--- a/crates/daemon/src/operator/apply/send.rs
+++ b/crates/daemon/src/operator/apply/send.rs
@@ -1,4 +1,5 @@
-//! Writing a change under a compare with the head. A lost answer is settled by reading the head back.
+//! Writes a change if the configuration head is unchanged. If the response is lost, the head is
+//! read back to determine the outcome.
 
 use std::time::Duration;
 
@@ -11,31 +12,31 @@
 use ponddrift_platform::store::{Compare, StoreError, Write};
 
 use super::super::OperatorContext;
-use super::conflict::question;
+use super::conflict::select_statement;
 use super::read::{nothing_written, read_head};
 
-/// Times that one transaction is sent; its compare lets it take effect once at most.
+/// Maximum sends of one transaction. Its compare ensures that it takes effect at most once.
 const MAXIMUM_SENDS: u32 = 4;
-/// Time to read the head back after a lost answer.
+/// Maximum time for reading back the head after a lost response.
 const SETTLE_LIMIT: Duration = Duration::from_secs(8);
-/// Pause between two tries to read it back.
+/// Interval between attempts to read back the head.
 const SETTLE_PAUSE: Duration = Duration::from_millis(200);
 
-/// What became of a change that was sent.
-pub(super) enum Sent {
+/// Outcome of sending a change.
+pub(super) enum WriteOutcome {
     /// It is accepted, at this revision.
     Accepted(Revision),
-    /// Another change came first; this one has no effect and never will.
+    /// A concurrent change was written first; this one can no longer take effect.
     LostRace,
 }
 
-/// Sends `change`, made on `base`, until it is certain what became of it.
+/// Sends `change`, based on `base`, until its outcome is known.
 pub(super) async fn send(
     context: &OperatorContext,
     key: &ItemKey,
     change: &ConfigurationChange,
     base: Option<&StoredHead>,
-) -> Result<Sent, Problem> {
+) -> Result<WriteOutcome, Problem> {
     let base_revision = base.map_or(Revision(0), |base| base.revision);
     let mut may_be_written = false;
     for _ in 0..MAXIMUM_SENDS {
@@ -43,8 +44,9 @@
             .store
             .transaction(compares(base), writes(change, base));
         match sending.await {
-            Ok(result) if result.succeeded => return Ok(Sent::Accepted(result.revision)),
-            // An earlier send whose answer was lost may be what made the compare fail.
+            Ok(result) if result.succeeded => return Ok(WriteOutcome::Accepted(result.revision)),
+            // The compare may have failed because an earlier send, whose response was lost, took
+            // effect.
             Ok(_compare_failed) => {}
             Err(error @ (StoreError::Unreachable { .. } | StoreError::RateLimited)) => {
                 if !may_be_written {
@@ -58,12 +60,12 @@
         }
         let head = read_back(context, key, change, may_be_written).await?;
         match settle(change.id, base_revision, head.as_ref()) {
-            ChangeOutcome::Won { revision } => return Ok(Sent::Accepted(revision)),
+            ChangeOutcome::Won { revision } => return Ok(WriteOutcome::Accepted(revision)),
             ChangeOutcome::LostTo {
                 author, revision, ..
             } => {
                 tracing::info!(author, %revision, "another change came first");
-                return Ok(Sent::LostRace);
+                return Ok(WriteOutcome::LostRace);
             }
             ChangeOutcome::NotWritten => {}
             ChangeOutcome::Undetermined => {
@@ -113,7 +115,7 @@
     let detail = format!(
         "change {} {standing}: {reason}; look with {} before you send it again",
         change.id,
-        question(key)
+        select_statement(key)
     );
     Problem::new(ProblemKind::StoreUnavailable, detail, execution).retry_after(SETTLE_LIMIT)
 }
--- a/crates/daemon/src/operator/decisions.rs
+++ b/crates/daemon/src/operator/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of several daemons, over the peer stream. A daemon that gives no answer is named.
+//! Collects decisions from several daemons and reports the daemons that did not answer.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,32 +14,32 @@
 use crate::actors::peer::operators::FleetView;
 use crate::decisions::DecisionPage;
 
-/// Decisions that one answer is made from, over all daemons; bounds the memory of a question.
+/// Maximum number of decisions read for one query, over all daemons; bounds memory use.
 const DECISIONS_IN_ALL: u64 = 40_000;
-/// Decisions of one daemon that are read at least.
+/// Minimum number of decisions requested from each daemon.
 const LEAST_OF_ONE: u64 = 500;
-/// Daemons that are asked at the same time.
+/// Maximum number of daemons queried concurrently.
 const ASKED_AT_ONCE: usize = 16;
 
-/// A decision and who made it.
+/// A decision and the daemon that made it.
 #[derive(Debug, Clone)]
-pub(super) struct Decided {
+pub(super) struct AttributedDecision {
     pub(super) by: MachineId,
     pub(super) record: DecisionRecord,
 }
 
-/// What was gathered.
+/// The collected decisions.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Gathered {
+pub(super) struct GatheredDecisions {
     /// Ordered by daemon, then by age, the oldest first.
-    pub(super) decisions: Vec<Decided>,
+    pub(super) decisions: Vec<AttributedDecision>,
     pub(super) missing: Vec<MissingPart>,
 }
 
-/// The part of one daemon.
+/// The decisions of one daemon.
 struct Part {
     records: Vec<DecisionRecord>,
-    /// Why it is not whole, if it is not.
+    /// Why the records are incomplete, if they are.
     fault: Option<String>,
 }
 
@@ -48,14 +48,14 @@
     context: &OperatorContext,
     view: &FleetView,
     asked: &BTreeSet<MachineId>,
-) -> Gathered {
+) -> GatheredDecisions {
     let count = u64::try_from(asked.len().max(1)).unwrap_or(u64::MAX);
     let budget = (DECISIONS_IN_ALL / count).max(LEAST_OF_ONE);
     let address_of = |daemon: MachineId| {
         let record = view.members.iter().find(|record| record.machine == daemon);
         record.map(|record| record.peer_address)
     };
-    // Collected first: the compiler proves a lazy iterator's futures `Send` for one lifetime only.
+    // Collected first, because the futures of a lazy iterator do not satisfy `Send` here.
     let reading: Vec<_> = asked
         .iter()
         .copied()
@@ -65,12 +65,12 @@
         .buffered(ASKED_AT_ONCE)
         .collect()
         .await;
-    let mut gathered = Gathered::default();
+    let mut gathered = GatheredDecisions::default();
     for (by, part) in parts {
         let decided = part
             .records
             .into_iter()
-            .map(|record| Decided { by, record });
+            .map(|record| AttributedDecision { by, record });
         gathered.decisions.extend(decided);
         if let Some(reason) = part.fault {
             gathered.missing.push(MissingPart { daemon: by, reason });
@@ -100,7 +100,7 @@
     (daemon, Part { records, fault })
 }
 
-/// Whose decisions are read.
+/// The daemon whose decisions are read.
 enum Source<'a> {
     Own(&'a OperatorContext),
     Peer(&'a OperatorContext, SocketAddr),
@@ -142,13 +142,13 @@
     }
 }
 
-/// Reads the newest `budget` decisions, page by page. Returns why they are not all, if they are not.
+/// Reads the newest `budget` decisions in pages. Returns the reason if the result is incomplete.
 async fn read_pages(
     records: &mut Vec<DecisionRecord>,
     budget: u64,
     source: &Source<'_>,
 ) -> Option<String> {
-    // No position is as large: the answer only tells the newest one.
+    // The largest position returns no records, only the position of the newest one.
     let newest = match source.page(u64::MAX).await {
         Ok(page) => page.position,
         Err(reason) => return Some(reason),
--- a/crates/daemon/src/operator/limits.rs
+++ b/crates/daemon/src/operator/limits.rs
@@ -1,4 +1,4 @@
-//! What one operator may take of the daemon: statements at a time, size and time of a body.
+//! Limits on operator requests: concurrent statements, body size and body timeout.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,34 +8,34 @@
 use ponddrift_query::MAXIMUM_STATEMENT_BYTES;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Statements worked on at the same time.
+/// Maximum number of statements processed concurrently.
 const STATEMENTS_AT_ONCE: usize = 16;
-/// Time for a statement's body.
+/// Timeout for receiving a statement's body.
 const BODY_TIME_LIMIT: Duration = Duration::from_secs(5);
-/// Said to operators for whom nothing better is known.
-pub(super) const COME_BACK: Duration = Duration::from_secs(1);
+/// Default `Retry-After` value.
+pub(super) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Bounds the statements that are worked on; clones share the bound.
+/// Limits concurrent statements; clones share the limit.
 #[derive(Clone)]
 pub(super) struct Limits {
-    places: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
 impl Limits {
     pub(super) fn new() -> Self {
         Self {
-            places: Arc::new(Semaphore::new(STATEMENTS_AT_ONCE)),
+            permits: Arc::new(Semaphore::new(STATEMENTS_AT_ONCE)),
         }
     }
 
-    /// Takes a place until the permit is dropped.
+    /// Acquires a permit, or fails at once if the limit is reached.
     pub(super) fn enter(&self) -> Result<OwnedSemaphorePermit, Problem> {
-        let place = Arc::clone(&self.places).try_acquire_owned();
+        let place = Arc::clone(&self.permits).try_acquire_owned();
         place.map_err(|_full| {
             let detail = format!(
                 "{STATEMENTS_AT_ONCE} statements are being worked on here: ask again in a second, or ask another daemon"
             );
-            Problem::not_started(ProblemKind::Overloaded, detail).retry_after(COME_BACK)
+            Problem::not_started(ProblemKind::Overloaded, detail).retry_after(RETRY_AFTER)
         })
     }
 }
--- a/crates/daemon/src/operator/query.rs
+++ b/crates/daemon/src/operator/query.rs
@@ -1,4 +1,4 @@
-//! Questions: gathers what the table needs, then evaluates the statement over it.
+//! Queries: collects the data of the selected table and evaluates the statement on it.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,10 @@
 use ponddrift_http::{Problem, ProblemKind};
 use ponddrift_query::{QueryError, Statement, Table, evaluate, parse};
 
-use super::decisions::{self, Gathered};
+use super::decisions::{self, GatheredDecisions};
 use super::tables::Tables;
 use super::wire::QueryAnswer;
-use super::{OperatorContext, ending};
+use super::{OperatorContext, actor_stopped_problem};
 use crate::actors::ask;
 use crate::actors::configuration::PeerRevisions;
 use crate::actors::peer::operators::{FleetView, ViewFleet};
@@ -42,13 +42,17 @@
 }
 
 async fn gather(context: &OperatorContext, table: Table) -> Result<Tables, Problem> {
-    let view = ask(&context.peers, ViewFleet).await.map_err(ending)?;
+    let view = ask(&context.peers, ViewFleet)
+        .await
+        .map_err(actor_stopped_problem)?;
     let decided = gather_decisions(context, table, &view).await;
     let gateway = &context.gateway;
-    let standings = ask(&gateway.routing, ViewBackEnds).await.map_err(ending)?;
+    let standings = ask(&gateway.routing, ViewBackEnds)
+        .await
+        .map_err(actor_stopped_problem)?;
     let revisions = ask(&context.configuration, PeerRevisions)
         .await
-        .map_err(ending)?;
+        .map_err(actor_stopped_problem)?;
     Ok(Tables {
         now: gateway.now(),
         own: context.own,
@@ -62,8 +66,12 @@
     })
 }
 
-/// Decisions that the table shows: of all live daemons, or only of those that order engines.
-async fn gather_decisions(context: &OperatorContext, table: Table, view: &FleetView) -> Gathered {
+/// Collects the decisions needed by `table`: of all live daemons, of the controllers only, or none.
+async fn gather_decisions(
+    context: &OperatorContext,
+    table: Table,
+    view: &FleetView,
+) -> GatheredDecisions {
     let asked: BTreeSet<MachineId> = match table {
         Table::Decisions => view.live().map(|record| record.machine).collect(),
         Table::Engines | Table::Cells => {
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -6,12 +6,12 @@
 use ponddrift_http::Problem;
 
 use super::wire::StatusAnswer;
-use super::{OperatorContext, ending};
+use super::{OperatorContext, actor_stopped_problem};
 use crate::actors::ask;
 use crate::actors::peer::operators::ViewFleet;
 use crate::daemon::DaemonAddresses;
 
-/// What does not change while the daemon runs.
+/// Status fields that are constant while the daemon runs.
 #[derive(Debug, Clone)]
 pub(crate) struct Fixed {
     pub(crate) zone: ZoneName,
@@ -21,7 +21,9 @@
 }
 
 pub(super) async fn answer(context: &OperatorContext) -> Result<StatusAnswer, Problem> {
-    let view = ask(&context.peers, ViewFleet).await.map_err(ending)?;
+    let view = ask(&context.peers, ViewFleet)
+        .await
+        .map_err(actor_stopped_problem)?;
     let gateway = &context.gateway;
     let list = gateway.fleet.borrow().clone();
     let count = |wanted: fn(&MachineKind) -> bool| {
--- a/crates/daemon/src/operator/tables.rs
+++ b/crates/daemon/src/operator/tables.rs
@@ -1,4 +1,4 @@
-//! The operators' tables, filled from what this daemon knows.
+//! Operator tables, built from this daemon's local state.
 
 mod configured;
 mod daemons;
@@ -15,12 +15,12 @@
 use ponddrift_core::{MachineId, Revision, Timestamp};
 use ponddrift_query::{QueryError, Row, Table, TableSource};
 
-use super::decisions::Gathered;
+use super::decisions::GatheredDecisions;
 use crate::actors::peer::operators::FleetView;
 use crate::actors::routing::BackEndStanding;
 use crate::requests::RequestInProgress;
 
-/// Everything that the tables show, as it was at one moment.
+/// A snapshot of the data shown in the tables.
 pub(super) struct Tables {
     pub(super) now: Timestamp,
     pub(super) own: MachineId,
@@ -28,10 +28,10 @@
     pub(super) list: Arc<MachineList>,
     pub(super) view: FleetView,
     pub(super) standings: BTreeMap<MachineId, BackEndStanding>,
-    /// Revision in force at each peer, as far as it is known.
+    /// Last known configuration revision in force at each peer.
     pub(super) revisions: BTreeMap<MachineId, Revision>,
     pub(super) requests: Vec<RequestInProgress>,
-    pub(super) decided: Gathered,
+    pub(super) decided: GatheredDecisions,
 }
 
 impl TableSource for Tables {
--- a/crates/daemon/src/operator/tables/configured.rs
+++ b/crates/daemon/src/operator/tables/configured.rs
@@ -3,7 +3,7 @@
 use ponddrift_core::configuration::{Configuration, ItemKey, ServiceKind};
 use ponddrift_query::{Row, Table, Value};
 
-use super::record::Record;
+use super::record::RowBuilder;
 
 fn revision(configuration: &Configuration, key: &ItemKey) -> Value {
     let revision = configuration.row_revision(key);
@@ -14,7 +14,7 @@
     let services = configuration.services.iter();
     let rows = services.map(|(name, settings)| {
         let key = ItemKey::Service(name.clone());
-        let record = Record::new(Table::Services)
+        let record = RowBuilder::new(Table::Services)
             .set("name", name.as_str())
             .set("priority", settings.priority.as_str())
             .set("repeatable", settings.repeatable)
@@ -41,7 +41,7 @@
 pub(super) fn models(configuration: &Configuration) -> Vec<Row> {
     let models = configuration.models.iter();
     let rows = models.map(|(name, settings)| {
-        Record::new(Table::Models)
+        RowBuilder::new(Table::Models)
             .set("name", name.as_str())
             .set("weights_mib", settings.weights_mib)
             .set(
@@ -60,7 +60,7 @@
 pub(super) fn tenants(configuration: &Configuration) -> Vec<Row> {
     let tenants = configuration.tenants.iter();
     let rows = tenants.map(|(name, settings)| {
-        Record::new(Table::Tenants)
+        RowBuilder::new(Table::Tenants)
             .set("name", name.as_str())
             .set("requests_per_second", settings.requests_per_second)
             .set("concurrency", settings.concurrency)
@@ -78,7 +78,7 @@
 pub(super) fn priorities(configuration: &Configuration) -> Vec<Row> {
     let priorities = configuration.priorities.iter();
     let rows = priorities.map(|(name, settings)| {
-        Record::new(Table::Priorities)
+        RowBuilder::new(Table::Priorities)
             .set("name", name.as_str())
             .set("level", u32::from(settings.level))
             .set(
@@ -93,7 +93,7 @@
 pub(super) fn pins(configuration: &Configuration) -> Vec<Row> {
     let pins = configuration.pins.iter();
     let rows = pins.map(|(engine, pin)| {
-        Record::new(Table::Pins)
+        RowBuilder::new(Table::Pins)
             .set("engine", engine.0)
             .set("role", pin.role.as_str())
             .set("revision", revision(configuration, &ItemKey::Pin(*engine)))
--- a/crates/daemon/src/operator/tables/daemons.rs
+++ b/crates/daemon/src/operator/tables/daemons.rs
@@ -5,7 +5,7 @@
 use ponddrift_query::{Row, Table, Value};
 
 use super::Tables;
-use super::record::{Record, count};
+use super::record::{RowBuilder, count};
 
 pub(super) fn daemons(tables: &Tables) -> Vec<Row> {
     let members = tables.view.members.iter();
@@ -15,7 +15,7 @@
 fn daemon(tables: &Tables, member: &MemberRecord) -> Row {
     let is_own = member.machine == tables.own;
     let own_requests = is_own.then(|| count(tables.requests.len()));
-    Record::new(Table::Daemons)
+    RowBuilder::new(Table::Daemons)
         .set("id", member.machine.0)
         .set("zone", member.zone.as_str())
         .set("region", member.region.as_str())
@@ -24,7 +24,7 @@
         .set("incarnation", member.life.incarnation.0)
         .set("configuration_revision", revision(tables, member).0)
         .set("requests", own_requests)
-        .set("heard_ms_ago", heard(is_own))
+        .set("heard_ms_ago", last_heard(is_own))
         .finish()
 }
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// Only of this daemon is it known: gossip brings news of others without their time.
-fn heard(is_own: bool) -> Value {
+/// Age of the last contact, known for this daemon only: gossip carries no timestamps.
+fn last_heard(is_own: bool) -> Value {
     Value::from(is_own.then_some(0_u32))
 }
 
@@ -55,11 +55,11 @@
     let newest = revisions.max().unwrap_or_default();
     let row = |member: &&MemberRecord| {
         let revision = revision(tables, member);
-        Record::new(Table::Configuration)
+        RowBuilder::new(Table::Configuration)
             .set("daemon", member.machine.0)
             .set("revision", revision.0)
             .set("current", revision == newest)
-            .set("heard_ms_ago", heard(member.machine == tables.own))
+            .set("heard_ms_ago", last_heard(member.machine == tables.own))
             .finish()
     };
     live.iter().map(row).collect()
--- a/crates/daemon/src/operator/tables/engines.rs
+++ b/crates/daemon/src/operator/tables/engines.rs
@@ -11,22 +11,22 @@
 use ponddrift_query::{Row, Table, Value};
 
 use super::Tables;
-use super::machines::{drain_text, draining, failing_text};
-use super::record::{Record, count, milliseconds};
+use super::machines::{drain_text, draining, failure_text};
+use super::record::{RowBuilder, count, milliseconds};
 
-/// An engine whose load nobody could read for so long is shown as unreachable.
-const READING_EXPECTED_WITHIN: Duration = Duration::from_secs(5);
+/// Age of the last load reading after which an engine is shown as unreachable.
+const LOAD_STALE_AFTER: Duration = Duration::from_secs(5);
 /// Thousandths in one per cent.
 const PERMILLE_IN_PERCENT: f64 = 10.0;
 
 pub(super) fn engines(tables: &Tables) -> Vec<Row> {
-    let engines = listed(tables);
+    let engines = listed_engines(tables);
     engines
         .map(|(machine, cell)| engine(tables, machine, cell))
         .collect()
 }
 
-fn listed(tables: &Tables) -> impl Iterator<Item = (&Machine, &CellName)> {
+fn listed_engines(tables: &Tables) -> impl Iterator<Item = (&Machine, &CellName)> {
     let machines = tables.list.machines.iter();
     machines.filter_map(|machine| match &machine.kind {
         MachineKind::Engine { cell } => Some((machine, cell)),
@@ -43,7 +43,7 @@
     });
     let (state, reason) = state(tables, machine);
     let role = facts.and_then(|facts| facts.role);
-    let record = Record::new(Table::Engines)
+    let record = RowBuilder::new(Table::Engines)
         .set("id", machine.id.0)
         .set("name", format!("engine-{}", machine.id))
         .set("cell", cell.as_str())
@@ -68,7 +68,7 @@
     with_load(tables, machine.id, record).finish()
 }
 
-fn with_load(tables: &Tables, engine: MachineId, record: Record) -> Record {
+fn with_load(tables: &Tables, engine: MachineId, record: RowBuilder) -> RowBuilder {
     let Some(known) = tables.view.load.get(&engine) else {
         return record;
     };
@@ -83,12 +83,12 @@
         .set("observed_ms_ago", milliseconds(known.age))
 }
 
-/// The engine's state, and all that is known of why.
+/// Returns the engine's state and the known reasons for it.
 fn state(tables: &Tables, machine: &Machine) -> (&'static str, String) {
     let mut reasons = Vec::new();
     let mark = draining(tables, machine.id);
     reasons.extend(mark.map(drain_text));
-    reasons.extend(failing_text(tables, machine.id));
+    reasons.extend(failure_text(tables, machine.id));
     if let Some(pin) = tables.configuration.pins.get(&machine.id) {
         reasons.push(format!("pinned to {} by an operator", pin.role));
     }
@@ -101,7 +101,7 @@
             reasons.push(String::from("no daemon has read its control endpoint yet"));
             "unreachable"
         }
-        Some(_) if load.is_none_or(|known| known.age > READING_EXPECTED_WITHIN) => {
+        Some(_) if load.is_none_or(|known| known.age > LOAD_STALE_AFTER) => {
             reasons.push(String::from("its load could not be read lately"));
             "unreachable"
         }
@@ -130,7 +130,7 @@
     digits.parse() == Ok(engine.0)
 }
 
-/// The role that the controller wants: a pin, or else its latest decision when that is a role.
+/// Returns the pinned role, or else the role of the controller's latest decision, if it names one.
 fn target_role(tables: &Tables, engine: MachineId) -> Option<EngineRole> {
     if let Some(pin) = tables.configuration.pins.get(&engine) {
         return Some(pin.role);
@@ -142,7 +142,7 @@
 
 pub(super) fn cells(tables: &Tables) -> Vec<Row> {
     let mut cells: BTreeMap<&CellName, Vec<MachineId>> = BTreeMap::new();
-    for (machine, cell) in listed(tables) {
+    for (machine, cell) in listed_engines(tables) {
         cells.entry(cell).or_default().push(machine.id);
     }
     let rows = cells.iter();
@@ -159,7 +159,7 @@
         count(engines.iter().filter(has_role).count())
     };
     let is_changing = |engine: &&MachineId| facts(engine).is_some_and(|facts| facts.role.is_none());
-    Record::new(Table::Cells)
+    RowBuilder::new(Table::Cells)
         .set("name", name.as_str())
         .set("controller", controller.map(|known| known.machine.0))
         .set("fencing_token", controller.map(|known| known.token.0))
@@ -222,7 +222,7 @@
 
 fn adapter((name, uses): (&AdapterName, AdapterUse)) -> Row {
     let model = uses.model.as_ref().map(ModelName::as_str);
-    Record::new(Table::Adapters)
+    RowBuilder::new(Table::Adapters)
         .set("name", name.as_str())
         .set("model", model.map_or(Value::Null, Value::from))
         .set("services", count(uses.services))
--- a/crates/daemon/src/operator/tables/machines.rs
+++ b/crates/daemon/src/operator/tables/machines.rs
@@ -7,9 +7,9 @@
 use ponddrift_query::{Row, Table};
 
 use super::Tables;
-use super::record::{Record, count};
+use super::record::{RowBuilder, count};
 
-/// The mark that drains a back end, if one does.
+/// Returns the mark by which a back end is being drained, if any.
 pub(super) fn draining(tables: &Tables, back_end: MachineId) -> Option<&DrainMark> {
     let mut marks = tables.view.marks.iter();
     marks.find(|mark| mark.back_end == back_end && mark.state == DrainState::Draining)
@@ -27,8 +27,8 @@
     )
 }
 
-/// What this daemon's own requests show, when it keeps the back end from new ones.
-pub(super) fn failing_text(tables: &Tables, back_end: MachineId) -> Option<String> {
+/// Describes why this daemon's outlier detection excludes a back end, if it does.
+pub(super) fn failure_text(tables: &Tables, back_end: MachineId) -> Option<String> {
     match tables.standings.get(&back_end)?.eligibility {
         Eligibility::InService => None,
         Eligibility::Probe => Some(String::from(
@@ -54,7 +54,7 @@
     };
     let standing = tables.standings.get(&machine.id);
     let (state, reason) = state(tables, machine);
-    let row = Record::new(Table::BackEnds)
+    let row = RowBuilder::new(Table::BackEnds)
         .set("id", machine.id.0)
         .set("pool", pool.as_str())
         .set("zone", machine.zone.as_str())
@@ -74,7 +74,7 @@
     if machine.state == MachineState::Leaving {
         return ("leaving", String::from("the machine list says so"));
     }
-    match failing_text(tables, machine.id) {
+    match failure_text(tables, machine.id) {
         Some(reason) => ("unreachable", reason),
         None => ("live", String::from("in the machine list")),
     }
--- a/crates/daemon/src/operator/tables/record.rs
+++ b/crates/daemon/src/operator/tables/record.rs
@@ -1,14 +1,14 @@
-//! Building one row by the names of its columns.
+//! Builds table rows by column name.
 
 use ponddrift_query::{Row, Table, Value};
 
-/// A row that is being filled; columns that are not set are NULL.
-pub(super) struct Record {
+/// A row builder; columns that are not set are NULL.
+pub(super) struct RowBuilder {
     table: Table,
     row: Row,
 }
 
-impl Record {
+impl RowBuilder {
     pub(super) fn new(table: Table) -> Self {
         Self {
             table,
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Sets a column. A name that the table does not have is a mistake in this crate, and is logged.
+    /// Sets a column. Logs an error if the table has no such column, which is a bug in this crate.
     pub(super) fn set(mut self, column: &str, value: impl Into<Value>) -> Self {
         match self.table.find_column(column) {
             Ok(place) => self.row[place] = value.into(),
--- a/crates/daemon/src/operator/tables/requested.rs
+++ b/crates/daemon/src/operator/tables/requested.rs
@@ -3,14 +3,14 @@
 use ponddrift_query::{Row, Table};
 
 use super::Tables;
-use super::record::{Record, milliseconds};
+use super::record::{RowBuilder, milliseconds};
 
 pub(super) fn requests(tables: &Tables) -> Vec<Row> {
     let requests = tables.requests.iter();
     let rows = requests.map(|request| {
         let service = tables.configuration.services.get(&request.service);
         let priority = service.map(|service| service.priority.as_str());
-        Record::new(Table::Requests)
+        RowBuilder::new(Table::Requests)
             .set("id", request.id.to_string())
             .set("service", request.service.as_str())
             .set("tenant", request.tenant.as_str())
@@ -33,7 +33,7 @@
     let decisions = tables.decided.decisions.iter();
     let rows = decisions.map(|decided| {
         let record = &decided.record;
-        Record::new(Table::Decisions)
+        RowBuilder::new(Table::Decisions)
             .set("at_ms", record.at.as_millis())
             .set("daemon", decided.by.0)
             .set("kind", record.kind.as_str())
--- a/crates/daemon/src/operator/wire.rs
+++ b/crates/daemon/src/operator/wire.rs
@@ -1,4 +1,4 @@
-//! JSON that operators get.
+//! JSON responses for operators.
 
 use ponddrift_core::{ChangeId, MachineId, RegionName, Revision, ZoneName};
 use ponddrift_query::ResultSet;
@@ -6,7 +6,7 @@
 
 use crate::daemon::DaemonAddresses;
 
-/// Answer to a question.
+/// Response to a query.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QueryAnswer {
     /// Columns and rows.
@@ -22,7 +22,7 @@
 pub struct MissingPart {
     /// The daemon.
     pub daemon: MachineId,
-    /// Why, with the remedy.
+    /// The reason and a remedy.
     pub reason: String,
 }
 
@@ -39,7 +39,8 @@
     pub in_force: usize,
     /// Live daemons.
     pub live: usize,
-    /// Live daemons that are not known to have it in force yet. They take it as soon as they are reached.
+    /// Live daemons that are not known to have it in force yet. They take it as soon as they are
+    /// reached.
     pub not_yet_in_force: Vec<MachineId>,
     /// Time from the acceptance to this answer in milliseconds.
     pub waited_ms: u64,
@@ -56,7 +57,7 @@
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// Which life of the process this is.
+    /// Incarnation number, larger after each restart.
     pub incarnation: u64,
     /// Milliseconds since it started.
     pub up_ms: u64,
--- a/crates/daemon/src/peer.rs
+++ b/crates/daemon/src/peer.rs
@@ -1,4 +1,4 @@
-//! What daemons tell one another: gossip over UDP, requests over TCP.
+//! Communication between daemons: gossip over UDP, requests over TCP.
 
 pub(crate) mod client;
 pub(crate) mod frame;
@@ -11,14 +11,14 @@
 use ponddrift_core::{Incarnation, MachineId};
 use ponddrift_protocol::Hello;
 
-/// Who this daemon is towards its peers.
+/// Identity that this daemon sends to its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct PeerIdentity {
     /// Hash of the cluster's name.
     pub(crate) cluster: u64,
     /// This machine.
     pub(crate) machine: MachineId,
-    /// This life.
+    /// Incarnation of this process.
     pub(crate) incarnation: Incarnation,
 }
 
--- a/crates/daemon/src/peer/client.rs
+++ b/crates/daemon/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Requests to peers, each on a connection of its own.
+//! Client for requests to peers, with one connection per request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,16 +12,16 @@
 use super::PeerIdentity;
 use super::frame::{FrameError, read_frame};
 
-/// Why a peer gave no answer.
+/// Failure of a request to a peer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerError {
-    /// No connection: the request was certainly not sent.
+    /// The connection failed; the request was not sent.
     #[error("no connection to the peer {target}: {source}; ask another")]
     NotSent {
         target: SocketAddr,
         source: std::io::Error,
     },
-    /// The connection broke, or nothing came in time.
+    /// The connection failed after it was established, or the request timed out.
     #[error("no answer of the peer {target}: {reason}; ask another")]
     NoAnswer { target: SocketAddr, reason: String },
     /// The request is too large.
@@ -32,7 +32,7 @@
     Refused { target: SocketAddr, reason: String },
 }
 
-/// Asks peers.
+/// Sends requests to peers.
 #[derive(Clone)]
 pub(crate) struct PeerClient {
     runtime: Runtime,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Asks the peer at `target`.
+    /// Sends a request to the peer at `target` and waits for its response.
     pub(crate) async fn ask(
         &self,
         target: SocketAddr,
--- a/crates/daemon/src/peer/frame.rs
+++ b/crates/daemon/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a stream: reading them within limits.
+//! Reads length-prefixed frames from a stream.
 
 use std::io;
 
@@ -6,18 +6,19 @@
 use ponddrift_runtime::BoxedStream;
 use tokio::io::AsyncReadExt;
 
-/// Why a frame was not read.
+/// Failure to read a frame.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FrameError {
     /// The connection broke.
     #[error("the connection broke: {0}; ask again")]
     Connection(#[from] io::Error),
-    /// The peer sent something else than a frame.
+    /// The received bytes are not a valid frame.
     #[error(transparent)]
     Decode(#[from] DecodeError),
 }
 
-/// Reads one frame without its header. The buffer grows with what arrives, not with what is announced.
+/// Reads one frame and returns it without its header. Memory grows with the bytes received, not
+/// with the announced length.
 pub(crate) async fn read_frame(stream: &mut BoxedStream) -> Result<Vec<u8>, FrameError> {
     let mut header = [0; FRAME_HEADER_BYTES];
     stream.read_exact(&mut header).await?;
--- a/crates/daemon/src/peer/outbox.rs
+++ b/crates/daemon/src/peer/outbox.rs
@@ -1,4 +1,4 @@
-//! Parts on their way out, packed into as few datagrams as they fit.
+//! Packs outgoing message parts into datagrams.
 
 use std::net::SocketAddr;
 
@@ -28,7 +28,8 @@
         self.parts.entry(target).or_default().push(part);
     }
 
-    /// Packs everything collected. A part that fits no datagram is dropped and logged.
+    /// Packs all collected parts. Logs and drops a datagram that cannot be encoded, such as one
+    /// with an oversized part.
     pub(crate) fn pack(&mut self, identity: PeerIdentity) -> Vec<OutgoingDatagram> {
         let mut outgoing = Vec::new();
         for (target, parts) in std::mem::take(&mut self.parts) {
--- a/crates/daemon/src/peer/requests.rs
+++ b/crates/daemon/src/peer/requests.rs
@@ -1,4 +1,4 @@
-//! Answers to requests of peers, out of the actors.
+//! Answers peer requests by querying the actors.
 
 use std::sync::Arc;
 
@@ -15,9 +15,9 @@
 use crate::actors::{ActorStopped, ask};
 use crate::decisions::DecisionLog;
 
-/// Where answers come from.
+/// Handles peer requests.
 #[derive(Clone)]
-pub(crate) struct PeerRequests {
+pub(crate) struct PeerRequestHandler {
     pub(crate) configuration: Address<ConfigurationActor>,
     pub(crate) peers: Address<PeerActor>,
     pub(crate) claims: Address<ClaimsActor>,
@@ -25,7 +25,7 @@
     pub(crate) decisions: DecisionLog,
 }
 
-impl PeerRequests {
+impl PeerRequestHandler {
     async fn answer_one(&self, request: Request) -> Result<Response, ActorStopped> {
         match request {
             Request::PullConfiguration { since } => ask(&self.configuration, Since(since))
@@ -58,7 +58,7 @@
     }
 }
 
-impl PeerHandler for PeerRequests {
+impl PeerHandler for PeerRequestHandler {
     fn answer(&self, _hello: Hello, request: Request) -> BoxFuture<'static, Response> {
         let requests = self.clone();
         Box::pin(async move {
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers requests of peers.
+//! Server for peer requests.
 
 use std::io;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 use super::PeerIdentity;
 use super::frame::read_frame;
 
-/// Connections served at a time; more wait.
+/// Maximum number of concurrent connections; further ones wait in the backlog.
 const MAXIMUM_CONNECTIONS: usize = 256;
-/// Time for one request and its answer.
+/// Timeout of one request with its response.
 const EXCHANGE_LIMIT: Duration = Duration::from_secs(5);
 /// Pause after a failed `accept`.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers one kind or all kinds of requests.
+/// Handler of peer requests.
 pub(crate) trait PeerHandler: Send + Sync + 'static {
     fn answer(&self, hello: Hello, request: Request) -> BoxFuture<'static, Response>;
 }
--- a/crates/daemon/src/peer/socket.rs
+++ b/crates/daemon/src/peer/socket.rs
@@ -1,4 +1,4 @@
-//! The peer address: a datagram socket and a listener on the same port.
+//! Binds the UDP socket and the TCP listener of the peer address to the same port.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,20 +11,20 @@
 use super::outbox::OutgoingDatagram;
 use crate::metrics::{Direction, Metrics};
 
-/// Tries to find a port that is free for both, when the system chooses it.
-const BIND_TRIES: usize = 16;
+/// Maximum attempts to find a port free for both UDP and TCP when port 0 is configured.
+const BIND_ATTEMPTS: usize = 16;
 
-/// Both sockets.
+/// The bound sockets of the peer address.
 pub(crate) struct PeerSockets {
     pub(crate) datagrams: Arc<dyn DatagramSocket>,
     pub(crate) listener: BoxedListener,
     pub(crate) address: SocketAddr,
 }
 
-/// Binds both on `address`; with port 0 on one port that the system chooses.
+/// Binds both sockets to `address`; with port 0, to a common port chosen by the system.
 pub(crate) async fn bind(runtime: &Runtime, address: SocketAddr) -> io::Result<PeerSockets> {
     let mut last_error = io::Error::from(io::ErrorKind::AddrInUse);
-    for _ in 0..BIND_TRIES {
+    for _ in 0..BIND_ATTEMPTS {
         let listener = runtime.network.listen(address).await?;
         let bound = listener.local_address()?;
         match runtime.network.bind_datagram(bound).await {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Sends datagrams; a lost one is made good by the protocols above.
+/// Sends datagrams without retries; the gossip protocols tolerate lost ones.
 pub(crate) async fn send_all(
     socket: &dyn DatagramSocket,
     metrics: &Metrics,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Receives the next datagram of this cluster; others are counted and dropped.
+/// Receives the next datagram of this cluster; counts and drops invalid ones and those of others.
 pub(crate) async fn receive(
     socket: &dyn DatagramSocket,
     metrics: &Metrics,
--- a/crates/daemon/src/peer/view.rs
+++ b/crates/daemon/src/peer/view.rs
@@ -1,4 +1,4 @@
-//! The members as this daemon sees them, for parts that only read them.
+//! Read-only snapshot of the cluster membership.
 
 use ponddrift_core::MachineId;
 use ponddrift_core::membership::{Contact, MemberRecord, Readiness};
@@ -10,14 +10,14 @@
     pub(crate) own: MachineId,
     /// Live daemons, ordered by machine, this one included.
     pub(crate) live: Vec<MemberRecord>,
-    /// Daemons that are dead or have left, as far as they are remembered.
+    /// Dead and departed daemons that are still recorded.
     pub(crate) gone: Vec<MemberRecord>,
-    /// Whether this daemon is in touch with its peers.
+    /// Whether this daemon has contact with its peers.
     pub(crate) contact: Contact,
 }
 
 impl MembersView {
-    /// A view from before membership started.
+    /// Returns the empty view used before membership starts.
     pub(crate) fn empty(own: MachineId) -> Self {
         Self {
             own,
@@ -27,14 +27,14 @@
         }
     }
 
-    /// Live daemons that are not about to leave.
+    /// Iterates over live daemons that are not leaving.
     pub(crate) fn serving(&self) -> impl Iterator<Item = &MemberRecord> {
         self.live
             .iter()
             .filter(|record| record.facts.readiness != Readiness::Leaving)
     }
 
-    /// The live daemons as the assignment functions take them.
+    /// Returns references to the live records, as the assignment functions expect.
     pub(crate) fn live_records(&self) -> Vec<&MemberRecord> {
         self.live.iter().collect()
     }
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -1,4 +1,4 @@
-//! Polling engines: load from the metrics page, role and model from the control endpoint.
+//! Polls engines: load from the metrics endpoint, role and model from the control endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,27 +22,27 @@
 use crate::fleet::MachineListReceiver;
 use crate::peer::view::MembersView;
 
-/// Daemons that poll one engine: a second one goes on when the first has just died.
+/// Number of daemons that poll one engine; the second covers a failure of the first.
 const POLLERS_PER_ENGINE: usize = 2;
-/// So long after its start a daemon counts those of the machine list in, as if it had heard of them: else it
-/// would open two connections to every engine of the fleet before gossip names the other daemons.
+/// Time after startup during which all daemons of the machine list count as live. Otherwise a new
+/// daemon would poll every engine of the fleet until gossip reports the other daemons.
 const JOIN_GRACE: Duration = Duration::from_secs(10);
-/// Of so many intervals the second poller uses one.
+/// The second poller polls once in this number of intervals.
 const SECOND_POLLER_EVERY: u32 = 4;
-/// After so many readings of the load the state is read even if nothing seems to have changed.
-const STATE_EVERY: u32 = 8;
-/// Thousandths in a whole.
+/// The engine state is read at least once in this number of load reads.
+const MAXIMUM_POLLS_WITHOUT_STATE: u32 = 8;
+/// Converts a fraction to permille.
 const PERMILLE: f64 = 1_000.0;
 
-/// What one poll of an engine showed.
+/// Result of polling one engine.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct EngineObservation {
-    /// Role and model, if they were read.
+    /// Role and model; `None` if this poll read the load only.
     pub(crate) facts: Option<EngineFacts>,
     pub(crate) digest: LoadDigest,
 }
 
-/// Reads engines.
+/// Reads the load and state of engines.
 #[derive(Clone)]
 pub(crate) struct EnginePoller {
     control: ControlClient,
@@ -57,13 +57,13 @@
         }
     }
 
-    /// Reads all of `engines` at the same time; those that do not answer are left out.
+    /// Polls `engines` concurrently and omits those that do not answer.
     pub(crate) async fn poll(&self, engines: &mut [PolledEngine]) -> Vec<EngineObservation> {
         let readings = engines.iter_mut().map(|engine| self.poll_one(engine));
         join_all(readings).await.into_iter().flatten().collect()
     }
 
-    /// Reads the load, and the state as well when it may have changed since it was last read.
+    /// Reads the load, and also the state if it may have changed since the last read.
     async fn poll_one(&self, engine: &mut PolledEngine) -> Option<EngineObservation> {
         let id = engine.machine.id;
         let address = engine.machine.address;
@@ -91,12 +91,12 @@
     }
 }
 
-/// An engine that this daemon polls, and what it remembers of its last reading.
+/// An engine that this daemon polls, with the result of its last state read.
 #[derive(Debug, Clone)]
 pub(crate) struct PolledEngine {
     machine: Machine,
     rank: usize,
-    /// Incarnation and role that the load page showed when the state was last read.
+    /// Incarnation and role in the load sample at the last state read.
     known: Option<(Incarnation, Option<EngineRole>)>,
     polls_since_state: u32,
 }
@@ -111,18 +111,17 @@
         }
     }
 
-    /// The first poller reads at each interval, the second one seldom: it only has to be there when the
-    /// first one has just died.
+    /// Whether to poll in this interval: the first poller always does, the second one rarely.
     fn is_due(&self, interval: u32) -> bool {
         self.rank == 0 || interval.is_multiple_of(SECOND_POLLER_EVERY)
     }
 
-    /// A change of role or model shows on the load page, as the engine plays no role meanwhile.
+    /// Detects a change of role or model: the load sample has no role while an engine changes it.
     fn must_read_state(&mut self, sample: &LoadSample) -> bool {
         self.polls_since_state += 1;
         sample.role.is_none()
             || self.known != Some((sample.incarnation, sample.role))
-            || self.polls_since_state >= STATE_EVERY
+            || self.polls_since_state >= MAXIMUM_POLLS_WITHOUT_STATE
     }
 
     fn state_read(&mut self, sample: &LoadSample, report: EngineReport) -> EngineFacts {
@@ -136,7 +135,7 @@
     EngineFacts {
         engine,
         incarnation: report.incarnation,
-        // Given by the table of facts.
+        // Assigned by the facts table.
         sequence: 0,
         role: report.role,
         model: report.model,
@@ -147,17 +146,17 @@
     LoadDigest {
         engine,
         incarnation: sample.incarnation,
-        // Given by the actor that knows the last one heard.
+        // Assigned by the peer actor.
         sequence: 0,
         role: sample.role,
-        waiting: saturated(sample.waiting),
-        running: saturated(sample.running),
-        waiting_prompt_blocks: saturated(sample.waiting_prompt_tokens / PROMPT_BLOCK_TOKENS),
+        waiting: saturating_u16(sample.waiting),
+        running: saturating_u16(sample.running),
+        waiting_prompt_blocks: saturating_u16(sample.waiting_prompt_tokens / PROMPT_BLOCK_TOKENS),
         cache_used_permille: permille(sample.cache_used),
     }
 }
 
-fn saturated(number: u64) -> u16 {
+fn saturating_u16(number: u64) -> u16 {
     u16::try_from(number).unwrap_or(u16::MAX)
 }
 
@@ -170,7 +169,8 @@
     (share * PERMILLE) as u16
 }
 
-/// Polls, at an interval, the engines that rendezvous over the live daemons assigns to this one.
+/// Periodically polls the engines assigned to this daemon by rendezvous hashing over the live
+/// daemons.
 pub(crate) async fn follow(
     poller: EnginePoller,
     interval: Duration,
@@ -181,7 +181,7 @@
     let mut ticker = tokio::time::interval(interval);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let joined_at = Instant::now() + JOIN_GRACE;
-    let mut assigned = Assigned::new(&fleet, &members, true);
+    let mut assigned = AssignedEngines::new(&fleet, &members, true);
     let mut number = 0_u32;
     loop {
         ticker.tick().await;
@@ -194,15 +194,15 @@
     }
 }
 
-/// The engines that this daemon polls, worked out anew only when the list or the members changed.
-struct Assigned {
+/// Engines assigned to this daemon, recomputed only when the machine list or the members change.
+struct AssignedEngines {
     list: Arc<MachineList>,
     view: Arc<MembersView>,
     is_joining: bool,
     engines: Vec<PolledEngine>,
 }
 
-impl Assigned {
+impl AssignedEngines {
     fn new(
         fleet: &MachineListReceiver,
         members: &watch::Receiver<Arc<MembersView>>,
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that run or wait at this daemon, for operators.
+//! Registry of queued and running requests at this daemon, for operators.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,17 +7,17 @@
 use ponddrift_core::routing::PlacementPlan;
 use ponddrift_core::{MachineId, RequestId, ServiceName, TenantName, Timestamp};
 
-/// What a request is doing.
+/// Processing state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestState {
-    /// It waits for admission.
+    /// Waiting for admission.
     Queued,
-    /// It was admitted.
+    /// Admitted.
     Running,
 }
 
 impl RequestState {
-    /// The state's name in the operators' language.
+    /// Name of the state in the operators' query language.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Queued => "queued",
@@ -36,21 +36,21 @@
     pub(crate) deadline: Timestamp,
     pub(crate) prompt_tokens: u32,
     pub(crate) state: RequestState,
-    /// The back end that answers (of a hand-over, the one that generates); `None` while it waits.
+    /// The back end that answers, or the decode engine of a handover; `None` before placement.
     pub(crate) back_end: Option<MachineId>,
     pub(crate) attempts: u32,
 }
 
 type Entries = BTreeMap<RequestId, RequestInProgress>;
 
-/// All requests in progress; clones share them.
+/// All requests in progress; clones share the registry.
 #[derive(Clone, Default)]
 pub(crate) struct RequestRegistry {
     entries: Arc<Mutex<Entries>>,
 }
 
 impl RequestRegistry {
-    /// Adds a request that waits for admission; it goes when the entry is dropped.
+    /// Adds a queued request, which is removed when the returned guard is dropped.
     pub(crate) fn enter(
         &self,
         request: &AdmissionRequest,
@@ -75,12 +75,12 @@
         }
     }
 
-    /// The requests as they are now, ordered by id.
+    /// Returns a snapshot of all requests, ordered by id.
     pub(crate) fn all(&self) -> Vec<RequestInProgress> {
         self.lock().values().cloned().collect()
     }
 
-    /// How many there are.
+    /// Returns the number of requests in progress.
     pub(crate) fn count(&self) -> usize {
         self.lock().len()
     }
@@ -90,19 +90,19 @@
     }
 }
 
-/// A request's entry; it is removed when this is dropped.
+/// Removes a request from the registry when dropped.
 pub(crate) struct RequestGuard {
     register: RequestRegistry,
     id: RequestId,
 }
 
 impl RequestGuard {
-    /// The request was admitted.
+    /// Marks the request as admitted.
     pub(crate) fn admitted(&self) {
         self.change(|entry| entry.state = RequestState::Running);
     }
 
-    /// The request is sent to a back end.
+    /// Records an attempt and the back end it is sent to.
     pub(crate) fn placed(&self, plan: PlacementPlan) {
         self.change(|entry| {
             entry.back_end = Some(match plan {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a daemon: a TOML file, then environment variables, then flags.
 //!
-//! Everything is checked before anything starts, and all faults are reported at once.
+//! All settings are validated before the daemon starts, and all faults are reported together.
 
 mod load;
 mod model;
--- a/crates/daemon/src/settings/load.rs
+++ b/crates/daemon/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Puts the sources together: template defaults, file, environment, flags.
+//! Merges the settings sources: defaults, file, environment variables, flags.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -13,32 +13,32 @@
 };
 use ponddrift_settings::{Fault, Faults, Reader};
 
-/// Environment variables `PONDDRIFT_LISTEN__GATEWAY` set the key `listen.gateway`.
+/// Prefix of environment variables: `PONDDRIFT_LISTEN__GATEWAY` sets the key `listen.gateway`.
 pub const ENVIRONMENT_PREFIX: &str = "PONDDRIFT_";
 
 const HOUR_MS: u64 = 3_600_000;
 const GIBIBYTE: u64 = 1 << 30;
 
-/// One key set outside the file.
+/// A key set by an environment variable or a flag.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyAssignment {
     /// Dotted key.
     pub key: String,
-    /// Its value in TOML; a bare word is taken as text.
+    /// TOML value; text that is not valid TOML is used as a string.
     pub value: String,
 }
 
 /// An assignment without `=`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not KEY=VALUE: write for example listen.gateway=127.0.0.1:8080")]
-pub struct NotAnAssignment(String);
+pub struct InvalidKeyAssignment(String);
 
 impl FromStr for KeyAssignment {
-    type Err = NotAnAssignment;
+    type Err = InvalidKeyAssignment;
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let (key, value) = text
             .split_once('=')
-            .ok_or_else(|| NotAnAssignment(text.to_owned()))?;
+            .ok_or_else(|| InvalidKeyAssignment(text.to_owned()))?;
         Ok(Self {
             key: key.trim().to_owned(),
             value: value.trim().to_owned(),
@@ -47,7 +47,7 @@
 }
 
 impl KeyAssignment {
-    /// The assignment that an environment variable makes, if its name has the prefix.
+    /// Converts an environment variable; `None` unless its name has the prefix and a section.
     #[must_use]
     pub fn from_environment(name: &str, value: &str) -> Option<Self> {
         let key = name
@@ -93,10 +93,11 @@
     include_str!("../../../../etc/ponddriftd.toml")
 }
 
-/// Reads and checks settings: the file's text, then `assignments` in their order.
+/// Parses and validates settings: the file's text, then `assignments`, later ones taking
+/// precedence.
 ///
 /// # Errors
-/// All [`Faults`] at once.
+/// Returns all [`Faults`] found.
 ///
 /// # Examples
 /// ```
@@ -126,7 +127,7 @@
     let listen = read_listen(&mut reader);
     let platform = read_platform(&mut reader);
     let seeds = reader.addresses("peers.seeds", false);
-    let settings_after_names = ReadWithoutNames {
+    let sections = SectionsWithDefaults {
         gateway: read_gateway(&mut reader),
         admission: read_admission(&mut reader),
         retry: read_retry(&mut reader),
@@ -136,9 +137,9 @@
         planner: read_planner(&mut reader),
     };
     let log_filter = reader.parsed("log.filter", Some(String::from("info")), "a log filter");
-    let rest = settings_after_names;
+    let rest = sections;
     reader.finish()?;
-    // Each `None` below left a fault behind, so that `finish` has returned already.
+    // Each `None` below has recorded a fault, so `finish` has already returned an error.
     let missing = || Faults(Vec::new());
     Ok(Settings {
         daemon: daemon.ok_or_else(missing)?,
@@ -156,7 +157,7 @@
     })
 }
 
-struct ReadWithoutNames {
+struct SectionsWithDefaults {
     gateway: GatewaySettings,
     admission: AdmissionSettings,
     retry: RetrySettings,
@@ -180,10 +181,10 @@
 }
 
 fn read_listen(reader: &mut Reader) -> Option<ListenSettings> {
-    const WHAT: &str = "an IP number and a port such as \"127.0.0.1:8080\"";
-    let gateway: Option<SocketAddr> = reader.parsed("listen.gateway", None, WHAT);
-    let operator: Option<SocketAddr> = reader.parsed("listen.operator", None, WHAT);
-    let peer: Option<SocketAddr> = reader.parsed("listen.peer", None, WHAT);
+    const EXPECTED: &str = "an IP number and a port such as \"127.0.0.1:8080\"";
+    let gateway: Option<SocketAddr> = reader.parsed("listen.gateway", None, EXPECTED);
+    let operator: Option<SocketAddr> = reader.parsed("listen.operator", None, EXPECTED);
+    let peer: Option<SocketAddr> = reader.parsed("listen.peer", None, EXPECTED);
     let same = |first: Option<SocketAddr>, second: Option<SocketAddr>| {
         first.is_some_and(|address| address.port() != 0) && first == second
     };
@@ -225,11 +226,11 @@
     })
 }
 
-fn size(number: u64) -> usize {
+fn saturating_usize(number: u64) -> usize {
     usize::try_from(number).unwrap_or(usize::MAX)
 }
 
-fn small(number: u64) -> u32 {
+fn saturating_u32(number: u64) -> u32 {
     u32::try_from(number).unwrap_or(u32::MAX)
 }
 
@@ -240,7 +241,7 @@
             10_000,
             100..=HOUR_MS,
         ),
-        body_size_limit: size(reader.number(
+        body_size_limit: saturating_usize(reader.number(
             "gateway.body_size_limit_bytes",
             16 << 20,
             1_024..=GIBIBYTE,
@@ -261,15 +262,23 @@
 
 fn read_admission(reader: &mut Reader) -> AdmissionSettings {
     AdmissionSettings {
-        queue_length: size(reader.number("admission.queue_length", 1_024, 1..=1_000_000)),
-        maximum_in_flight: size(reader.number("admission.maximum_in_flight", 2_048, 1..=100_000)),
+        queue_length: saturating_usize(reader.number(
+            "admission.queue_length",
+            1_024,
+            1..=1_000_000,
+        )),
+        maximum_in_flight: saturating_usize(reader.number(
+            "admission.maximum_in_flight",
+            2_048,
+            1..=100_000,
+        )),
     }
 }
 
 fn read_retry(reader: &mut Reader) -> RetrySettings {
     RetrySettings {
-        maximum_attempts: small(reader.number("retry.maximum_attempts", 3, 1..=10)),
-        budget_percent: small(reader.number("retry.budget_percent", 10, 0..=100)),
+        maximum_attempts: saturating_u32(reader.number("retry.maximum_attempts", 3, 1..=10)),
+        budget_percent: saturating_u32(reader.number("retry.budget_percent", 10, 0..=100)),
     }
 }
 
@@ -293,12 +302,12 @@
 }
 
 fn read_control(reader: &mut Reader) -> ControlSettings {
-    let engines_away = reader.number("control.engines_away_percent", 25, 1..=100);
+    let unavailable_percent = reader.number("control.engines_away_percent", 25, 1..=100);
     let control = ControlSettings {
         lease_time: reader.milliseconds("control.lease_ms", 10_000, 1_000..=600_000),
         order_time_limit: reader.milliseconds("control.order_time_limit_ms", 1_000, 10..=60_000),
         reconcile_interval: reader.milliseconds("control.reconcile_interval_ms", 500, 10..=60_000),
-        maximum_unavailable_percent: u8::try_from(engines_away).unwrap_or(100),
+        maximum_unavailable_percent: u8::try_from(unavailable_percent).unwrap_or(100),
     };
     if control.lease_time < control.order_time_limit * 4 {
         let remedy = "must be at least four times control.order_time_limit_ms: raise it";
--- a/crates/daemon/src/settings/model.rs
+++ b/crates/daemon/src/settings/model.rs
@@ -1,4 +1,4 @@
-//! The checked settings.
+//! Types of the validated settings.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -9,15 +9,15 @@
 /// All settings of a daemon.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Who and where this daemon is.
+    /// Identity and location of this daemon.
     pub daemon: DaemonSettings,
-    /// Addresses it listens on.
+    /// Listen addresses.
     pub listen: ListenSettings,
-    /// The platform.
+    /// Key-value service and machine list.
     pub platform: PlatformSettings,
-    /// Peer addresses to begin with, beside those of the machine list.
+    /// Initial peer addresses, in addition to those of the machine list.
     pub seeds: Vec<SocketAddr>,
-    /// Limits towards callers.
+    /// Limits for callers' requests.
     pub gateway: GatewaySettings,
     /// Queue and concurrency.
     pub admission: AdmissionSettings,
@@ -35,10 +35,10 @@
     pub log_filter: String,
 }
 
-/// Who and where a daemon is.
+/// Identity and location of a daemon.
 #[derive(Debug, Clone)]
 pub struct DaemonSettings {
-    /// Number in the machine list.
+    /// Machine id in the machine list.
     pub id: MachineId,
     /// Name of the cluster; datagrams of other clusters are dropped.
     pub cluster: String,
@@ -51,97 +51,97 @@
 /// Addresses a daemon listens on.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenSettings {
-    /// HTTP of callers.
+    /// HTTP address for callers.
     pub gateway: SocketAddr,
-    /// HTTP of operators.
+    /// HTTP address for operators.
     pub operator: SocketAddr,
-    /// UDP and TCP of other daemons.
+    /// UDP and TCP address for other daemons.
     pub peer: SocketAddr,
 }
 
-/// The platform.
+/// Key-value service and machine list.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
     /// Gateways of the key-value service.
     pub key_value: Vec<SocketAddr>,
     /// Machine list.
     pub machine_list: SocketAddr,
-    /// Time limit of a call.
+    /// Timeout of a platform call.
     pub call_time_limit: Duration,
-    /// Time between two readings of the machine list.
+    /// Interval between reads of the machine list.
     pub machine_list_interval: Duration,
 }
 
-/// Limits towards callers.
+/// Limits for callers' requests.
 #[derive(Debug, Clone)]
 pub struct GatewaySettings {
-    /// Time for a request's head.
+    /// Timeout for receiving a request's header section.
     pub header_time_limit: Duration,
     /// Largest request body in bytes.
     pub body_size_limit: usize,
-    /// Time for a request's body.
+    /// Timeout for receiving a request's body.
     pub body_time_limit: Duration,
-    /// Time a caller may leave its answer unread before its request is cancelled.
+    /// Maximum time without the caller reading the response before its request is cancelled.
     pub stalled_reader_limit: Duration,
-    /// Most time an engine may be silent in the middle of a stream.
+    /// Maximum time between two events of an engine's response stream.
     pub stream_idle_limit: Duration,
 }
 
 /// Queue and concurrency.
 #[derive(Debug, Clone)]
 pub struct AdmissionSettings {
-    /// Requests that may wait.
+    /// Maximum number of queued requests.
     pub queue_length: usize,
-    /// Most requests in progress at a time.
+    /// Maximum number of concurrent requests.
     pub maximum_in_flight: usize,
 }
 
 /// Retries.
 #[derive(Debug, Clone)]
 pub struct RetrySettings {
-    /// Attempts of one request in all.
+    /// Maximum number of attempts per request, the first included.
     pub maximum_attempts: u32,
-    /// Retries as a share of recent successes, in per cent.
+    /// Retry budget as a percentage of recent successful requests.
     pub budget_percent: u32,
 }
 
 /// Gossip between daemons.
 #[derive(Debug, Clone)]
 pub struct MembershipSettings {
-    /// Time between two probes.
+    /// Interval between probes.
     pub probe_interval: Duration,
-    /// Time for a probe's answer.
+    /// Timeout of a direct probe.
     pub probe_time_limit: Duration,
-    /// Shortest time from suspicion to death.
+    /// Minimum time before a suspect member is declared dead.
     pub suspicion_time: Duration,
 }
 
 /// Polling of engines.
 #[derive(Debug, Clone)]
 pub struct LoadSettings {
-    /// Time between two readings of an engine's load.
+    /// Interval between reads of an engine's load.
     pub poll_interval: Duration,
 }
 
 /// Leases and orders.
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
-    /// Life of a cell controller's lease.
+    /// Time to live of a cell controller's lease.
     pub lease_time: Duration,
-    /// Time limit of an order's call.
+    /// Timeout of a control request to an engine.
     pub order_time_limit: Duration,
-    /// Time between two rounds of reconciliation.
+    /// Interval between reconciliation rounds.
     pub reconcile_interval: Duration,
-    /// Most engines of a cell that are away at once, in per cent.
+    /// Maximum percentage of a cell's engines that may be unavailable at the same time.
     pub maximum_unavailable_percent: u8,
 }
 
-/// Which of the two figures weighs more.
+/// Planner preference between goodput and few role changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Profile {
-    /// Goodput through shifts weighs more.
+    /// Prefers goodput when demand shifts.
     Hanbit,
-    /// Few role changes weigh more.
+    /// Prefers few role changes.
     HeadOffice,
 }
 
@@ -156,7 +156,7 @@
     }
 }
 
-/// A profile's name that does not exist.
+/// An unknown profile name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("there is no profile {0:?}")]
 pub struct UnknownProfile(String);
@@ -177,10 +177,10 @@
 pub struct PlannerSettings {
     /// Weights of goodput against role changes.
     pub profile: Profile,
-    /// Time between two plans.
+    /// Interval between planning runs.
     pub interval: Duration,
-    /// Shortest time an engine keeps a role.
+    /// Minimum time an engine keeps a role.
     pub minimum_dwell: Duration,
-    /// Time a change must pay off in.
+    /// Time within which the benefit of a role change must exceed its cost.
     pub horizon: Duration,
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: all faults at once, each with key, value and remedy.
+//! Guards the precedence of the settings sources and the reporting of all faults at once.
 
 use ponddrift_daemon::settings::{KeyAssignment, Profile, load, template};
 
