--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -24,10 +24,10 @@
 /// Reason why the watch was interrupted.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FollowError {
-    /// The store failed.
+    /// The key-value store returned an error.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A key or value cannot be read.
+    /// A stored key or value is invalid.
     #[error(transparent)]
     Key(#[from] KeyError),
     /// A value is not UTF-8.
@@ -36,7 +36,7 @@
     /// A change between two revisions is missing.
     #[error("a change between two revisions is missing: reading everything")]
     Gap,
-    /// The daemon is ending.
+    /// The configuration actor has stopped.
     #[error(transparent)]
     Stopped(#[from] crate::actors::ActorStopped),
 }
@@ -62,7 +62,7 @@
             WhileEnd::Closed => return,
         };
         if let Err(error) = ended {
-            tracing::info!(%error, "following the configuration was interrupted");
+            tracing::info!(%error, "configuration watch interrupted");
         }
         tokio::time::sleep(pause).await;
         pause = (pause * 2).min(MAXIMUM_BACKOFF);
@@ -111,7 +111,7 @@
     range.values.iter().map(entry).collect()
 }
 
-/// The writes of one revision.
+/// All writes made at one revision.
 type RevisionWrites = (Revision, Vec<KeyWrite>);
 
 fn group_by_revision(events: Vec<WatchEvent>) -> Result<Vec<RevisionWrites>, FollowError> {
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -79,7 +79,9 @@
             .await
             .is_err()
         {
-            tracing::warn!("leaving while claims of idempotency keys are still kept here");
+            tracing::warn!(
+                "claim handover timed out; leaving while this daemon still holds idempotency key claims"
+            );
         }
     }
 
--- a/crates/daemon/src/daemon/claim_groups.rs
+++ b/crates/daemon/src/daemon/claim_groups.rs
@@ -72,7 +72,7 @@
                 continue;
             }
             if let Err(error) = self.round(&mut changes, &listed).await {
-                tracing::debug!(%error, "claim groups not looked at");
+                tracing::debug!(%error, "planning claim groups failed");
             }
         }
     }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -40,7 +40,7 @@
             Ok(None) => {
                 senders.confirmed.send_replace(begun);
             }
-            Err(error) => tracing::warn!(%error, "machine list not read"),
+            Err(error) => tracing::warn!(%error, "reading the machine list failed"),
         }
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -103,13 +103,13 @@
     let daemon = Daemon::start(Runtime::system(seed), settings, incarnation()?).await?;
     println!("{}", ready_line(&daemon)?);
     next_signal(&mut terminate, &mut interrupt).await;
-    tracing::info!("planned stop begins");
+    tracing::info!("graceful shutdown started");
     tokio::select! {
         biased;
         () = next_signal(&mut terminate, &mut interrupt) => {
-            tracing::warn!("second signal: ending at once");
+            tracing::warn!("received a second signal; exiting immediately");
         }
-        () = daemon.stop() => tracing::info!("planned stop done"),
+        () = daemon.stop() => tracing::info!("graceful shutdown complete"),
     }
     Ok(())
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -171,7 +171,7 @@
     pub(crate) fn page(&self) -> String {
         let mut page = String::new();
         if encode(&mut page, &self.registry).is_err() {
-            tracing::error!("metrics cannot be written");
+            tracing::error!("encoding metrics failed");
         }
         page
     }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -31,16 +31,16 @@
 pub const QUERY_PATH: &str = "/v1/query";
 /// Path for configuration changes.
 pub const APPLY_PATH: &str = "/v1/apply";
-/// Path of the daemon's own state.
+/// Path for the status of this daemon.
 pub const STATUS_PATH: &str = "/v1/status";
 /// Header that names the operator.
 pub const OPERATOR_HEADER: &str = "x-operator";
 
-/// Answers 200 while the process lives.
+/// Liveness probe: answers 200 while the process runs.
 const HEALTH_PATH: &str = "/healthz";
-/// Answers 200 while the daemon takes requests.
+/// Readiness probe: answers 200 while the daemon accepts requests.
 const READINESS_PATH: &str = "/readyz";
-/// Prometheus text.
+/// Metrics in the Prometheus text format.
 const METRICS_PATH: &str = "/metrics";
 
 /// Dependencies of the statement handlers.
@@ -111,7 +111,7 @@
             let answer = endpoint.answer(context, request).await;
             let response = answer.unwrap_or_else(Problem::into_response);
             tracing::info!(
-                %peer, %method, path, status = response.status().as_u16(), "operator answered"
+                %peer, %method, path, status = response.status().as_u16(), "operator request answered"
             );
             response
         })
--- a/crates/daemon/src/operator/apply.rs
+++ b/crates/daemon/src/operator/apply.rs
@@ -59,7 +59,7 @@
     revision: Revision,
 }
 
-/// Answers one change.
+/// Handles one change request.
 pub(super) async fn answer(
     context: &Arc<OperatorContext>,
     request: Request<Incoming>,
@@ -227,7 +227,7 @@
 }
 
 impl Accepted {
-    /// The configuration after the change.
+    /// Returns the configuration that results from the change.
     fn result(&self) -> Option<Configuration> {
         apply(&self.base, &self.change, self.revision).ok()
     }
--- a/crates/daemon/src/operator/apply/change.rs
+++ b/crates/daemon/src/operator/apply/change.rs
@@ -9,7 +9,7 @@
 
 use super::super::limits;
 
-/// The row that a statement changes.
+/// Returns the key of the row that a statement changes.
 pub(super) fn key(request: &ChangeRequest) -> ItemKey {
     match &request.object {
         ObjectChange::Service(name, _) => ItemKey::Service(name.clone()),
@@ -20,7 +20,7 @@
     }
 }
 
-/// Steps that write `records`.
+/// Converts `records` to insert, update and delete steps.
 pub(super) fn steps(configuration: &Configuration, records: Vec<RecordChange>) -> Vec<ChangeStep> {
     let step = |record| step(configuration, record);
     records.into_iter().map(step).collect()
@@ -64,7 +64,7 @@
     facts
 }
 
-/// Refuses a change that makes the configuration invalid.
+/// Builds the error for a change that would make the configuration invalid.
 pub(super) fn invalid(errors: &[ValidationError], list: &MachineList) -> Problem {
     let names_pool = |error: &ValidationError| matches!(error, ValidationError::UnknownPool { .. });
     if list.revision == 0 && errors.iter().all(names_pool) {
--- a/crates/daemon/src/operator/apply/read.rs
+++ b/crates/daemon/src/operator/apply/read.rs
@@ -27,7 +27,7 @@
     })
 }
 
-/// Reads the head alone.
+/// Reads only the configuration head.
 pub(super) async fn read_head(context: &OperatorContext) -> Result<Option<StoredHead>, String> {
     let value = context.store.get(HEAD_KEY).await;
     let Some(value) = value.map_err(|error| error.to_string())? else {
--- a/crates/daemon/src/operator/apply/send.rs
+++ b/crates/daemon/src/operator/apply/send.rs
@@ -24,7 +24,7 @@
 
 /// Outcome of sending a change.
 pub(super) enum WriteOutcome {
-    /// It is accepted, at this revision.
+    /// The change was accepted at this revision.
     Accepted(Revision),
     /// A concurrent change was written first; this one can no longer take effect.
     LostRace,
@@ -54,7 +54,7 @@
                 }
             }
             Err(error) => {
-                tracing::warn!(%error, change = %change.id, "reading back what became of a change");
+                tracing::warn!(%error, change = %change.id, "outcome of a change is unknown; reading back the configuration head");
                 may_be_written = true;
             }
         }
@@ -64,7 +64,7 @@
             ChangeOutcome::LostTo {
                 author, revision, ..
             } => {
-                tracing::info!(author, %revision, "another change came first");
+                tracing::info!(author, %revision, "a concurrent change was written first");
                 return Ok(WriteOutcome::LostRace);
             }
             ChangeOutcome::NotWritten => {}
--- a/crates/daemon/src/operator/decisions.rs
+++ b/crates/daemon/src/operator/decisions.rs
@@ -31,7 +31,7 @@
 /// The collected decisions.
 #[derive(Debug, Clone, Default)]
 pub(super) struct GatheredDecisions {
-    /// Ordered by daemon, then by age, the oldest first.
+    /// Ordered by daemon, then from oldest to newest.
     pub(super) decisions: Vec<AttributedDecision>,
     pub(super) missing: Vec<MissingPart>,
 }
@@ -43,7 +43,7 @@
     fault: Option<String>,
 }
 
-/// Reads the latest decisions of the daemons `asked`.
+/// Reads the latest decisions of the daemons in `asked`.
 pub(super) async fn gather(
     context: &OperatorContext,
     view: &FleetView,
--- a/crates/daemon/src/operator/tables/engines.rs
+++ b/crates/daemon/src/operator/tables/engines.rs
@@ -16,7 +16,7 @@
 
 /// Age of the last load reading after which an engine is shown as unreachable.
 const LOAD_STALE_AFTER: Duration = Duration::from_secs(5);
-/// Thousandths in one per cent.
+/// Converts permille to percent.
 const PERMILLE_IN_PERCENT: f64 = 10.0;
 
 pub(super) fn engines(tables: &Tables) -> Vec<Row> {
@@ -116,7 +116,7 @@
     (state, reasons.join("; "))
 }
 
-/// The newest role decision about an engine, by the controller of its cell.
+/// Returns the newest collected role decision about an engine.
 fn role_decision(tables: &Tables, engine: MachineId) -> Option<&DecisionRecord> {
     let decisions = tables.decided.decisions.iter().rev();
     let mut records = decisions.map(|decided| &decided.record);
--- a/crates/daemon/src/operator/tables/record.rs
+++ b/crates/daemon/src/operator/tables/record.rs
@@ -20,7 +20,7 @@
     pub(super) fn set(mut self, column: &str, value: impl Into<Value>) -> Self {
         match self.table.find_column(column) {
             Ok(place) => self.row[place] = value.into(),
-            Err(error) => tracing::error!(%error, "a column of an operators' table is not filled"),
+            Err(error) => tracing::error!(%error, "unknown column in an operator table row"),
         }
         self
     }
@@ -30,12 +30,12 @@
     }
 }
 
-/// A count as a value.
+/// Converts a count to a table value.
 pub(super) fn count(number: usize) -> Value {
     Value::from(u64::try_from(number).unwrap_or(u64::MAX))
 }
 
-/// A time in milliseconds as a value.
+/// Converts a duration to a table value in milliseconds.
 pub(super) fn milliseconds(duration: std::time::Duration) -> Value {
     Value::from(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/daemon/src/operator/wire.rs
+++ b/crates/daemon/src/operator/wire.rs
@@ -12,12 +12,12 @@
     /// Columns and rows.
     #[serde(flatten)]
     pub result: ResultSet,
-    /// Daemons whose part is missing or cut; empty when the answer is complete.
+    /// Daemons whose data is missing or truncated; empty when the response is complete.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub missing: Vec<MissingPart>,
 }
 
-/// A daemon whose part of an answer is missing or cut.
+/// A daemon whose data in a response is missing or truncated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MissingPart {
     /// The daemon.
@@ -26,32 +26,32 @@
     pub reason: String,
 }
 
-/// Answer to an accepted change.
+/// Response to an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApplyAnswer {
-    /// The change.
+    /// Id of the change.
     pub change: ChangeId,
-    /// Who asked for it.
+    /// The operator who requested it.
     pub author: String,
-    /// The revision that it led to.
+    /// Configuration revision created by the change.
     pub revision: Revision,
-    /// Live daemons that have this revision or a newer one in force.
+    /// Number of live daemons with this revision or a newer one in force.
     pub in_force: usize,
-    /// Live daemons.
+    /// Number of live daemons.
     pub live: usize,
     /// Live daemons that are not known to have it in force yet. They take it as soon as they are
     /// reached.
     pub not_yet_in_force: Vec<MachineId>,
-    /// Time from the acceptance to this answer in milliseconds.
+    /// Time from acceptance to this response, in milliseconds.
     pub waited_ms: u64,
 }
 
-/// A daemon's own state.
+/// Status of one daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusAnswer {
-    /// The daemon's machine.
+    /// Machine id of the daemon.
     pub daemon: MachineId,
-    /// Version of the program.
+    /// Program version.
     pub version: String,
     /// Its zone.
     pub zone: ZoneName,
@@ -59,24 +59,24 @@
     pub region: RegionName,
     /// Incarnation number, larger after each restart.
     pub incarnation: u64,
-    /// Milliseconds since it started.
+    /// Milliseconds since the daemon started.
     pub up_ms: u64,
-    /// Addresses that it listens on.
+    /// Listen addresses.
     pub addresses: DaemonAddresses,
-    /// Whether it takes requests.
+    /// Whether the daemon accepts requests.
     pub ready: bool,
-    /// 'alone', 'in contact' or 'isolated': whether it reaches most of its peers.
+    /// `alone`, `in contact` or `isolated`: contact with the other daemons.
     pub contact: String,
-    /// Revision of the configuration in force here.
+    /// Configuration revision in force at this daemon.
     pub configuration_revision: Revision,
     /// Revision of the machine list in use.
     pub machine_list_revision: u64,
-    /// Daemons believed live, this one included.
+    /// Number of daemons considered live, including this one.
     pub live_daemons: usize,
-    /// Engines of the machine list.
+    /// Number of engines in the machine list.
     pub engines: usize,
-    /// Plain back ends of the machine list.
+    /// Number of plain back ends in the machine list.
     pub back_ends: usize,
-    /// Requests that run or wait here.
+    /// Number of queued and running requests at this daemon.
     pub requests: usize,
 }
--- a/crates/daemon/src/peer.rs
+++ b/crates/daemon/src/peer.rs
@@ -16,7 +16,7 @@
 pub(crate) struct PeerIdentity {
     /// Hash of the cluster's name.
     pub(crate) cluster: u64,
-    /// This machine.
+    /// Machine id of this daemon.
     pub(crate) machine: MachineId,
     /// Incarnation of this process.
     pub(crate) incarnation: Incarnation,
--- a/crates/daemon/src/peer/client.rs
+++ b/crates/daemon/src/peer/client.rs
@@ -24,10 +24,10 @@
     /// The connection failed after it was established, or the request timed out.
     #[error("no answer of the peer {target}: {reason}; ask another")]
     NoAnswer { target: SocketAddr, reason: String },
-    /// The request is too large.
+    /// The request cannot be encoded, for example because it is too large.
     #[error(transparent)]
     Encode(#[from] EncodeError),
-    /// The peer refused it.
+    /// The peer refused the request.
     #[error("the peer {target} refused: {reason}")]
     Refused { target: SocketAddr, reason: String },
 }
--- a/crates/daemon/src/peer/frame.rs
+++ b/crates/daemon/src/peer/frame.rs
@@ -9,7 +9,7 @@
 /// Failure to read a frame.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FrameError {
-    /// The connection broke.
+    /// The connection failed or was closed.
     #[error("the connection broke: {0}; ask again")]
     Connection(#[from] io::Error),
     /// The received bytes are not a valid frame.
--- a/crates/daemon/src/peer/outbox.rs
+++ b/crates/daemon/src/peer/outbox.rs
@@ -7,7 +7,7 @@
 
 use super::PeerIdentity;
 
-/// Version, cluster, sender, incarnation and the number of parts, in bytes.
+/// Encoded size of the version, cluster, sender, incarnation and part count.
 const ENVELOPE_BYTES: usize = 1 + 8 + 4 + 8 + 4;
 
 /// An encoded datagram with its target.
@@ -17,7 +17,7 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Collects parts by target.
+/// Collects message parts per target address.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     parts: IndexMap<SocketAddr, Vec<Part>>,
@@ -83,7 +83,7 @@
                 target: self.target,
                 bytes,
             }),
-            Err(error) => tracing::error!(%error, "datagram not sent"),
+            Err(error) => tracing::error!(%error, "encoding a datagram failed; dropping it"),
         }
     }
 }
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -27,7 +27,7 @@
     fn answer(&self, hello: Hello, request: Request) -> BoxFuture<'static, Response>;
 }
 
-/// Serves peers until the process ends.
+/// Accepts peer connections until the process ends.
 pub(crate) async fn serve(
     runtime: Runtime,
     listener: BoxedListener,
@@ -42,7 +42,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _peer)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "accept of a peer failed");
+                tracing::warn!(%error, "accepting a peer connection failed");
                 tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
@@ -52,8 +52,8 @@
             let exchange = serve_one(stream, identity, handler);
             match tokio::time::timeout(EXCHANGE_LIMIT, exchange).await {
                 Ok(Ok(())) => {}
-                Ok(Err(error)) => tracing::debug!(%error, "request of a peer not answered"),
-                Err(_elapsed) => tracing::debug!("request of a peer took too long"),
+                Ok(Err(error)) => tracing::debug!(%error, "serving a peer request failed"),
+                Err(_elapsed) => tracing::debug!("peer request timed out"),
             }
             drop(permit);
         }));
--- a/crates/daemon/src/peer/socket.rs
+++ b/crates/daemon/src/peer/socket.rs
@@ -53,7 +53,7 @@
     for datagram in outgoing {
         metrics.datagram(Direction::Sent, datagram.bytes.len());
         if let Err(error) = socket.send_to(&datagram.bytes, datagram.target).await {
-            tracing::debug!(target_address = %datagram.target, %error, "datagram not sent");
+            tracing::debug!(target_address = %datagram.target, %error, "sending a datagram failed");
         }
     }
 }
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -70,7 +70,7 @@
         let sample = match self.load.read(address).await {
             Ok(sample) => sample,
             Err(error) => {
-                tracing::debug!(engine = %id, %error, "engine's load not read");
+                tracing::debug!(engine = %id, %error, "reading the engine's load failed");
                 return None;
             }
         };
@@ -79,7 +79,7 @@
             match self.control.state(address).await {
                 Ok(report) => facts = Some(engine.state_read(&sample, report)),
                 Err(error) => {
-                    tracing::debug!(engine = %id, %error, "engine not read");
+                    tracing::debug!(engine = %id, %error, "reading the engine's state failed");
                     return None;
                 }
             }
--- a/crates/daemon/src/settings/load.rs
+++ b/crates/daemon/src/settings/load.rs
@@ -28,7 +28,7 @@
     pub value: String,
 }
 
-/// An assignment without `=`.
+/// Error for an assignment without `=`.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not KEY=VALUE: write for example listen.gateway=127.0.0.1:8080")]
 pub struct InvalidKeyAssignment(String);
@@ -87,7 +87,7 @@
     }
 }
 
-/// The commented settings template.
+/// Returns the commented settings template.
 #[must_use]
 pub fn template() -> &'static str {
     include_str!("../../../../etc/ponddriftd.toml")
--- a/crates/daemon/src/settings/model.rs
+++ b/crates/daemon/src/settings/model.rs
@@ -19,19 +19,19 @@
     pub seeds: Vec<SocketAddr>,
     /// Limits for callers' requests.
     pub gateway: GatewaySettings,
-    /// Queue and concurrency.
+    /// Queue length and concurrency limit.
     pub admission: AdmissionSettings,
-    /// Retries.
+    /// Retry limits.
     pub retry: RetrySettings,
     /// Gossip between daemons.
     pub membership: MembershipSettings,
     /// Polling of engines.
     pub load: LoadSettings,
-    /// Leases and orders.
+    /// Controller leases and control requests to engines.
     pub control: ControlSettings,
-    /// Role planner.
+    /// Role planner settings.
     pub planner: PlannerSettings,
-    /// Filter of the log, as `info` or `ponddrift_daemon=debug`.
+    /// Log filter, such as `info` or `ponddrift_daemon=debug`.
     pub log_filter: String,
 }
 
@@ -42,9 +42,9 @@
     pub id: MachineId,
     /// Name of the cluster; datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Region.
+    /// Region of the machine.
     pub region: RegionName,
 }
 
@@ -62,9 +62,9 @@
 /// Key-value service and machine list.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
-    /// Gateways of the key-value service.
+    /// Addresses of the key-value service's HTTP gateways.
     pub key_value: Vec<SocketAddr>,
-    /// Machine list.
+    /// Address of the machine list service.
     pub machine_list: SocketAddr,
     /// Timeout of a platform call.
     pub call_time_limit: Duration,
@@ -87,7 +87,7 @@
     pub stream_idle_limit: Duration,
 }
 
-/// Queue and concurrency.
+/// Queue length and concurrency limit.
 #[derive(Debug, Clone)]
 pub struct AdmissionSettings {
     /// Maximum number of queued requests.
@@ -96,7 +96,7 @@
     pub maximum_in_flight: usize,
 }
 
-/// Retries.
+/// Retry limits.
 #[derive(Debug, Clone)]
 pub struct RetrySettings {
     /// Maximum number of attempts per request, the first included.
@@ -123,7 +123,7 @@
     pub poll_interval: Duration,
 }
 
-/// Leases and orders.
+/// Controller leases and control requests to engines.
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
     /// Time to live of a cell controller's lease.
@@ -146,7 +146,7 @@
 }
 
 impl Profile {
-    /// Name in the settings.
+    /// Name of the profile in the settings.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -172,10 +172,10 @@
     }
 }
 
-/// Role planner.
+/// Role planner settings.
 #[derive(Debug, Clone)]
 pub struct PlannerSettings {
-    /// Weights of goodput against role changes.
+    /// Preference between goodput and few role changes.
     pub profile: Profile,
     /// Interval between planning runs.
     pub interval: Duration,
