--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -47,12 +47,12 @@
     configuration: Address<ConfigurationActor>,
     mut is_watcher: watch::Receiver<bool>,
 ) {
-    let mut pause = INITIAL_BACKOFF;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
         if is_watcher.wait_for(|is_watcher| *is_watcher).await.is_err() {
             return;
         }
-        let following = read_and_watch(store.as_ref(), &configuration, &mut pause);
+        let following = read_and_watch(store.as_ref(), &configuration, &mut backoff);
         let ended = match is_watcher
             .run_while(|is_watcher| *is_watcher, following)
             .await
@@ -64,8 +64,8 @@
         if let Err(error) = ended {
             tracing::info!(%error, "configuration watch interrupted");
         }
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(MAXIMUM_BACKOFF);
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(MAXIMUM_BACKOFF);
     }
 }
 
@@ -73,7 +73,7 @@
 async fn read_and_watch(
     store: &dyn KeyValueStore,
     configuration: &Address<ConfigurationActor>,
-    pause: &mut Duration,
+    backoff: &mut Duration,
 ) -> Result<(), FollowError> {
     let range = store.range(CONFIGURATION_PREFIX).await?;
     let (snapshot, _head) = snapshot_from_entries(&entries(&range)?)?;
@@ -81,7 +81,7 @@
     let mut events = store
         .watch(CONFIGURATION_PREFIX, Revision(range.revision.0 + 1))
         .await?;
-    *pause = INITIAL_BACKOFF;
+    *backoff = INITIAL_BACKOFF;
     while let Some(batch) = events.next().await {
         for (revision, writes) in group_by_revision(batch?)? {
             let delta = delta_from_writes(revision, &writes)?;
--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -44,7 +44,7 @@
 use crate::fleet::{self, MachineListReceiver, MachineListSenders};
 use crate::gateway::{ClaimLinks, Gateway, GatewayContext};
 use crate::metrics::Metrics;
-use crate::operator::{Fixed, OperatorContext, OperatorEndpoint};
+use crate::operator::{OperatorContext, OperatorEndpoint, StaticStatus};
 use crate::peer::client::PeerClient;
 use crate::peer::requests::PeerRequestHandler;
 use crate::peer::socket::{self, PeerSockets};
@@ -86,7 +86,7 @@
             peer: sockets.address,
         };
         let own = own_record(&settings, incarnation, addresses);
-        let PeerSide {
+        let PeerHandles {
             peers,
             stop_controllers,
         } = start_peers(
@@ -281,7 +281,7 @@
         configuration: shared.configuration_actor.clone(),
         store: Arc::clone(&shared.store) as _,
         random: Mutex::new(seeded(runtime.seed, &life)),
-        status: Fixed {
+        status: StaticStatus {
             zone: settings.daemon.zone.clone(),
             region: settings.daemon.region.clone(),
             incarnation: identity.incarnation,
@@ -317,7 +317,7 @@
     sockets: PeerSockets,
     own: MemberRecord,
     (members_sender, caught_up): (watch::Sender<Arc<MembersView>>, watch::Sender<bool>),
-) -> PeerSide {
+) -> PeerHandles {
     let Shared {
         runtime,
         settings,
@@ -440,14 +440,14 @@
         members.clone(),
         peers.clone(),
     )));
-    PeerSide {
+    PeerHandles {
         peers,
         stop_controllers,
     }
 }
 
 /// Handles to the peer components that the daemon needs for its shutdown.
-struct PeerSide {
+struct PeerHandles {
     peers: Address<PeerActor>,
     stop_controllers: mpsc::Sender<oneshot::Sender<()>>,
 }
--- a/crates/daemon/src/daemon/claim_groups.rs
+++ b/crates/daemon/src/daemon/claim_groups.rs
@@ -56,7 +56,7 @@
     /// Runs until the daemon stops.
     pub(super) async fn run(self) {
         let mut changes: BTreeMap<(ShardNumber, GroupEpoch), EpochChange> = BTreeMap::new();
-        let mut listed: BTreeSet<MachineId> = BTreeSet::new();
+        let mut ever_listed: BTreeSet<MachineId> = BTreeSet::new();
         loop {
             let is_settled = self.is_settled();
             let period = if is_settled {
@@ -66,12 +66,12 @@
             };
             tokio::time::sleep(period).await;
             let list = Arc::clone(&self.fleet.borrow());
-            listed.extend(list.machines.iter().map(|machine| machine.id));
+            ever_listed.extend(list.machines.iter().map(|machine| machine.id));
             if !self.is_planner() {
                 changes.clear();
                 continue;
             }
-            if let Err(error) = self.round(&mut changes, &listed).await {
+            if let Err(error) = self.run_round(&mut changes, &ever_listed).await {
                 tracing::debug!(%error, "planning claim groups failed");
             }
         }
@@ -91,14 +91,14 @@
         rank_of(view.own, &ranked) == Some(0)
     }
 
-    async fn round(
+    async fn run_round(
         &self,
         changes: &mut BTreeMap<(ShardNumber, GroupEpoch), EpochChange>,
-        listed: &BTreeSet<MachineId>,
+        ever_listed: &BTreeSet<MachineId>,
     ) -> Result<(), StoreError> {
         let stored = self.read().await?;
         tell(&self.claims, TakeShardMap(stored.map.clone()));
-        let fleet = self.fleet_for(&stored.map, listed);
+        let fleet = self.fleet_for(&stored.map, ever_listed);
         if let Some(next) = plan_shard_map(&stored.map, SHARD_COUNT, &fleet) {
             return self.write(&stored, next).await;
         }
@@ -145,7 +145,7 @@
         Ok(())
     }
 
-    fn fleet_for(&self, map: &ShardMap, listed: &BTreeSet<MachineId>) -> FleetForClaims {
+    fn fleet_for(&self, map: &ShardMap, ever_listed: &BTreeSet<MachineId>) -> FleetForClaims {
         let view = Arc::clone(&self.members.borrow());
         let live = view.serving().map(|record| ClaimCandidate {
             member: member_of(record),
@@ -169,7 +169,7 @@
                 .get(&member.machine)
                 .is_some_and(|newest| newest.incarnation > member.incarnation);
             let was_removed =
-                listed.contains(&member.machine) && !current.contains(&member.machine);
+                ever_listed.contains(&member.machine) && !current.contains(&member.machine);
             has_newer_life || was_removed
         };
         let ended = members_of(map).into_iter().filter(is_over).collect();
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -53,7 +53,7 @@
     pub(crate) store: Arc<dyn KeyValueStore>,
     /// Generates change ids and backoff jitter.
     pub(crate) random: Mutex<SeededRandom>,
-    pub(crate) status: status::Fixed,
+    pub(crate) status: status::StaticStatus,
 }
 
 impl OperatorContext {
@@ -68,7 +68,7 @@
     }
 }
 
-pub(crate) use status::Fixed;
+pub(crate) use status::StaticStatus;
 
 /// The operator endpoint. It accepts connections before the components it queries have started.
 #[derive(Clone)]
@@ -126,14 +126,14 @@
     ) -> Result<Response<Body>, Problem> {
         match (request.uri().path(), request.method()) {
             (QUERY_PATH, &Method::POST) => {
-                let _place = self.limits.enter()?;
+                let _permit = self.limits.try_acquire()?;
                 let statement = limits::read_statement(request.into_body()).await?;
                 let answer = query::answer(&context, &statement).await?;
                 Ok(body::json_response(StatusCode::OK, &answer))
             }
             (APPLY_PATH, &Method::POST) => {
-                let place = self.limits.enter()?;
-                apply::answer(&context, request, place).await
+                let permit = self.limits.try_acquire()?;
+                apply::answer(&context, request, permit).await
             }
             (STATUS_PATH, &Method::GET) => {
                 let answer = status::answer(&context).await?;
@@ -161,7 +161,7 @@
     }
     Problem::not_started(
         ProblemKind::Unavailable,
-        "this daemon is starting; come back in a second",
+        "this daemon is starting; retry in a second",
     )
     .retry_after(limits::RETRY_AFTER)
     .into_response()
--- a/crates/daemon/src/operator/apply.rs
+++ b/crates/daemon/src/operator/apply.rs
@@ -21,7 +21,7 @@
 
 use self::read::StoredConfiguration;
 use self::send::WriteOutcome;
-use super::query::refused;
+use super::query::query_problem;
 use super::wire::ApplyAnswer;
 use super::{OPERATOR_HEADER, OperatorContext, actor_stopped_problem, limits};
 use crate::actors::ActorStopped;
@@ -63,19 +63,19 @@
 pub(super) async fn answer(
     context: &Arc<OperatorContext>,
     request: Request<Incoming>,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 ) -> Result<Response<Body>, Problem> {
     let (parts, incoming) = request.into_parts();
     let author = author(&parts.headers)?;
     let wait = wait(&parts.uri)?;
     let statement = limits::read_statement(incoming).await?;
-    let order = parse_change(statement, author, wait)?;
+    let requested = parse_change(statement, author, wait)?;
     let (reply, answer) = oneshot::channel();
     let runner = Arc::clone(context);
     // Runs as a separate task, so that a disconnecting operator does not interrupt the change.
     context.gateway.runtime.spawner.spawn(Box::pin(async move {
-        let _place = place;
-        let answer = apply_change(&runner, &order).await;
+        let _permit = permit;
+        let answer = apply_change(&runner, &requested).await;
         let _gone = reply.send(answer);
     }));
     let answer = answer
@@ -95,7 +95,7 @@
     let name = value.to_str().unwrap_or_default().trim();
     if name.is_empty() || name.len() > MAXIMUM_AUTHOR_BYTES {
         return Err(bad_request(format!(
-            "{OPERATOR_HEADER} is no name: use 1 to {MAXIMUM_AUTHOR_BYTES} ASCII characters"
+            "{OPERATOR_HEADER} is not a valid name: use 1 to {MAXIMUM_AUTHOR_BYTES} ASCII characters"
         )));
     }
     Ok(name.to_owned())
@@ -118,7 +118,7 @@
     author: String,
     wait: Duration,
 ) -> Result<RequestedChange, Problem> {
-    let request = match parse(&statement).map_err(|error| refused(&error))? {
+    let request = match parse(&statement).map_err(|error| query_problem(&error))? {
         Statement::Change(request) => request,
         Statement::Select(_) => {
             return Err(Problem::not_started(
@@ -140,11 +140,11 @@
 /// decision.
 async fn apply_change(
     context: &OperatorContext,
-    order: &RequestedChange,
+    requested: &RequestedChange,
 ) -> Result<ApplyAnswer, Problem> {
     let decisions = &context.gateway.decisions;
-    let subject = format!("{} by {}", order.key, order.author);
-    let accepted = match accept_order(context, order).await {
+    let subject = format!("{} by {}", requested.key, requested.author);
+    let accepted = match write_change(context, requested).await {
         Ok(accepted) => accepted,
         Err(problem) => {
             let reason = problem.detail.clone();
@@ -153,36 +153,36 @@
         }
     };
     let outcome = format!("accepted at revision {}", accepted.revision);
-    let reason = order.statement.trim();
+    let reason = requested.statement.trim();
     decisions.record(DecisionKind::Configuration, subject, outcome, reason);
     in_force::adopt(context, &accepted)
         .await
         .map_err(actor_stopped_problem)?;
-    in_force::wait(context, &accepted, order.wait)
+    in_force::wait(context, &accepted, requested.wait)
         .await
         .map_err(actor_stopped_problem)
 }
 
 /// Retries until the change is written, refused, or conflicts with another change of the same row.
-async fn accept_order(
+async fn write_change(
     context: &OperatorContext,
-    order: &RequestedChange,
+    requested: &RequestedChange,
 ) -> Result<Accepted, Problem> {
     let mut first_row: Option<Option<Revision>> = None;
-    for race in 1..=MAXIMUM_ATTEMPTS {
+    for attempt in 1..=MAXIMUM_ATTEMPTS {
         let stored = read::read(context).await?;
-        let row = stored.configuration.row_revision(&order.key);
-        let expected = order.request.expected_revision;
+        let row = stored.configuration.row_revision(&requested.key);
+        let expected = requested.request.expected_revision;
         // Deleted rows have no revision; `validate_change` refuses statements on them.
         let moved_from_expected =
             expected.filter(|expected| row.is_some_and(|row| row != *expected));
         let moved_from_first = first_row.filter(|first| *first != row);
         first_row.get_or_insert(row);
         if moved_from_expected.is_some() || moved_from_first.is_some() {
-            return Err(conflict::problem(order, &stored, row));
+            return Err(conflict::problem(requested, &stored, row));
         }
-        let change = validate_change(context, order, &stored.configuration)?;
-        match send::send(context, &order.key, &change, stored.head.as_ref()).await? {
+        let change = validate_change(context, requested, &stored.configuration)?;
+        match send::send(context, &requested.key, &change, stored.head.as_ref()).await? {
             WriteOutcome::Accepted(revision) => {
                 return Ok(Accepted {
                     change,
@@ -190,7 +190,7 @@
                     revision,
                 });
             }
-            WriteOutcome::LostRace => pause(context, race).await,
+            WriteOutcome::Superseded => back_off(context, attempt).await,
         }
     }
     let detail = format!(
@@ -202,13 +202,14 @@
 /// Builds the change and validates it against `configuration`.
 fn validate_change(
     context: &OperatorContext,
-    order: &RequestedChange,
+    requested: &RequestedChange,
     configuration: &Configuration,
 ) -> Result<ConfigurationChange, Problem> {
-    let records = resolve(configuration, &order.request).map_err(|error| refused(&error))?;
+    let records =
+        resolve(configuration, &requested.request).map_err(|error| query_problem(&error))?;
     let change = ConfigurationChange {
         id: context.new_change_id(),
-        author: order.author.clone(),
+        author: requested.author.clone(),
         expected: None,
         steps: change::steps(configuration, records),
     };
@@ -220,10 +221,10 @@
     }
 }
 
-async fn pause(context: &OperatorContext, race: u32) {
+async fn back_off(context: &OperatorContext, attempt: u32) {
     let share = context.random_number() % 100;
     let share = u32::try_from(share).unwrap_or_default();
-    tokio::time::sleep(BACKOFF_STEP * race * share / 100).await;
+    tokio::time::sleep(BACKOFF_STEP * attempt * share / 100).await;
 }
 
 impl Accepted {
--- a/crates/daemon/src/operator/apply/conflict.rs
+++ b/crates/daemon/src/operator/apply/conflict.rs
@@ -9,29 +9,29 @@
 
 /// Builds the conflict error for a row now at revision `row` (`None` if it was deleted).
 pub(super) fn problem(
-    order: &RequestedChange,
+    requested: &RequestedChange,
     stored: &StoredConfiguration,
     row: Option<Revision>,
 ) -> Problem {
-    let key = &order.key;
+    let key = &requested.key;
     let select_statement = select_statement(key);
     let detail = match row {
         Some(revision) => {
             let author = stored.author_of(revision);
             let author = author.unwrap_or("someone whose change is too long ago to be named");
-            let expected = order.request.expected_revision;
+            let expected = requested.request.expected_revision;
             let expected = expected.map_or_else(String::new, |expected| {
                 format!(", not at revision {expected} any more")
             });
             format!(
-                "{key} was changed by {author} and is at revision {revision} now{expected}; nothing was changed by you: look with {select_statement}, then repeat your change with AND revision = {revision}"
+                "{key} was changed by {author} and is at revision {revision} now{expected}; your change was not applied: check with {select_statement}, then repeat your change with AND revision = {revision}"
             )
         }
         None => {
             let last = stored.head.as_ref().map(|stored| &stored.head.author);
             let last = last.map_or("nobody", String::as_str);
             format!(
-                "{key} was deleted meanwhile (the last change of the configuration is by {last}); nothing was changed by you: look with {select_statement}, then use INSERT if you still want it"
+                "{key} was deleted meanwhile (the last change of the configuration is by {last}); your change was not applied: check with {select_statement}, then use INSERT if you still want it"
             )
         }
     };
--- a/crates/daemon/src/operator/apply/in_force.rs
+++ b/crates/daemon/src/operator/apply/in_force.rs
@@ -55,21 +55,21 @@
     let begin = context.gateway.now();
     let mut polls = 0;
     loop {
-        let standing = poll_status(context, accepted.revision).await?;
+        let rollout = poll_status(context, accepted.revision).await?;
         let waited = context.gateway.now().since(begin);
-        if standing.missing.is_empty() || waited >= limit {
+        if rollout.missing.is_empty() || waited >= limit {
             return Ok(ApplyAnswer {
                 change: accepted.change.id,
                 author: accepted.change.author.clone(),
                 revision: accepted.revision,
-                in_force: standing.live - standing.missing.len(),
-                live: standing.live,
-                not_yet_in_force: standing.missing,
+                in_force: rollout.live - rollout.missing.len(),
+                live: rollout.live,
+                not_yet_in_force: rollout.missing,
                 waited_ms: u64::try_from(waited.as_millis()).unwrap_or(u64::MAX),
             });
         }
         if polls % POLLS_PER_QUERY == 0 {
-            tell(&context.peers, AskInForce(standing.missing));
+            tell(&context.peers, AskInForce(rollout.missing));
         }
         polls += 1;
         tokio::time::sleep(POLL_INTERVAL.min(limit - waited)).await;
--- a/crates/daemon/src/operator/apply/send.rs
+++ b/crates/daemon/src/operator/apply/send.rs
@@ -27,7 +27,7 @@
     /// The change was accepted at this revision.
     Accepted(Revision),
     /// A concurrent change was written first; this one can no longer take effect.
-    LostRace,
+    Superseded,
 }
 
 /// Sends `change`, based on `base`, until its outcome is known.
@@ -65,7 +65,7 @@
                 author, revision, ..
             } => {
                 tracing::info!(author, %revision, "a concurrent change was written first");
-                return Ok(WriteOutcome::LostRace);
+                return Ok(WriteOutcome::Superseded);
             }
             ChangeOutcome::NotWritten => {}
             ChangeOutcome::Undetermined => {
@@ -78,7 +78,7 @@
             }
         }
     }
-    let reason = "the key-value service took it again and again without writing it";
+    let reason = "the key-value service accepted every attempt, but the change was not written";
     Err(undetermined(key, change, reason, may_be_written))
 }
 
@@ -113,7 +113,7 @@
         (Execution::NotStarted, "is not accepted")
     };
     let detail = format!(
-        "change {} {standing}: {reason}; look with {} before you send it again",
+        "change {} {standing}: {reason}; check with {} before sending it again",
         change.id,
         select_statement(key)
     );
--- a/crates/daemon/src/operator/decisions.rs
+++ b/crates/daemon/src/operator/decisions.rs
@@ -15,11 +15,11 @@
 use crate::decisions::DecisionPage;
 
 /// Maximum number of decisions read for one query, over all daemons; bounds memory use.
-const DECISIONS_IN_ALL: u64 = 40_000;
+const MAXIMUM_DECISIONS: u64 = 40_000;
 /// Minimum number of decisions requested from each daemon.
-const LEAST_OF_ONE: u64 = 500;
+const MINIMUM_DECISIONS_PER_DAEMON: u64 = 500;
 /// Maximum number of daemons queried concurrently.
-const ASKED_AT_ONCE: usize = 16;
+const MAXIMUM_CONCURRENT_QUERIES: usize = 16;
 
 /// A decision and the daemon that made it.
 #[derive(Debug, Clone)]
@@ -50,7 +50,7 @@
     asked: &BTreeSet<MachineId>,
 ) -> GatheredDecisions {
     let count = u64::try_from(asked.len().max(1)).unwrap_or(u64::MAX);
-    let budget = (DECISIONS_IN_ALL / count).max(LEAST_OF_ONE);
+    let budget = (MAXIMUM_DECISIONS / count).max(MINIMUM_DECISIONS_PER_DAEMON);
     let address_of = |daemon: MachineId| {
         let record = view.members.iter().find(|record| record.machine == daemon);
         record.map(|record| record.peer_address)
@@ -62,7 +62,7 @@
         .map(|daemon| read(context, daemon, address_of(daemon), budget))
         .collect();
     let parts: Vec<(MachineId, Part)> = stream::iter(reading)
-        .buffered(ASKED_AT_ONCE)
+        .buffered(MAXIMUM_CONCURRENT_QUERIES)
         .collect()
         .await;
     let mut gathered = GatheredDecisions::default();
@@ -93,9 +93,7 @@
     };
     let fault = match source {
         Some(source) => read_pages(&mut records, budget, &source).await,
-        None => Some(String::from(
-            "its address is not known; ask again in a second",
-        )),
+        None => Some(String::from("its address is not known; retry in a second")),
     };
     (daemon, Part { records, fault })
 }
@@ -137,7 +135,7 @@
             position,
             has_more,
         }),
-        Ok(_other) => Err(String::from("it answered something else; ask again")),
+        Ok(_other) => Err(String::from("it sent an unexpected response; retry")),
         Err(error) => Err(error.to_string()),
     }
 }
@@ -156,7 +154,7 @@
     let mut after = newest.saturating_sub(budget);
     let fault = (after > 0).then(|| {
         format!(
-            "only its newest {budget} of {newest} decisions were read; older ones are in its log"
+            "only the newest {budget} of its {newest} decisions were read; older ones are in its log"
         )
     });
     loop {
--- a/crates/daemon/src/operator/limits.rs
+++ b/crates/daemon/src/operator/limits.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// Maximum number of statements processed concurrently.
-const STATEMENTS_AT_ONCE: usize = 16;
+const MAXIMUM_CONCURRENT_STATEMENTS: usize = 16;
 /// Timeout for receiving a statement's body.
 const BODY_TIME_LIMIT: Duration = Duration::from_secs(5);
 /// Default `Retry-After` value.
@@ -24,16 +24,16 @@
 impl Limits {
     pub(super) fn new() -> Self {
         Self {
-            permits: Arc::new(Semaphore::new(STATEMENTS_AT_ONCE)),
+            permits: Arc::new(Semaphore::new(MAXIMUM_CONCURRENT_STATEMENTS)),
         }
     }
 
     /// Acquires a permit, or fails at once if the limit is reached.
-    pub(super) fn enter(&self) -> Result<OwnedSemaphorePermit, Problem> {
-        let place = Arc::clone(&self.permits).try_acquire_owned();
-        place.map_err(|_full| {
+    pub(super) fn try_acquire(&self) -> Result<OwnedSemaphorePermit, Problem> {
+        let permit = Arc::clone(&self.permits).try_acquire_owned();
+        permit.map_err(|_full| {
             let detail = format!(
-                "{STATEMENTS_AT_ONCE} statements are being worked on here: ask again in a second, or ask another daemon"
+                "{MAXIMUM_CONCURRENT_STATEMENTS} statements are being processed at this daemon: retry in a second, or use another daemon"
             );
             Problem::not_started(ProblemKind::Overloaded, detail).retry_after(RETRY_AFTER)
         })
--- a/crates/daemon/src/operator/query.rs
+++ b/crates/daemon/src/operator/query.rs
@@ -20,7 +20,7 @@
     context: &OperatorContext,
     statement: &str,
 ) -> Result<QueryAnswer, Problem> {
-    let query = match parse(statement).map_err(|error| refused(&error))? {
+    let query = match parse(statement).map_err(|error| query_problem(&error))? {
         Statement::Select(query) => query,
         Statement::Change(_) => {
             return Err(Problem::not_started(
@@ -30,14 +30,14 @@
         }
     };
     let tables = gather(context, query.table).await?;
-    let result = evaluate(&query, &tables).map_err(|error| refused(&error))?;
+    let result = evaluate(&query, &tables).map_err(|error| query_problem(&error))?;
     Ok(QueryAnswer {
         result,
         missing: tables.decided.missing,
     })
 }
 
-pub(super) fn refused(error: &QueryError) -> Problem {
+pub(super) fn query_problem(error: &QueryError) -> Problem {
     Problem::not_started(ProblemKind::Refused, error.to_string())
 }
 
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -13,7 +13,7 @@
 
 /// Status fields that are constant while the daemon runs.
 #[derive(Debug, Clone)]
-pub(crate) struct Fixed {
+pub(crate) struct StaticStatus {
     pub(crate) zone: ZoneName,
     pub(crate) region: RegionName,
     pub(crate) incarnation: Incarnation,
@@ -30,15 +30,15 @@
         let machines = list.machines.iter();
         machines.filter(|machine| wanted(&machine.kind)).count()
     };
-    let fixed = &context.status;
+    let static_status = &context.status;
     Ok(StatusAnswer {
         daemon: context.own,
         version: env!("CARGO_PKG_VERSION").to_owned(),
-        zone: fixed.zone.clone(),
-        region: fixed.region.clone(),
-        incarnation: fixed.incarnation.0,
+        zone: static_status.zone.clone(),
+        region: static_status.region.clone(),
+        incarnation: static_status.incarnation.0,
         up_ms: gateway.now().as_millis(),
-        addresses: fixed.addresses,
+        addresses: static_status.addresses,
         ready: gateway.is_ready(),
         contact: contact_text(view.contact).to_owned(),
         configuration_revision: gateway.configuration.borrow().revision,
--- a/crates/daemon/src/operator/tables/daemons.rs
+++ b/crates/daemon/src/operator/tables/daemons.rs
@@ -45,8 +45,8 @@
     if member.machine == tables.own {
         return tables.configuration.revision;
     }
-    let told = tables.revisions.get(&member.machine).copied();
-    told.unwrap_or_default().max(member.facts.configuration)
+    let reported = tables.revisions.get(&member.machine).copied();
+    reported.unwrap_or_default().max(member.facts.configuration)
 }
 
 pub(super) fn configuration(tables: &Tables) -> Vec<Row> {
--- a/crates/daemon/src/operator/tables/record.rs
+++ b/crates/daemon/src/operator/tables/record.rs
@@ -19,7 +19,7 @@
     /// Sets a column. Logs an error if the table has no such column, which is a bug in this crate.
     pub(super) fn set(mut self, column: &str, value: impl Into<Value>) -> Self {
         match self.table.find_column(column) {
-            Ok(place) => self.row[place] = value.into(),
+            Ok(index) => self.row[index] = value.into(),
             Err(error) => tracing::error!(%error, "unknown column in an operator table row"),
         }
         self
--- a/crates/daemon/src/peer/client.rs
+++ b/crates/daemon/src/peer/client.rs
@@ -16,13 +16,13 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerError {
     /// The connection failed; the request was not sent.
-    #[error("no connection to the peer {target}: {source}; ask another")]
+    #[error("no connection to the peer {target}: {source}; use another peer")]
     NotSent {
         target: SocketAddr,
         source: std::io::Error,
     },
     /// The connection failed after it was established, or the request timed out.
-    #[error("no answer of the peer {target}: {reason}; ask another")]
+    #[error("no response from the peer {target}: {reason}; use another peer")]
     NoAnswer { target: SocketAddr, reason: String },
     /// The request cannot be encoded, for example because it is too large.
     #[error(transparent)]
@@ -60,7 +60,7 @@
             .await
             .map_err(|_elapsed| PeerError::NoAnswer {
                 target,
-                reason: format!("nothing came within {limit:?}"),
+                reason: format!("no response within {limit:?}"),
             })??;
         match response {
             Response::Refused { reason } => Err(PeerError::Refused { target, reason }),
--- a/crates/daemon/src/peer/frame.rs
+++ b/crates/daemon/src/peer/frame.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FrameError {
     /// The connection failed or was closed.
-    #[error("the connection broke: {0}; ask again")]
+    #[error("the connection failed: {0}; retry")]
     Connection(#[from] io::Error),
     /// The received bytes are not a valid frame.
     #[error(transparent)]
--- a/crates/daemon/src/polling.rs
+++ b/crates/daemon/src/polling.rs
@@ -97,7 +97,7 @@
     machine: Machine,
     rank: usize,
     /// Incarnation and role in the load sample at the last state read.
-    known: Option<(Incarnation, Option<EngineRole>)>,
+    last_seen: Option<(Incarnation, Option<EngineRole>)>,
     polls_since_state: u32,
 }
 
@@ -106,7 +106,7 @@
         Self {
             machine,
             rank,
-            known: None,
+            last_seen: None,
             polls_since_state: 0,
         }
     }
@@ -120,13 +120,13 @@
     fn must_read_state(&mut self, sample: &LoadSample) -> bool {
         self.polls_since_state += 1;
         sample.role.is_none()
-            || self.known != Some((sample.incarnation, sample.role))
+            || self.last_seen != Some((sample.incarnation, sample.role))
             || self.polls_since_state >= MAXIMUM_POLLS_WITHOUT_STATE
     }
 
     fn state_read(&mut self, sample: &LoadSample, report: EngineReport) -> EngineFacts {
         self.polls_since_state = 0;
-        self.known = Some((sample.incarnation, sample.role));
+        self.last_seen = Some((sample.incarnation, sample.role));
         facts(self.machine.id, report)
     }
 }
@@ -236,7 +236,7 @@
             let earlier = old.engines.iter();
             let mut same = earlier.filter(|old| old.machine == engine.machine);
             if let Some(old) = same.next() {
-                engine.known = old.known;
+                engine.last_seen = old.last_seen;
                 engine.polls_since_state = old.polls_since_state;
             }
         }
