--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -28,7 +28,7 @@
 use crate::actors::peer::{ControllerInput, ControllerKnown, KnownController, PeerActor};
 use crate::actors::tell;
 use crate::decisions::DecisionLog;
-use crate::fleet::FleetReceiver;
+use crate::fleet::MachineListReceiver;
 use crate::peer::PeerIdentity;
 use crate::peer::view::MembersView;
 use crate::settings::Settings;
@@ -51,7 +51,7 @@
     pub(crate) load: LoadClient,
     pub(crate) peers: Address<PeerActor>,
     pub(crate) members: watch::Receiver<Arc<MembersView>>,
-    pub(crate) fleet: FleetReceiver,
+    pub(crate) fleet: MachineListReceiver,
     pub(crate) configuration: watch::Receiver<Arc<Configuration>>,
     pub(crate) decisions: DecisionLog,
 }
@@ -159,7 +159,7 @@
     fn start_term(&mut self, now: Timestamp, token: FencingToken) {
         tracing::info!(cell = %self.cell, %token, "this daemon is the cell's controller");
         let engines = self.cell_engines().len();
-        let percent = usize::from(self.deps.settings.control.engines_away_percent);
+        let percent = usize::from(self.deps.settings.control.maximum_unavailable_percent);
         let orders = OrdersSettings {
             maximum_unavailable: (engines * percent / 100).max(MIN_UNAVAILABLE_LIMIT),
             read_period: self.deps.settings.control.reconcile_interval,
--- a/crates/daemon/src/actors/peer.rs
+++ b/crates/daemon/src/actors/peer.rs
@@ -30,10 +30,10 @@
 use crate::actors::configuration::ConfigurationActor;
 use crate::actors::routing::RoutingActor;
 use crate::back_ends::BackEndDirectory;
-use crate::fleet::FleetReceiver;
+use crate::fleet::MachineListReceiver;
 use crate::metrics::Metrics;
 use crate::peer::client::PeerClient;
-use crate::peer::outbox::{Outbox, Outgoing};
+use crate::peer::outbox::{Outbox, OutgoingDatagram};
 use crate::peer::view::MembersView;
 use crate::peer::{PeerIdentity, socket};
 use crate::polling::EngineObservation;
@@ -84,7 +84,7 @@
     pub(crate) members: watch::Sender<Arc<MembersView>>,
     pub(crate) controllers: watch::Sender<BTreeMap<CellName, KnownController>>,
     pub(crate) controller_inputs: mpsc::UnboundedSender<(CellName, ControllerInput)>,
-    pub(crate) fleet: FleetReceiver,
+    pub(crate) fleet: MachineListReceiver,
     /// Start time of the last successful read of the machine list.
     pub(crate) machine_list_confirmed_at: watch::Receiver<Timestamp>,
     pub(crate) metrics: Arc<Metrics>,
@@ -284,7 +284,7 @@
         if self.has_new_members {
             self.publish_members();
         }
-        let outgoing: Vec<Outgoing> = self.outbox.pack(self.deps.identity);
+        let outgoing: Vec<OutgoingDatagram> = self.outbox.pack(self.deps.identity);
         socket::send_all(self.deps.socket.as_ref(), &self.deps.metrics, outgoing).await;
     }
 }
--- a/crates/daemon/src/daemon/assemble.rs
+++ b/crates/daemon/src/daemon/assemble.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a daemon together. Nothing is decided here.
+//! Constructs the components of a daemon and connects them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -39,27 +39,27 @@
 use crate::actors::{start, tell};
 use crate::configuration;
 use crate::decisions::DecisionLog;
-use crate::fleet::{self, FleetReceiver, FleetSenders};
+use crate::fleet::{self, MachineListReceiver, MachineListSenders};
 use crate::gateway::{ClaimDependencies, Gateway, GatewayContext};
 use crate::metrics::Metrics;
-use crate::operator::{Fixed, OperatorContext, OperatorEndpoint};
+use crate::operator::{OperatorContext, OperatorEndpoint, StaticStatus};
 use crate::peer::client::PeerClient;
-use crate::peer::requests::PeerRequests;
+use crate::peer::requests::PeerRequestHandler;
 use crate::peer::socket::{self, PeerSockets};
 use crate::peer::view::MembersView;
 use crate::peer::{PeerIdentity, server};
 use crate::polling::{self, EnginePoller};
-use crate::requests::RequestRegister;
+use crate::requests::RequestRegistry;
 use crate::settings::Settings;
 
-/// Time limit of a request to a peer.
+/// Timeout of a request to a peer.
 const PEER_TIME_LIMIT: Duration = Duration::from_secs(2);
 
 impl Daemon {
-    /// Starts a daemon. `incarnation` must be larger than that of any earlier start of this machine.
+    /// Starts a daemon. `incarnation` must be larger than in any previous start of this machine.
     ///
     /// # Errors
-    /// [`StartError`] when an address cannot be bound.
+    /// Returns [`StartError`] when an address cannot be bound.
     pub async fn start(
         runtime: Runtime,
         settings: Settings,
@@ -84,7 +84,7 @@
             peer: sockets.address,
         };
         let own = own_record(&settings, incarnation, addresses);
-        let PeerSide {
+        let PeerHandles {
             peers,
             stop_controllers,
         } = start_peers(
@@ -106,7 +106,7 @@
     }
 }
 
-/// What many parts need.
+/// Dependencies shared by several components.
 struct Shared {
     runtime: Runtime,
     settings: Settings,
@@ -114,7 +114,7 @@
     client: Client,
     metrics: Arc<Metrics>,
     decisions: DecisionLog,
-    fleet: FleetReceiver,
+    fleet: MachineListReceiver,
     machine_list_confirmed_at: watch::Receiver<Timestamp>,
     configuration: watch::Receiver<Arc<Configuration>>,
     configuration_actor: Address<ConfigurationActor>,
@@ -144,7 +144,7 @@
             Arc::new(machine_list),
             settings.platform.machine_list_interval,
             Arc::clone(&runtime.clock),
-            FleetSenders { list, confirmed },
+            MachineListSenders { list, confirmed },
         )));
         let (configuration_sender, configuration) =
             watch::channel(Arc::new(Configuration::default()));
@@ -228,7 +228,7 @@
             client: shared.peer_client(),
         },
         demand: Arc::default(),
-        requests: RequestRegister::default(),
+        requests: RequestRegistry::default(),
         stopping: watch::Sender::new(false),
     };
     (Arc::new(context), caught_up_sender)
@@ -269,7 +269,7 @@
         identity,
         ..
     } = shared;
-    // Daemons of one process may share a seed; their change ids must differ all the same.
+    // Daemons in one process may share a seed, but their change ids must differ.
     let life = format!("operator {} {}", identity.machine, identity.incarnation);
     OperatorContext {
         gateway: Arc::clone(gateway),
@@ -279,7 +279,7 @@
         configuration: shared.configuration_actor.clone(),
         store: Arc::clone(&shared.store) as _,
         random: Mutex::new(seeded(runtime.seed, &life)),
-        status: Fixed {
+        status: StaticStatus {
             zone: settings.daemon.zone.clone(),
             region: settings.daemon.region.clone(),
             incarnation: identity.incarnation,
@@ -315,7 +315,7 @@
     sockets: PeerSockets,
     own: MemberRecord,
     (members_sender, caught_up): (watch::Sender<Arc<MembersView>>, watch::Sender<bool>),
-) -> PeerSide {
+) -> PeerHandles {
     let Shared {
         runtime,
         settings,
@@ -346,7 +346,7 @@
     };
     let membership = Membership::new(membership_settings(settings), own, runtime.seed);
     let peers = start(runtime, PeerActor::new(runtime, deps, membership));
-    let requests = PeerRequests {
+    let requests = PeerRequestHandler {
         configuration: shared.configuration_actor.clone(),
         peers: peers.clone(),
         claims: shared.claims_actor.clone(),
@@ -367,11 +367,11 @@
         peers.clone(),
     )));
     spawn(Box::pin(duties::tick(peers.clone())));
-    spawn(Box::pin(duties::pass_on_fleet(
+    spawn(Box::pin(duties::forward_machine_list(
         shared.fleet.clone(),
         peers.clone(),
     )));
-    spawn(Box::pin(duties::pass_on_configuration(
+    spawn(Box::pin(duties::forward_configuration(
         shared.configuration.clone(),
         peers.clone(),
     )));
@@ -438,14 +438,14 @@
         members.clone(),
         peers.clone(),
     )));
-    PeerSide {
+    PeerHandles {
         peers,
         stop_controllers,
     }
 }
 
-/// What the daemon keeps of its peers' side.
-struct PeerSide {
+/// Handles to the peer components that the daemon needs for its shutdown.
+struct PeerHandles {
     peers: Address<PeerActor>,
     stop_controllers: mpsc::Sender<oneshot::Sender<()>>,
 }
--- a/crates/daemon/src/gateway/permit.rs
+++ b/crates/daemon/src/gateway/permit.rs
@@ -15,7 +15,7 @@
 use super::dispatch::actor_stopped_problem;
 use crate::actors::admission::{AdmissionActor, EndAdmission, NotifyAdmission, RequestAdmission};
 use crate::actors::{ActorStopped, tell};
-use crate::requests::RegisterEntry;
+use crate::requests::RequestGuard;
 
 /// A request's slot in admission. Dropping it releases the slot, or leaves the queue if the request
 /// was not started.
@@ -28,7 +28,7 @@
     used_tokens: u32,
     work: WorkUnits,
     elapsed: Option<Duration>,
-    entry: RegisterEntry,
+    entry: RequestGuard,
 }
 
 impl Permit {
@@ -41,7 +41,7 @@
         clock: &Arc<dyn Clock>,
         request: AdmissionRequest,
         work: WorkUnits,
-        entry: RegisterEntry,
+        entry: RequestGuard,
     ) -> Result<Self, Problem> {
         let mut permit = Self {
             admission: admission.clone(),
--- a/crates/daemon/src/operator/apply/read.rs
+++ b/crates/daemon/src/operator/apply/read.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the key-value service, which alone decides.
+//! Reads the configuration from the key-value service, the source of truth.
 
 use ponddrift_core::configuration::{
     CONFIGURATION_PREFIX, Configuration, LATEST_CHANGE_KEY, StoredEntry, StoredLatestChange,
@@ -17,7 +17,7 @@
     pub(super) latest: Option<StoredLatestChange>,
 }
 
-/// Reads everything.
+/// Reads the whole configuration.
 pub(super) async fn read(context: &OperatorContext) -> Result<StoredConfiguration, Problem> {
     let range = context.store.range(CONFIGURATION_PREFIX).await;
     let range = range.map_err(|error| nothing_written(&error))?;
@@ -28,10 +28,8 @@
     })
 }
 
-/// Reads the head alone.
-pub(super) async fn read_head(
-    context: &OperatorContext,
-) -> Result<Option<StoredLatestChange>, String> {
+/// Reads only the configuration head.
+pub(super) async fn read_head(context: &OperatorContext) -> Result<Option<StoredLatestChange>, String> {
     let value = context.store.get(LATEST_CHANGE_KEY).await;
     let Some(value) = value.map_err(|error| error.to_string())? else {
         return Ok(None);
@@ -51,12 +49,12 @@
     Ok(snapshot_from_entries(&entries(range)?)?)
 }
 
-/// The store failed before anything was written.
+/// Builds the error for a store failure before anything was written.
 pub(super) fn nothing_written(error: &StoreError) -> Problem {
     let detail = format!(
         "{error}; your change is not accepted, and the configuration in force stays: send it again when the key-value service answers"
     );
-    Problem::not_started(ProblemKind::StoreUnavailable, detail).retry_after(limits::COME_BACK)
+    Problem::not_started(ProblemKind::StoreUnavailable, detail).retry_after(limits::RETRY_AFTER)
 }
 
 fn unreadable(error: &FollowError) -> Problem {
--- a/crates/daemon/src/operator/decisions.rs
+++ b/crates/daemon/src/operator/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of several daemons, over the peer stream. A daemon that gives no answer is named.
+//! Collects decisions from several daemons and reports the daemons that did not answer.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,63 +14,63 @@
 use crate::actors::peer::operators::FleetView;
 use crate::decisions::DecisionPage;
 
-/// Decisions that one answer is made from, over all daemons; bounds the memory of a question.
-const DECISIONS_IN_ALL: u64 = 40_000;
-/// Decisions of one daemon that are read at least.
-const LEAST_OF_ONE: u64 = 500;
-/// Daemons that are asked at the same time.
-const ASKED_AT_ONCE: usize = 16;
+/// Maximum number of decisions read for one query, over all daemons; bounds memory use.
+const MAXIMUM_DECISIONS: u64 = 40_000;
+/// Minimum number of decisions requested from each daemon.
+const MINIMUM_DECISIONS_PER_DAEMON: u64 = 500;
+/// Maximum number of daemons queried concurrently.
+const MAXIMUM_CONCURRENT_QUERIES: usize = 16;
 
-/// A decision and who made it.
+/// A decision and the daemon that made it.
 #[derive(Debug, Clone)]
-pub(super) struct Decided {
+pub(super) struct AttributedDecision {
     pub(super) by: MachineId,
     pub(super) record: DecisionRecord,
 }
 
-/// What was gathered.
+/// The collected decisions.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Gathered {
-    /// Ordered by daemon, then by age, the oldest first.
-    pub(super) decisions: Vec<Decided>,
+pub(super) struct GatheredDecisions {
+    /// Ordered by daemon, then from oldest to newest.
+    pub(super) decisions: Vec<AttributedDecision>,
     pub(super) missing: Vec<MissingPart>,
 }
 
-/// The part of one daemon.
+/// The decisions of one daemon.
 struct Part {
     records: Vec<DecisionRecord>,
-    /// Why it is not whole, if it is not.
+    /// Why the records are incomplete, if they are.
     fault: Option<String>,
 }
 
-/// Reads the latest decisions of the daemons `asked`.
+/// Reads the latest decisions of the daemons in `asked`.
 pub(super) async fn gather(
     context: &OperatorContext,
     view: &FleetView,
     asked: &BTreeSet<MachineId>,
-) -> Gathered {
+) -> GatheredDecisions {
     let count = u64::try_from(asked.len().max(1)).unwrap_or(u64::MAX);
-    let budget = (DECISIONS_IN_ALL / count).max(LEAST_OF_ONE);
+    let budget = (MAXIMUM_DECISIONS / count).max(MINIMUM_DECISIONS_PER_DAEMON);
     let address_of = |daemon: MachineId| {
         let record = view.members.iter().find(|record| record.machine == daemon);
         record.map(|record| record.peer_address)
     };
-    // Collected first: the compiler proves a lazy iterator's futures `Send` for one lifetime only.
+    // Collected first, because the futures of a lazy iterator do not satisfy `Send` here.
     let reading: Vec<_> = asked
         .iter()
         .copied()
         .map(|daemon| read(context, daemon, address_of(daemon), budget))
         .collect();
     let parts: Vec<(MachineId, Part)> = stream::iter(reading)
-        .buffered(ASKED_AT_ONCE)
+        .buffered(MAXIMUM_CONCURRENT_QUERIES)
         .collect()
         .await;
-    let mut gathered = Gathered::default();
+    let mut gathered = GatheredDecisions::default();
     for (by, part) in parts {
         let decided = part
             .records
             .into_iter()
-            .map(|record| Decided { by, record });
+            .map(|record| AttributedDecision { by, record });
         gathered.decisions.extend(decided);
         if let Some(reason) = part.fault {
             gathered.missing.push(MissingPart { daemon: by, reason });
@@ -93,14 +93,12 @@
     };
     let fault = match source {
         Some(source) => read_pages(&mut records, budget, &source).await,
-        None => Some(String::from(
-            "its address is not known; ask again in a second",
-        )),
+        None => Some(String::from("its address is not known; retry in a second")),
     };
     (daemon, Part { records, fault })
 }
 
-/// Whose decisions are read.
+/// The daemon whose decisions are read.
 enum Source<'a> {
     Own(&'a OperatorContext),
     Peer(&'a OperatorContext, SocketAddr),
@@ -137,18 +135,18 @@
             position,
             has_more,
         }),
-        Ok(_other) => Err(String::from("it answered something else; ask again")),
+        Ok(_other) => Err(String::from("it sent an unexpected response; retry")),
         Err(error) => Err(error.to_string()),
     }
 }
 
-/// Reads the newest `budget` decisions, page by page. Returns why they are not all, if they are not.
+/// Reads the newest `budget` decisions in pages. Returns the reason if the result is incomplete.
 async fn read_pages(
     records: &mut Vec<DecisionRecord>,
     budget: u64,
     source: &Source<'_>,
 ) -> Option<String> {
-    // No position is as large: the answer only tells the newest one.
+    // The largest position returns no records, only the position of the newest one.
     let newest = match source.page(u64::MAX).await {
         Ok(page) => page.position,
         Err(reason) => return Some(reason),
@@ -156,7 +154,7 @@
     let mut after = newest.saturating_sub(budget);
     let fault = (after > 0).then(|| {
         format!(
-            "only its newest {budget} of {newest} decisions were read; older ones are in its log"
+            "only the newest {budget} of its {newest} decisions were read; older ones are in its log"
         )
     });
     loop {
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -6,14 +6,14 @@
 use ponddrift_http::Problem;
 
 use super::wire::StatusAnswer;
-use super::{OperatorContext, ending};
+use super::{OperatorContext, actor_stopped_problem};
 use crate::actors::ask;
 use crate::actors::peer::operators::ViewFleet;
 use crate::daemon::DaemonAddresses;
 
-/// What does not change while the daemon runs.
+/// Status fields that are constant while the daemon runs.
 #[derive(Debug, Clone)]
-pub(crate) struct Fixed {
+pub(crate) struct StaticStatus {
     pub(crate) zone: ZoneName,
     pub(crate) region: RegionName,
     pub(crate) incarnation: Incarnation,
@@ -21,22 +21,24 @@
 }
 
 pub(super) async fn answer(context: &OperatorContext) -> Result<StatusAnswer, Problem> {
-    let view = ask(&context.peers, ViewFleet).await.map_err(ending)?;
+    let view = ask(&context.peers, ViewFleet)
+        .await
+        .map_err(actor_stopped_problem)?;
     let gateway = &context.gateway;
     let list = gateway.fleet.borrow().clone();
     let count = |wanted: fn(&MachineKind) -> bool| {
         let machines = list.machines.iter();
         machines.filter(|machine| wanted(&machine.kind)).count()
     };
-    let fixed = &context.status;
+    let static_status = &context.status;
     Ok(StatusAnswer {
         daemon: context.own,
         version: env!("CARGO_PKG_VERSION").to_owned(),
-        zone: fixed.zone.clone(),
-        region: fixed.region.clone(),
-        incarnation: fixed.incarnation.0,
+        zone: static_status.zone.clone(),
+        region: static_status.region.clone(),
+        incarnation: static_status.incarnation.0,
         up_ms: gateway.now().as_millis(),
-        addresses: fixed.addresses,
+        addresses: static_status.addresses,
         ready: gateway.is_ready(),
         contact: contact_text(view.contact).to_owned(),
         configuration_revision: gateway.configuration.borrow().revision,
--- a/crates/daemon/src/operator/tables/record.rs
+++ b/crates/daemon/src/operator/tables/record.rs
@@ -1,14 +1,14 @@
-//! Building one row by the names of its columns.
+//! Builds table rows by column name.
 
 use ponddrift_query::{Row, Table, Value};
 
-/// A row that is being filled; columns that are not set are NULL.
-pub(super) struct Record {
+/// A row builder; columns that are not set are NULL.
+pub(super) struct RowBuilder {
     table: Table,
     row: Row,
 }
 
-impl Record {
+impl RowBuilder {
     pub(super) fn new(table: Table) -> Self {
         Self {
             table,
@@ -16,11 +16,11 @@
         }
     }
 
-    /// Sets a column. A name that the table does not have is a mistake in this crate, and is logged.
+    /// Sets a column. Logs an error if the table has no such column, which is a bug in this crate.
     pub(super) fn set(mut self, column: &str, value: impl Into<Value>) -> Self {
         match self.table.find_column(column) {
-            Ok(place) => self.row[place] = value.into(),
-            Err(error) => tracing::error!(%error, "a column of an operators' table is not filled"),
+            Ok(index) => self.row[index] = value.into(),
+            Err(error) => tracing::error!(%error, "unknown column in an operator table row"),
         }
         self
     }
@@ -30,12 +30,12 @@
     }
 }
 
-/// A count as a value.
+/// Converts a count to a table value.
 pub(super) fn count(number: usize) -> Value {
     Value::from(u64::try_from(number).unwrap_or(u64::MAX))
 }
 
-/// A time in milliseconds as a value.
+/// Converts a duration to a table value in milliseconds.
 pub(super) fn milliseconds(duration: std::time::Duration) -> Value {
     Value::from(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
--- a/crates/daemon/src/peer/outbox.rs
+++ b/crates/daemon/src/peer/outbox.rs
@@ -1,4 +1,4 @@
-//! Parts on their way out, packed into as few datagrams as they fit.
+//! Packs outgoing message parts into datagrams.
 
 use std::net::SocketAddr;
 
@@ -7,17 +7,17 @@
 
 use super::PeerIdentity;
 
-/// Version, cluster, sender, incarnation and the number of parts, in bytes.
+/// Encoded size of the version, cluster, sender, incarnation and part count.
 const ENVELOPE_BYTES: usize = 1 + 8 + 4 + 8 + 4;
 
 /// An encoded datagram with its target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingDatagram {
     pub(crate) target: SocketAddr,
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Collects parts by target.
+/// Collects message parts per target address.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     parts: IndexMap<SocketAddr, Vec<Part>>,
@@ -28,8 +28,9 @@
         self.parts.entry(target).or_default().push(part);
     }
 
-    /// Packs everything collected. A part that fits no datagram is dropped and logged.
-    pub(crate) fn pack(&mut self, identity: PeerIdentity) -> Vec<Outgoing> {
+    /// Packs all collected parts. Logs and drops a datagram that cannot be encoded, such as one
+    /// with an oversized part.
+    pub(crate) fn pack(&mut self, identity: PeerIdentity) -> Vec<OutgoingDatagram> {
         let mut outgoing = Vec::new();
         for (target, parts) in std::mem::take(&mut self.parts) {
             let mut packer = Packer {
@@ -55,7 +56,7 @@
 }
 
 impl Packer {
-    fn add(&mut self, part: Part, outgoing: &mut Vec<Outgoing>) {
+    fn add(&mut self, part: Part, outgoing: &mut Vec<OutgoingDatagram>) {
         let length = borsh::object_length(&part).unwrap_or(usize::MAX);
         let is_full = self.bytes.saturating_add(length) > MAXIMUM_DATAGRAM_BYTES
             || self.body.len() == MAXIMUM_PARTS;
@@ -66,7 +67,7 @@
         self.body.push(part);
     }
 
-    fn flush(&mut self, outgoing: &mut Vec<Outgoing>) {
+    fn flush(&mut self, outgoing: &mut Vec<OutgoingDatagram>) {
         self.bytes = ENVELOPE_BYTES;
         if self.body.is_empty() {
             return;
@@ -78,11 +79,11 @@
             body: std::mem::take(&mut self.body),
         };
         match encode_datagram(&datagram) {
-            Ok(bytes) => outgoing.push(Outgoing {
+            Ok(bytes) => outgoing.push(OutgoingDatagram {
                 target: self.target,
                 bytes,
             }),
-            Err(error) => tracing::error!(%error, "datagram not sent"),
+            Err(error) => tracing::error!(%error, "encoding a datagram failed; dropping it"),
         }
     }
 }
--- a/crates/daemon/src/peer/server.rs
+++ b/crates/daemon/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers requests of peers.
+//! Server for peer requests.
 
 use std::io;
 use std::sync::Arc;
@@ -15,19 +15,19 @@
 use super::PeerIdentity;
 use super::frame::read_frame;
 
-/// Connections served at a time; more wait.
+/// Maximum number of concurrent connections; further ones wait in the backlog.
 const MAXIMUM_CONNECTIONS: usize = 256;
-/// Time for one request and its answer.
+/// Timeout of one request with its response.
 const EXCHANGE_LIMIT: Duration = Duration::from_secs(5);
 /// Pause after a failed `accept`.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers one kind or all kinds of requests.
+/// Handler of peer requests.
 pub(crate) trait PeerHandler: Send + Sync + 'static {
     fn answer(&self, hello: Hello, request: Request) -> BoxFuture<'static, Response>;
 }
 
-/// Serves peers until the process ends.
+/// Accepts peer connections until the process ends.
 pub(crate) async fn serve(
     runtime: Runtime,
     listener: BoxedListener,
@@ -42,7 +42,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _peer)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "accept of a peer failed");
+                tracing::warn!(%error, "accepting a peer connection failed");
                 tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
@@ -52,8 +52,8 @@
             let exchange = serve_one(stream, identity, handler);
             match tokio::time::timeout(EXCHANGE_LIMIT, exchange).await {
                 Ok(Ok(())) => {}
-                Ok(Err(error)) => tracing::debug!(%error, "request of a peer not answered"),
-                Err(_elapsed) => tracing::debug!("request of a peer took too long"),
+                Ok(Err(error)) => tracing::debug!(%error, "serving a peer request failed"),
+                Err(_elapsed) => tracing::debug!("peer request timed out"),
             }
             drop(permit);
         }));
