--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,7 @@
-//! Asking daemons: the next one is tried only when nothing reached the one before.
+//! HTTP client for the operator interface of one or more daemons.
+//!
+//! Queries fall through to the next daemon after any failure. A change is only sent to the next
+//! daemon if the previous one certainly did not execute it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,134 +14,137 @@
 use ponddrift_runtime::Runtime;
 use serde::de::DeserializeOwned;
 
-use crate::error::{CliError, Try};
+use crate::error::{CliError, FailedAttempt};
 
-/// Largest answer that is read, in bytes.
-const ANSWER_SIZE_LIMIT: usize = 256 * 1024 * 1024;
-/// Time for an answer, beside the time that a change waits to be in force.
-const ANSWER_TIME_LIMIT: Duration = Duration::from_secs(30);
+/// Maximum size of a response body.
+const RESPONSE_LIMIT_BYTES: usize = 256 * 1024 * 1024;
+/// Timeout of a response, not counting the time that a change waits to be in force.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client of some daemons.
+/// Client that tries its daemons in order.
 pub(crate) struct DaemonClient {
     client: Client,
     daemons: Vec<SocketAddr>,
 }
 
-/// A change and how it is sent.
+/// A configuration change with its operator and the time to wait until it is in force.
 pub(crate) struct Change<'a> {
     pub(crate) statement: &'a str,
     pub(crate) operator: &'a str,
     pub(crate) wait: Duration,
 }
 
-struct Call {
+struct OperatorRequest {
     method: Method,
     path: String,
     operator: Option<String>,
-    content: Bytes,
+    body_bytes: Bytes,
     time_limit: Duration,
-    /// Whether it may be sent to another daemon after its answer was lost.
-    repeatable: bool,
+    /// Whether it may be sent to another daemon after its response was lost.
+    is_idempotent: bool,
 }
 
 impl DaemonClient {
     pub(crate) fn new(daemons: Vec<SocketAddr>) -> Self {
-        // The seed draws nothing here: the client only connects.
+        // The seed is irrelevant: the client draws no random numbers.
         let client = Client::new(&Runtime::system(0), ClientSettings::default());
         Self { client, daemons }
     }
 
     pub(crate) async fn query(&self, statement: &str) -> Result<QueryAnswer, CliError> {
-        self.call(Call {
+        self.call(OperatorRequest {
             method: Method::POST,
             path: QUERY_PATH.to_owned(),
             operator: None,
-            content: Bytes::copy_from_slice(statement.as_bytes()),
-            time_limit: ANSWER_TIME_LIMIT,
-            repeatable: true,
+            body_bytes: Bytes::copy_from_slice(statement.as_bytes()),
+            time_limit: RESPONSE_TIMEOUT,
+            is_idempotent: true,
         })
         .await
     }
 
     pub(crate) async fn apply(&self, change: Change<'_>) -> Result<ApplyAnswer, CliError> {
-        self.call(Call {
+        self.call(OperatorRequest {
             method: Method::POST,
             path: format!("{APPLY_PATH}?wait_ms={}", change.wait.as_millis()),
             operator: Some(change.operator.to_owned()),
-            content: Bytes::copy_from_slice(change.statement.as_bytes()),
-            time_limit: ANSWER_TIME_LIMIT + change.wait,
-            repeatable: false,
+            body_bytes: Bytes::copy_from_slice(change.statement.as_bytes()),
+            time_limit: RESPONSE_TIMEOUT + change.wait,
+            is_idempotent: false,
         })
         .await
     }
 
     pub(crate) async fn status(&self) -> Result<StatusAnswer, CliError> {
-        self.call(Call {
+        self.call(OperatorRequest {
             method: Method::GET,
             path: STATUS_PATH.to_owned(),
             operator: None,
-            content: Bytes::new(),
-            time_limit: ANSWER_TIME_LIMIT,
-            repeatable: true,
+            body_bytes: Bytes::new(),
+            time_limit: RESPONSE_TIMEOUT,
+            is_idempotent: true,
         })
         .await
     }
 
-    async fn call<T: DeserializeOwned>(&self, call: Call) -> Result<T, CliError> {
-        let mut tries = Vec::new();
+    async fn call<T: DeserializeOwned>(&self, call: OperatorRequest) -> Result<T, CliError> {
+        let mut failed_attempts = Vec::new();
         for daemon in &self.daemons {
             let exchange = self.exchange(*daemon, &call);
             let reason = match tokio::time::timeout(call.time_limit, exchange).await {
-                Ok(Ok((status, bytes))) => match understand(*daemon, status, &bytes) {
-                    Err(CliError::Refused(problem)) if is_left_to_another(&problem) => {
+                Ok(Ok((status, bytes))) => match parse_response(*daemon, status, &bytes) {
+                    Err(CliError::Rejected(problem)) if can_try_next_daemon(&problem) => {
                         problem.detail.clone()
                     }
-                    understood => return understood,
+                    result => return result,
                 },
-                Ok(Err(Fault::NotSent(reason))) => reason,
-                Ok(Err(Fault::Lost(reason))) => lost(*daemon, reason, &call)?,
-                Err(_elapsed) => lost(
+                Ok(Err(ExchangeError::NotSent(reason))) => reason,
+                Ok(Err(ExchangeError::Lost(reason))) => response_lost(*daemon, reason, &call)?,
+                Err(_elapsed) => response_lost(
                     *daemon,
-                    format!("nothing within {:?}", call.time_limit),
+                    format!("no response within {:?}", call.time_limit),
                     &call,
                 )?,
             };
-            tries.push(Try {
+            failed_attempts.push(FailedAttempt {
                 daemon: *daemon,
                 reason,
             });
         }
-        Err(CliError::Unreachable(tries))
+        Err(CliError::Unreachable(failed_attempts))
     }
 
     async fn exchange(
         &self,
         daemon: SocketAddr,
-        call: &Call,
-    ) -> Result<(StatusCode, Bytes), Fault> {
-        let request = request(daemon, call).map_err(|error| Fault::NotSent(error.to_string()))?;
+        call: &OperatorRequest,
+    ) -> Result<(StatusCode, Bytes), ExchangeError> {
+        let request = build_request(daemon, call)
+            .map_err(|error| ExchangeError::NotSent(error.to_string()))?;
         let response = self
             .client
             .send(request)
             .await
             .map_err(|error| match error {
-                ClientError::NotSent { .. } => Fault::NotSent(error.to_string()),
-                ClientError::Broken { .. } => Fault::Lost(error.to_string()),
+                ClientError::NotSent { .. } => ExchangeError::NotSent(error.to_string()),
+                ClientError::Broken { .. } => ExchangeError::Lost(error.to_string()),
             })?;
         let status = response.status();
-        let bytes = body::read_all(response.into_body(), ANSWER_SIZE_LIMIT, call.time_limit)
+        let bytes = body::read_all(response.into_body(), RESPONSE_LIMIT_BYTES, call.time_limit)
             .await
-            .map_err(|error| Fault::Lost(error.to_string()))?;
+            .map_err(|error| ExchangeError::Lost(error.to_string()))?;
         Ok((status, bytes))
     }
 }
 
-enum Fault {
+enum ExchangeError {
+    /// The request was not sent, so it was not executed.
     NotSent(String),
+    /// The request was sent, but its response was not received completely.
     Lost(String),
 }
 
-fn request(daemon: SocketAddr, call: &Call) -> http::Result<Request<Body>> {
+fn build_request(daemon: SocketAddr, call: &OperatorRequest) -> http::Result<Request<Body>> {
     let mut request = Request::builder()
         .method(call.method.clone())
         .uri(format!("http://{daemon}{}", call.path))
@@ -146,35 +152,40 @@
     if let Some(operator) = &call.operator {
         request = request.header(OPERATOR_HEADER, operator);
     }
-    request.body(body::full(call.content.clone()))
+    request.body(body::full(call.body_bytes.clone()))
 }
 
-/// A question goes to the next daemon; a change must be looked up first.
-fn lost(daemon: SocketAddr, reason: String, call: &Call) -> Result<String, CliError> {
-    if call.repeatable {
+/// Handles a request that may have been executed: returns the reason if it may be repeated on the
+/// next daemon, or [`CliError::ResponseLost`] if the operator must check its outcome first.
+fn response_lost(
+    daemon: SocketAddr,
+    reason: String,
+    call: &OperatorRequest,
+) -> Result<String, CliError> {
+    if call.is_idempotent {
         return Ok(reason);
     }
-    Err(CliError::AnswerLost { daemon, reason })
+    Err(CliError::ResponseLost { daemon, reason })
 }
 
-/// A daemon that takes nothing now, and has done nothing.
-fn is_left_to_another(problem: &Problem) -> bool {
+/// Whether the daemon is unavailable and did not execute the request.
+fn can_try_next_daemon(problem: &Problem) -> bool {
     problem.kind == ProblemKind::Unavailable
         && problem.execution == ponddrift_core::Execution::NotStarted
 }
 
-fn understand<T: DeserializeOwned>(
+fn parse_response<T: DeserializeOwned>(
     daemon: SocketAddr,
     status: StatusCode,
     bytes: &Bytes,
 ) -> Result<T, CliError> {
-    let not_a_daemon = |error: serde_json::Error| CliError::NotADaemon {
+    let invalid_response = |error: serde_json::Error| CliError::InvalidResponse {
         daemon,
         reason: format!("{status}, {error}"),
     };
     if status == StatusCode::OK {
-        return serde_json::from_slice(bytes).map_err(not_a_daemon);
+        return serde_json::from_slice(bytes).map_err(invalid_response);
     }
-    let problem: Problem = serde_json::from_slice(bytes).map_err(not_a_daemon)?;
-    Err(CliError::Refused(Box::new(problem)))
+    let problem: Problem = serde_json::from_slice(bytes).map_err(invalid_response)?;
+    Err(CliError::Rejected(Box::new(problem)))
 }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that says so.
+//! Errors of commands and their exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,94 +7,94 @@
 use ponddrift_daemon::settings::Faults;
 use ponddrift_http::Problem;
 
-/// Exit code of a statement that was refused.
-const EXIT_REFUSED: u8 = 1;
-/// Exit code of a wrong use or of settings with faults.
+/// A daemon rejected the statement.
+const EXIT_REJECTED: u8 = 1;
+/// Invalid usage, input or settings file.
 const EXIT_USAGE: u8 = 2;
-/// Exit code when no daemon answered.
+/// No daemon could be reached, or none gave a valid response.
 const EXIT_UNREACHABLE: u8 = 3;
 
-/// Why a command failed. Each message names the remedy.
+/// Error of a command. Messages say how to fix the problem.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CliError {
-    /// A daemon refused the statement.
+    /// A daemon rejected the statement.
     #[error("{}: {}{}", .0.title, .0.detail, execution_text(.0.execution))]
-    Refused(Box<Problem>),
-    /// No daemon could be connected to; nothing was sent.
+    Rejected(Box<Problem>),
+    /// No daemon could be reached. A change was not executed.
     #[error(
         "no daemon could be reached, so nothing was sent; give a running one with --daemon IP:PORT or PONDDRIFT_DAEMON:{}",
-        tries(.0)
+        format_attempts(.0)
     )]
-    Unreachable(Vec<Try>),
-    /// A change was sent and its answer was lost.
+    Unreachable(Vec<FailedAttempt>),
+    /// A change was sent, but its response was lost, so its outcome is unknown.
     #[error(
-        "the answer of {daemon} was lost ({reason}): the change may or may not be accepted; look with `ponddrift query` before you send it again"
+        "the response from {daemon} was lost ({reason}): the change may or may not have been accepted; check with `ponddrift query` before sending it again"
     )]
-    AnswerLost {
-        /// The daemon.
+    ResponseLost {
+        /// Operator address of the daemon.
         daemon: std::net::SocketAddr,
-        /// Why.
+        /// Cause of the loss.
         reason: String,
     },
-    /// The answer is not what a daemon gives.
+    /// The response is not one that a daemon sends.
     #[error(
-        "{daemon} answered something that is no answer of a daemon ({reason}); check that it is an operator address"
+        "{daemon} sent an invalid response ({reason}); check that it is the operator address of a daemon"
     )]
-    NotADaemon {
-        /// Who answered.
+    InvalidResponse {
+        /// Address that sent the response.
         daemon: std::net::SocketAddr,
-        /// What is wrong.
+        /// HTTP status and parse error.
         reason: String,
     },
-    /// No statement was given.
+    /// The statement is missing or blank.
     #[error("no statement was given: write it after the command, or to standard input")]
     NoStatement,
-    /// A file cannot be read.
+    /// A file could not be opened or read.
     #[error("{} cannot be read ({source}): check the name and its permissions", .path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         source: std::io::Error,
     },
-    /// The settings have faults.
+    /// The settings file is invalid.
     #[error("{0}")]
     Settings(Faults),
-    /// Standard input or output failed.
+    /// Reading standard input or writing standard output failed.
     #[error("standard input or output failed: {0}")]
     Terminal(#[from] std::io::Error),
 }
 
-/// One daemon that could not be reached.
+/// Failed attempt to reach one daemon.
 #[derive(Debug)]
-pub(crate) struct Try {
+pub(crate) struct FailedAttempt {
     pub(crate) daemon: std::net::SocketAddr,
     pub(crate) reason: String,
 }
 
-fn tries(tries: &[Try]) -> String {
-    let lines = tries
+fn format_attempts(format_attempts: &[FailedAttempt]) -> String {
+    let lines = format_attempts
         .iter()
-        .map(|tried| format!("\n  {}: {}", tried.daemon, tried.reason));
+        .map(|attempt| format!("\n  {}: {}", attempt.daemon, attempt.reason));
     lines.collect()
 }
 
 const fn execution_text(execution: Execution) -> &'static str {
     match execution {
         Execution::NotStarted => "",
-        Execution::Unknown => " (it is not known whether it took effect)",
+        Execution::Unknown => " (it is unknown whether it took effect)",
     }
 }
 
 impl CliError {
-    /// The exit code that the help documents.
+    /// Returns the exit code, as documented in the help text.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            Self::Refused(_) => EXIT_REFUSED,
+            Self::Rejected(_) => EXIT_REJECTED,
             Self::NoStatement | Self::File { .. } | Self::Settings(_) | Self::Terminal(_) => {
                 EXIT_USAGE
             }
-            Self::Unreachable(_) | Self::AnswerLost { .. } | Self::NotADaemon { .. } => {
+            Self::Unreachable(_) | Self::ResponseLost { .. } | Self::InvalidResponse { .. } => {
                 EXIT_UNREACHABLE
             }
         })
--- a/crates/cli/src/losses.rs
+++ b/crates/cli/src/losses.rs
@@ -1,7 +1,7 @@
-//! Where requests were lost: adds up the lines that daemons log of their requests.
+//! Summary of lost requests, i.e. those that were not served in time, from daemons' logs.
 //!
-//! Every request ends with one line, `request_ended`; one that was not served in time has a line for each decision before
-//! it. The last `attempt_ended` of such a request is the reason of its loss.
+//! Every request logs one `request_ended` event. A request that was not served in time logs each
+//! decision before that; its last `attempt_ended` event is reported as the reason of the loss.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, Write};
@@ -10,12 +10,12 @@
 
 use crate::error::CliError;
 
-/// Seconds in a window of the table of times.
-const WINDOW_S: u64 = 2;
+/// Length of the time windows in which losses are counted.
+const WINDOW_SECONDS: u64 = 2;
 
-/// What a line may tell that counts here.
+/// Fields of a log event that the summary uses.
 #[derive(Debug, Deserialize)]
-struct Line {
+struct LogEvent {
     timestamp: Option<String>,
     message: String,
     request: Option<String>,
@@ -39,91 +39,95 @@
     target_ms: f64,
 }
 
+/// Counts of one time window.
 #[derive(Debug, Default)]
 struct Window {
     requests: u64,
     lost: u64,
 }
 
-/// Requests that were lost, by route, outcome and reason, and when.
+/// Counts of lost requests by route and reason, and by time window.
 #[derive(Debug, Default)]
 pub(crate) struct Losses {
-    /// Last end of an attempt of each request that has not ended yet.
+    /// Purpose and outcome of the last attempt of each request that has not ended yet.
     attempts: HashMap<String, String>,
-    /// Requests of each route.
-    asked: BTreeMap<String, u64>,
+    /// Number of requests of each route, served or lost.
+    requests_by_route: BTreeMap<String, u64>,
+    /// Number of lost requests by route and reason.
     lost: BTreeMap<(String, String), u64>,
+    /// Counts by window index.
     windows: BTreeMap<u64, Window>,
-    unreadable: u64,
+    unparsed_lines: u64,
 }
 
 impl Losses {
-    /// Takes the lines of a log; what stands before the first brace of a line is passed over.
+    /// Adds the events of a log. Text before the first brace of a line is ignored, such as a prefix
+    /// that a log collector added.
     pub(crate) fn read(&mut self, log: impl BufRead) -> Result<(), CliError> {
         for line in log.lines() {
             let line = line?;
-            let Some(begin) = line.find('{') else {
+            let Some(start) = line.find('{') else {
                 continue;
             };
-            match serde_json::from_str::<Line>(&line[begin..]) {
-                Ok(parsed) => self.take(parsed),
-                Err(_not_a_line) => self.unreadable += 1,
+            match serde_json::from_str::<LogEvent>(&line[start..]) {
+                Ok(parsed) => self.add_event(parsed),
+                Err(_not_an_event) => self.unparsed_lines += 1,
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, line: Line) {
-        match line.message.as_str() {
+    fn add_event(&mut self, event: LogEvent) {
+        match event.message.as_str() {
             "attempt_ended" => {
-                let end = format!("{}: {}", line.purpose, line.outcome);
-                if let Some(request) = line.request {
+                let end = format!("{}: {}", event.purpose, event.outcome);
+                if let Some(request) = event.request {
                     self.attempts.insert(request, end);
                 }
             }
-            "request_ended" => self.ended(&line),
+            "request_ended" => self.add_request_ended(&event),
             "refused" => {
-                self.count("(none)", &line);
-                self.lose("(none)", &format!("refused, {}", line.reason), &line);
+                self.count_request("(none)", &event);
+                self.count_loss("(none)", &format!("refused, {}", event.reason), &event);
             }
             _ => {}
         }
     }
 
-    fn ended(&mut self, line: &Line) {
-        let request = line.request.as_deref().unwrap_or_default();
+    fn add_request_ended(&mut self, event: &LogEvent) {
+        let request = event.request.as_deref().unwrap_or_default();
         let attempt = self.attempts.remove(request);
-        let route = format!("{} ({})", line.route, line.kind);
-        self.count(&route, line);
-        if line.outcome == "served" && line.in_time {
+        let route = format!("{} ({})", event.route, event.kind);
+        self.count_request(&route, event);
+        if event.outcome == "served" && event.in_time {
             return;
         }
-        let loss = match (line.outcome.as_str(), attempt) {
-            ("served", _) => lateness(line),
+        let loss = match (event.outcome.as_str(), attempt) {
+            ("served", _) => lateness_cause(event),
             (outcome, Some(attempt)) => format!("{outcome}, {attempt}"),
-            (outcome, None) => format!("{outcome}, nothing was sent"),
+            (outcome, None) => format!("{outcome}, no attempt was made"),
         };
-        self.lose(&route, &loss, line);
+        self.count_loss(&route, &loss, event);
     }
 
-    fn count(&mut self, route: &str, line: &Line) {
-        *self.asked.entry(route.to_owned()).or_default() += 1;
-        if let Some(window) = window_of(line) {
+    fn count_request(&mut self, route: &str, event: &LogEvent) {
+        *self.requests_by_route.entry(route.to_owned()).or_default() += 1;
+        if let Some(window) = window_index(event) {
             self.windows.entry(window).or_default().requests += 1;
         }
     }
 
-    fn lose(&mut self, route: &str, loss: &str, line: &Line) {
+    fn count_loss(&mut self, route: &str, loss: &str, event: &LogEvent) {
         let key = (route.to_owned(), loss.to_owned());
         *self.lost.entry(key).or_default() += 1;
-        if let Some(window) = window_of(line) {
+        if let Some(window) = window_index(event) {
             self.windows.entry(window).or_default().lost += 1;
         }
     }
 
-    /// Writes the losses of each route, the largest first, then those of each window.
+    /// Writes the losses of each route in descending order, then those of each time window.
     pub(crate) fn write(&self, out: &mut impl Write) -> Result<(), CliError> {
-        for (route, asked) in &self.asked {
+        for (route, requests) in &self.requests_by_route {
             let mut losses: Vec<(&str, u64)> = self
                 .lost
                 .iter()
@@ -131,38 +135,38 @@
                 .map(|((_route, loss), count)| (loss.as_str(), *count))
                 .collect();
             losses.sort_by_key(|(_loss, count)| std::cmp::Reverse(*count));
-            let all: u64 = losses.iter().map(|(_loss, count)| count).sum();
+            let total: u64 = losses.iter().map(|(_loss, count)| count).sum();
             writeln!(
                 out,
-                "{route}: {asked} requests, {} not in time",
-                part(all, *asked)
+                "{route}: {requests} requests, {} not in time",
+                format_share(total, *requests)
             )?;
             for (loss, count) in losses {
-                writeln!(out, "  {:>16}  {loss}", part(count, *asked))?;
+                writeln!(out, "  {:>16}  {loss}", format_share(count, *requests))?;
             }
         }
-        let begin = self.windows.keys().next().copied().unwrap_or_default();
+        let start = self.windows.keys().next().copied().unwrap_or_default();
         for (window, sums) in &self.windows {
-            let second = (window - begin) * WINDOW_S;
+            let second = (window - start) * WINDOW_SECONDS;
             writeln!(
                 out,
                 "second {second:>5}: {:>6} requests, {} not in time",
                 sums.requests,
-                part(sums.lost, sums.requests)
+                format_share(sums.lost, sums.requests)
             )?;
         }
-        if self.unreadable > 0 {
-            writeln!(out, "{} lines could not be read", self.unreadable)?;
+        if self.unparsed_lines > 0 {
+            writeln!(out, "{} lines could not be parsed", self.unparsed_lines)?;
         }
         Ok(())
     }
 }
 
-/// Why a served request was late.
-fn lateness(line: &Line) -> String {
-    let cause = if line.waited_ms <= line.target_ms {
+/// Describes why a served request was late.
+fn lateness_cause(event: &LogEvent) -> String {
+    let cause = if event.waited_ms <= event.target_ms {
         "by a pause between events"
-    } else if line.urgency == "late" {
+    } else if event.urgency == "late" {
         "as it was expected to be"
     } else {
         "though it was expected in time"
@@ -170,18 +174,18 @@
     format!("served late, {cause}")
 }
 
-fn part(count: u64, all: u64) -> String {
+fn format_share(count: u64, total: u64) -> String {
     #[expect(clippy::cast_precision_loss, reason = "counts of requests")]
-    let share = count as f64 * 100.0 / all.max(1) as f64;
+    let share = count as f64 * 100.0 / total.max(1) as f64;
     format!("{count} ({share:.1}%)")
 }
 
-/// Number of the window in which a line was written, counted within its day.
-fn window_of(line: &Line) -> Option<u64> {
-    let (_date, time) = line.timestamp.as_deref()?.split_once('T')?;
+/// Returns the index of the event's time window within its day (UTC).
+fn window_index(event: &LogEvent) -> Option<u64> {
+    let (_date, time) = event.timestamp.as_deref()?.split_once('T')?;
     let mut parts = time.split(':');
     let hours: u64 = parts.next()?.parse().ok()?;
     let minutes: u64 = parts.next()?.parse().ok()?;
     let seconds: u64 = parts.next()?.get(..2)?.parse().ok()?;
-    Some((hours * 3600 + minutes * 60 + seconds) / WINDOW_S)
+    Some((hours * 3600 + minutes * 60 + seconds) / WINDOW_SECONDS)
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `ponddrift`: the operators' command line.
+//! `ponddrift`: the command-line client for operators.
 
 mod arguments;
 mod client;
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Answers as text.
+//! Formats results and writes them to standard output.
 
 use std::io::{self, Write};
 
@@ -7,30 +7,30 @@
 use ponddrift_query::Value;
 use serde::Serialize;
 
-use crate::arguments::OutputForm;
+use crate::arguments::OutputFormat;
 use crate::error::CliError;
 
-/// Writes the answer to a question; what is missing of it goes to standard error.
-pub(crate) fn rows(answer: &QueryAnswer, form: OutputForm) -> Result<(), CliError> {
-    match form {
-        OutputForm::Json => json(answer)?,
-        OutputForm::Csv => csv(answer)?,
-        OutputForm::Table => {
+/// Writes the result of a query; warns on standard error about daemons whose rows are missing.
+pub(crate) fn print_rows(answer: &QueryAnswer, format: OutputFormat) -> Result<(), CliError> {
+    match format {
+        OutputFormat::Json => print_json(answer)?,
+        OutputFormat::Csv => print_csv(answer)?,
+        OutputFormat::Table => {
             let count = answer.result.rows.len();
             let rows = if count == 1 { "row" } else { "rows" };
-            line(&format!("{}\n{count} {rows}", table(answer)))?;
+            print_line(&format!("{}\n{count} {rows}", render_table(answer)))?;
         }
     }
-    for part in &answer.missing {
+    for missing_daemon in &answer.missing {
         eprintln!(
-            "ponddrift: the answer is partial: daemon {}: {}",
-            part.daemon, part.reason
+            "ponddrift: the result is incomplete: daemon {}: {}",
+            missing_daemon.daemon, missing_daemon.reason
         );
     }
     Ok(())
 }
 
-fn table(answer: &QueryAnswer) -> Table {
+fn render_table(answer: &QueryAnswer) -> Table {
     let mut table = Table::new();
     table.load_style(comfy_table::presets::ASCII_MARKDOWN);
     table.set_content_arrangement(ContentArrangement::Disabled);
@@ -41,7 +41,7 @@
     table
 }
 
-fn csv(answer: &QueryAnswer) -> Result<(), CliError> {
+fn print_csv(answer: &QueryAnswer) -> Result<(), CliError> {
     let mut writer = csv::Writer::from_writer(io::stdout().lock());
     writer
         .write_record(&answer.result.columns)
@@ -57,10 +57,13 @@
     Ok(())
 }
 
-/// Writes the answer to a change.
-pub(crate) fn applied(answer: &ApplyAnswer, form: OutputForm) -> Result<(), CliError> {
-    if form == OutputForm::Json {
-        return json(answer);
+/// Writes the result of a change.
+pub(crate) fn print_apply_result(
+    answer: &ApplyAnswer,
+    format: OutputFormat,
+) -> Result<(), CliError> {
+    if format == OutputFormat::Json {
+        return print_json(answer);
     }
     let ApplyAnswer {
         change,
@@ -71,13 +74,13 @@
         waited_ms,
         ..
     } = answer;
-    line(&format!(
+    print_line(&format!(
         "accepted at revision {revision} (change {change}); in force on {in_force} of {live} daemons after {waited_ms} ms"
     ))?;
     if !not_yet_in_force.is_empty() {
         let names: Vec<String> = not_yet_in_force.iter().map(ToString::to_string).collect();
-        line(&format!(
-            "not in force yet on daemon {}: they take it as soon as they are reached; look with \
+        print_line(&format!(
+            "not yet in force on daemon {}: the change is applied once the daemon can be reached; check with \
              \"SELECT * FROM configuration WHERE current = false\"",
             names.join(", ")
         ))?;
@@ -85,20 +88,20 @@
     Ok(())
 }
 
-/// Writes a value with its fields, one a line, or as JSON.
-pub(crate) fn fields<T: Serialize>(value: &T, form: OutputForm) -> Result<(), CliError> {
-    if form == OutputForm::Json {
-        return json(value);
+/// Writes the fields of a value, one per line, or the value as JSON.
+pub(crate) fn print_fields<T: Serialize>(value: &T, format: OutputFormat) -> Result<(), CliError> {
+    if format == OutputFormat::Json {
+        return print_json(value);
     }
     let value = serde_json::to_value(value).map_err(io::Error::from)?;
-    let mut lines = Vec::new();
-    flatten("", &value, &mut lines);
-    if form == OutputForm::Csv {
+    let mut entries = Vec::new();
+    flatten("", &value, &mut entries);
+    if format == OutputFormat::Csv {
         let mut writer = csv::Writer::from_writer(io::stdout().lock());
         writer
             .write_record(["field", "value"])
             .map_err(io::Error::from)?;
-        for field in lines {
+        for field in entries {
             writer
                 .write_record([field.name, field.text])
                 .map_err(io::Error::from)?;
@@ -108,17 +111,20 @@
     }
     let mut table = Table::new();
     table.load_style(comfy_table::presets::NOTHING);
-    for field in lines {
+    for field in entries {
         table.add_row([field.name, field.text]);
     }
-    line(&table.to_string())
+    print_line(&table.to_string())
 }
 
+/// Leaf of a JSON object.
 struct Field {
+    /// Path of the field, separated by dots.
     name: String,
     text: String,
 }
 
+/// Appends the leaves of nested objects to `fields`, with dotted names.
 fn flatten(name: &str, value: &serde_json::Value, fields: &mut Vec<Field>) {
     match value {
         serde_json::Value::Object(object) => {
@@ -142,12 +148,12 @@
     }
 }
 
-fn json<T: Serialize>(value: &T) -> Result<(), CliError> {
+fn print_json<T: Serialize>(value: &T) -> Result<(), CliError> {
     let text = serde_json::to_string_pretty(value).map_err(io::Error::from)?;
-    line(&text)
+    print_line(&text)
 }
 
-fn line(text: &str) -> Result<(), CliError> {
+fn print_line(text: &str) -> Result<(), CliError> {
     writeln!(io::stdout().lock(), "{text}")?;
     Ok(())
 }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,4 +1,4 @@
-//! Running the chosen command.
+//! Runs the selected subcommand.
 
 use std::fs::File;
 use std::io::{self, BufReader, IsTerminal, Read};
@@ -10,40 +10,40 @@
 use ponddrift_daemon::settings::{self, KeyAssignment};
 use ponddrift_query::{Statement, parse};
 
-use crate::arguments::{self, OutputForm};
+use crate::arguments::{self, OutputFormat};
 use crate::client::{Change, DaemonClient};
 use crate::error::CliError;
 use crate::interactive::Terminal;
 use crate::losses::Losses;
 use crate::output;
 
-/// Who an interactive change is by, unless the environment says.
+/// Operator name used if the environment names none.
 const DEFAULT_OPERATOR: &str = "operator";
 /// Environment variable with the operator's name.
 const OPERATOR_VARIABLE: &str = "PONDDRIFT_OPERATOR";
-/// How long an interactive change waits to be in force everywhere.
-const INTERACTIVE_WAIT: Duration = Duration::from_secs(6);
+/// Maximum time to wait until a change is in force on all daemons.
+const DEFAULT_WAIT: Duration = Duration::from_secs(6);
 
-/// Runs the command.
+/// Runs the subcommand given on the command line.
 pub(crate) fn run(matches: &ArgMatches) -> Result<(), CliError> {
     match matches.subcommand() {
-        Some(("check-config", chosen)) => check_config(chosen),
-        Some(("losses", chosen)) => add_up_losses(chosen),
-        Some(("completions", chosen)) => {
-            completions(chosen);
+        Some(("check-config", subcommand_matches)) => check_config(subcommand_matches),
+        Some(("losses", subcommand_matches)) => summarize_losses(subcommand_matches),
+        Some(("completions", subcommand_matches)) => {
+            completions(subcommand_matches);
             Ok(())
         }
-        Some((name, chosen)) => {
+        Some((name, subcommand_matches)) => {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()?;
-            runtime.block_on(talk(name, chosen))
+            runtime.block_on(run_daemon_command(name, subcommand_matches))
         }
         None => Err(CliError::NoStatement),
     }
 }
 
-fn add_up_losses(matches: &ArgMatches) -> Result<(), CliError> {
+fn summarize_losses(matches: &ArgMatches) -> Result<(), CliError> {
     let mut losses = Losses::default();
     let logs = arguments::logs(matches);
     if logs.is_empty() {
@@ -56,33 +56,33 @@
     losses.write(&mut io::stdout().lock())
 }
 
-async fn talk(name: &str, matches: &ArgMatches) -> Result<(), CliError> {
+async fn run_daemon_command(name: &str, matches: &ArgMatches) -> Result<(), CliError> {
     let client = DaemonClient::new(arguments::daemons(matches));
-    let form = arguments::output_form(matches);
+    let format = arguments::output_format(matches);
     match name {
-        "status" => output::fields(&client.status().await?, form),
-        "apply" => apply(&client, matches, form).await,
-        _ => query(&client, matches, form).await,
+        "status" => output::print_fields(&client.status().await?, format),
+        "apply" => apply(&client, matches, format).await,
+        _ => query(&client, matches, format).await,
     }
 }
 
 async fn query(
     client: &DaemonClient,
     matches: &ArgMatches,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<(), CliError> {
-    let given = matches.get_one::<String>("statement");
-    if given.is_none() && io::stdin().is_terminal() {
-        return converse(client, form).await;
+    let argument = matches.get_one::<String>("statement");
+    if argument.is_none() && io::stdin().is_terminal() {
+        return run_interactive(client, format).await;
     }
-    let answer = client.query(&statement(given)?).await?;
-    output::rows(&answer, form)
+    let answer = client.query(&statement(argument)?).await?;
+    output::print_rows(&answer, format)
 }
 
 async fn apply(
     client: &DaemonClient,
     matches: &ArgMatches,
-    form: OutputForm,
+    format: OutputFormat,
 ) -> Result<(), CliError> {
     let statement = statement(matches.get_one::<String>("statement"))?;
     let operator = matches.get_one::<String>("operator");
@@ -90,14 +90,14 @@
     let change = Change {
         statement: &statement,
         operator: operator.map_or(DEFAULT_OPERATOR, String::as_str),
-        wait: wait_ms.map_or(INTERACTIVE_WAIT, Duration::from_millis),
+        wait: wait_ms.map_or(DEFAULT_WAIT, Duration::from_millis),
     };
-    output::applied(&client.apply(change).await?, form)
+    output::print_apply_result(&client.apply(change).await?, format)
 }
 
-/// The statement that was given, or else standard input.
-fn statement(given: Option<&String>) -> Result<String, CliError> {
-    let text = match given {
+/// Returns the statement argument, or standard input if there is none.
+fn statement(argument: Option<&String>) -> Result<String, CliError> {
+    let text = match argument {
         Some(text) => text.clone(),
         None => {
             let mut text = String::new();
@@ -111,29 +111,34 @@
     Ok(text)
 }
 
-/// Reads statements at the terminal until its end; one that fails does not end the others.
-async fn converse(client: &DaemonClient, form: OutputForm) -> Result<(), CliError> {
+/// Runs statements from the terminal until end of input.
+/// Errors are printed and do not stop the loop.
+async fn run_interactive(client: &DaemonClient, format: OutputFormat) -> Result<(), CliError> {
     let mut terminal = Terminal::open()?;
     while let Some(text) = terminal.next()? {
-        if let Err(error) = one(client, &text, form).await {
+        if let Err(error) = run_statement(client, &text, format).await {
             eprintln!("{error}");
         }
     }
     Ok(())
 }
 
-async fn one(client: &DaemonClient, text: &str, form: OutputForm) -> Result<(), CliError> {
-    // What cannot be parsed is sent as a question: the daemon's refusal says what to write.
+async fn run_statement(
+    client: &DaemonClient,
+    text: &str,
+    format: OutputFormat,
+) -> Result<(), CliError> {
+    // Text that does not parse is sent as a query, so that the daemon reports the error.
     if !matches!(parse(text), Ok(Statement::Change(_))) {
-        return output::rows(&client.query(text).await?, form);
+        return output::print_rows(&client.query(text).await?, format);
     }
     let operator = std::env::var(OPERATOR_VARIABLE);
     let change = Change {
         statement: text,
         operator: operator.as_deref().unwrap_or(DEFAULT_OPERATOR),
-        wait: INTERACTIVE_WAIT,
+        wait: DEFAULT_WAIT,
     };
-    output::applied(&client.apply(change).await?, form)
+    output::print_apply_result(&client.apply(change).await?, format)
 }
 
 fn check_config(matches: &ArgMatches) -> Result<(), CliError> {
@@ -145,7 +150,7 @@
     })?;
     let no_assignments: [KeyAssignment; 0] = [];
     settings::load(&text, &no_assignments).map_err(CliError::Settings)?;
-    println!("{}: the settings are in order", path.display());
+    println!("{}: the settings are valid", path.display());
     Ok(())
 }
 
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,15 +1,15 @@
-//! The command line as operators use it: its answers, its forms, and its exit codes.
+//! End-to-end tests of the commands: output formats, error messages and exit codes.
 
 mod support;
 
-use support::{Served, nobody, ponddrift, ponddrift_reading};
+use support::{TestDaemon, ponddrift, ponddrift_reading, unused_address};
 
 const INSERT: &str = "INSERT INTO priorities (name, level) VALUES ('month-end', 0)";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_is_accepted_and_then_seen_in_each_form() {
-    let served = Served::start().await;
-    let daemon = served.operator();
+async fn an_accepted_change_is_shown_in_each_output_format() {
+    let test_daemon = TestDaemon::start().await;
+    let daemon = test_daemon.operator_address();
     let applied = ponddrift(&["--daemon", &daemon, "apply", "--operator", "hana", INSERT]).await;
     assert_eq!(applied.code, Some(0), "{}", applied.errors);
     assert!(
@@ -23,10 +23,10 @@
         applied.output
     );
 
-    let question = "SELECT name, level FROM priorities";
-    let ask = |form: &'static str| {
+    let query = "SELECT name, level FROM priorities";
+    let ask = |format: &'static str| {
         let daemon = daemon.clone();
-        async move { ponddrift(&["query", question, "--daemon", &daemon, "--output", form]).await }
+        async move { ponddrift(&["query", query, "--daemon", &daemon, "--output", format]).await }
     };
     assert_eq!(ask("csv").await.output, "name,level\nmonth-end,0\n");
     let table = ask("table").await.output;
@@ -39,12 +39,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_question_is_read_from_standard_input() {
-    let served = Served::start().await;
-    let arguments = ["--daemon", &served.operator(), "--output", "csv", "query"];
-    let asked = ponddrift_reading(&arguments, "SELECT id, state FROM daemons\n").await;
+async fn a_query_is_read_from_standard_input() {
+    let test_daemon = TestDaemon::start().await;
+    let arguments = [
+        "--daemon",
+        &test_daemon.operator_address(),
+        "--output",
+        "csv",
+        "query",
+    ];
+    let queried = ponddrift_reading(&arguments, "SELECT id, state FROM daemons\n").await;
     assert_eq!(
-        (asked.code, asked.output.as_str()),
+        (queried.code, queried.output.as_str()),
         (Some(0), "id,state\n1,alive\n")
     );
     let empty = ponddrift_reading(&arguments, " \n").await;
@@ -57,9 +63,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_ends_with_1_and_names_the_remedy() {
-    let served = Served::start().await;
-    let daemon = served.operator();
+async fn a_rejected_statement_exits_with_1_and_names_the_remedy() {
+    let test_daemon = TestDaemon::start().await;
+    let daemon = test_daemon.operator_address();
     let cases = [
         ("query", "SELECT * FROM engine", "did you mean engines?"),
         ("query", INSERT, "ponddrift apply"),
@@ -83,26 +89,30 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_next_daemon_is_tried_and_none_ends_with_3() {
-    let served = Served::start().await;
-    let (nobody, daemon) = (nobody().await, served.operator());
-    let question = "SELECT id FROM daemons";
-    let several = format!("{nobody},{daemon}");
-    let asked = ponddrift(&["--daemon", &several, "query", question]).await;
-    assert_eq!(asked.code, Some(0), "{}", asked.errors);
-    for arguments in [["query", question], ["apply", INSERT]] {
+async fn the_next_daemon_is_tried_and_the_exit_code_is_3_if_none_answers() {
+    let test_daemon = TestDaemon::start().await;
+    let (unreachable, daemon) = (unused_address().await, test_daemon.operator_address());
+    let query = "SELECT id FROM daemons";
+    let several = format!("{unreachable},{daemon}");
+    let queried = ponddrift(&["--daemon", &several, "query", query]).await;
+    assert_eq!(queried.code, Some(0), "{}", queried.errors);
+    for arguments in [["query", query], ["apply", INSERT]] {
         let [command, statement] = arguments;
-        let lost = ponddrift(&["--daemon", &nobody, command, statement]).await;
-        assert_eq!(lost.code, Some(3), "{}", lost.errors);
-        assert!(lost.errors.contains("nothing was sent"), "{}", lost.errors);
-        assert!(lost.errors.contains(&nobody), "{}", lost.errors);
+        let failed = ponddrift(&["--daemon", &unreachable, command, statement]).await;
+        assert_eq!(failed.code, Some(3), "{}", failed.errors);
+        assert!(
+            failed.errors.contains("nothing was sent"),
+            "{}",
+            failed.errors
+        );
+        assert!(failed.errors.contains(&unreachable), "{}", failed.errors);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_status_names_the_daemon_and_its_addresses() {
-    let served = Served::start().await;
-    let daemon = served.operator();
+async fn status_shows_the_daemon_id_and_addresses() {
+    let test_daemon = TestDaemon::start().await;
+    let daemon = test_daemon.operator_address();
     let status = ponddrift(&["--daemon", &daemon, "--output", "csv", "status"]).await;
     assert_eq!(status.code, Some(0), "{}", status.errors);
     assert!(status.output.contains("daemon,1\n"), "{}", status.output);
@@ -111,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn settings_are_checked_without_a_daemon() {
+async fn check_config_works_without_a_daemon() {
     let template = concat!(env!("CARGO_MANIFEST_DIR"), "/../../etc/ponddriftd.toml");
     let good = ponddrift(&["check-config", template]).await;
     assert_eq!(good.code, Some(0), "{}", good.errors);
@@ -129,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn help_teaches_and_wrong_use_ends_with_2() {
+async fn help_lists_tables_and_invalid_usage_exits_with_2() {
     let help = ponddrift(&["--help"]).await;
     assert!(help.output.contains("Exit codes"), "{}", help.output);
     let tables = ponddrift(&["query", "--help"]).await;
--- a/crates/cli/tests/losses.rs
+++ b/crates/cli/tests/losses.rs
@@ -1,4 +1,4 @@
-//! What `ponddrift losses` makes of daemons' lines.
+//! `ponddrift losses` attributes lost requests to the right route, reason and time window.
 
 use std::process::Stdio;
 
@@ -6,22 +6,25 @@
 use tokio::process::Command;
 
 #[tokio::main(flavor = "current_thread")]
-async fn losses_of(log: &str) -> String {
+async fn summarize(log: &str) -> String {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ponddrift"))
         .arg("losses")
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
         .expect("the command starts");
-    let mut stdin = child.stdin.take().expect("a pipe");
-    stdin.write_all(log.as_bytes()).await.expect("it reads");
+    let mut stdin = child.stdin.take().expect("stdin is piped");
+    stdin
+        .write_all(log.as_bytes())
+        .await
+        .expect("writes to stdin");
     drop(stdin);
-    let output = child.wait_with_output().await.expect("it ends");
+    let output = child.wait_with_output().await.expect("the command exits");
     assert!(output.status.success(), "{output:?}");
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("UTF-8 output")
 }
 
-fn ended(second: u32, request: &str, rest: &str) -> String {
+fn request_ended(second: u32, request: &str, rest: &str) -> String {
     format!(
         "{{\"timestamp\":\"2026-12-02T10:00:{second:02}.5Z\",\"message\":\"request_ended\",\"request\":\"{request}\",\
          \"route\":\"tag\",\"kind\":\"stream\",\"target_ms\":200.0,{rest}}}\n"
@@ -29,7 +32,7 @@
 }
 
 #[test]
-fn losses_stand_by_route_and_reason_the_largest_first() {
+fn losses_are_grouped_by_route_and_reason_in_descending_order() {
     let mut log = String::from("node-1 started\n{ not json }\n");
     let in_time =
         "\"outcome\":\"served\",\"in_time\":true,\"waited_ms\":40.0,\"urgency\":\"in_time\"";
@@ -40,15 +43,15 @@
         "\"outcome\":\"served\",\"in_time\":false,\"waited_ms\":40.0,\"urgency\":\"in_time\"";
     let refused =
         "\"outcome\":\"refused\",\"in_time\":true,\"waited_ms\":1.0,\"urgency\":\"in_time\"";
-    log += &ended(1, "1", in_time);
-    log += &ended(1, "2", late);
-    log += &ended(5, "3", late);
-    log += &ended(5, "4", missed);
-    log += &ended(5, "5", paused);
+    log += &request_ended(1, "1", in_time);
+    log += &request_ended(1, "2", late);
+    log += &request_ended(5, "3", late);
+    log += &request_ended(5, "4", missed);
+    log += &request_ended(5, "5", paused);
     log += "7.1 node-2 {\"message\":\"attempt_ended\",\"request\":\"6\",\"purpose\":\"prefill\",\"outcome\":\"unreachable\"}\n";
-    log += &ended(5, "6", refused);
-    let told = losses_of(&log);
-    let lines: Vec<&str> = told.lines().map(str::trim).collect();
+    log += &request_ended(5, "6", refused);
+    let summary = summarize(&log);
+    let lines: Vec<&str> = summary.lines().map(str::trim).collect();
     assert_eq!(lines[0], "tag (stream): 6 requests, 5 (83.3%) not in time");
     assert_eq!(lines[1], "2 (33.3%)  served late, as it was expected to be");
     let others = lines[2..5].join("\n");
@@ -63,10 +66,10 @@
         lines[6],
         "second     4:      4 requests, 4 (100.0%) not in time"
     );
-    assert_eq!(lines[7], "1 lines could not be read");
+    assert_eq!(lines[7], "1 lines could not be parsed");
 }
 
 #[test]
 fn an_empty_log_has_no_losses() {
-    assert_eq!(losses_of(""), "");
+    assert_eq!(summarize(""), "");
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A daemon with its platform in this process, and the binary under test beside it.
+//! Runs a daemon and the emulated platform in the test process, and the `ponddrift` binary against
+//! them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::{Output, Stdio};
@@ -13,26 +14,26 @@
 
 const SEED: u64 = 11;
 
-/// A running daemon.
-pub struct Served {
+/// A running daemon with its emulated platform.
+pub struct TestDaemon {
     pub daemon: Daemon,
     _platform: Platform,
 }
 
-impl Served {
+impl TestDaemon {
     pub async fn start() -> Self {
         let runtime = Runtime::system(SEED);
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let addresses = PlatformAddresses {
-            key_value: any,
-            machine_list: any,
-            weight_store: any,
-            control: any,
+            key_value: any_port,
+            machine_list: any_port,
+            weight_store: any_port,
+            control: any_port,
         };
         let platform = Platform::start(&runtime, addresses, PlatformSettings::default())
             .await
             .expect("free ports");
-        let at = platform.addresses;
+        let platform_addresses = platform.addresses;
         let assignments = [
             "daemon.id=1".to_owned(),
             "daemon.zone=a".to_owned(),
@@ -40,39 +41,39 @@
             "listen.gateway=127.0.0.1:0".to_owned(),
             "listen.operator=127.0.0.1:0".to_owned(),
             "listen.peer=127.0.0.1:0".to_owned(),
-            format!("platform.key_value=[\"{}\"]", at.key_value),
-            format!("platform.machine_list={}", at.machine_list),
+            format!("platform.key_value=[\"{}\"]", platform_addresses.key_value),
+            format!("platform.machine_list={}", platform_addresses.machine_list),
         ]
-        .map(|text| text.parse::<KeyAssignment>().expect("an assignment"));
+        .map(|text| text.parse::<KeyAssignment>().expect("a valid assignment"));
         let settings = settings::load("", &assignments).expect("valid settings");
         let daemon = Daemon::start(runtime, settings, Incarnation(1))
             .await
-            .expect("a daemon");
+            .expect("the daemon starts");
         Self {
             daemon,
             _platform: platform,
         }
     }
 
-    pub fn operator(&self) -> String {
+    pub fn operator_address(&self) -> String {
         self.daemon.addresses().operator.to_string()
     }
 }
 
-/// What the binary did.
-pub struct Ran {
+/// Exit code and output of the binary.
+pub struct CommandOutput {
     pub code: Option<i32>,
     pub output: String,
     pub errors: String,
 }
 
-/// Runs the binary with nothing on its standard input.
-pub async fn ponddrift(arguments: &[&str]) -> Ran {
+/// Runs the binary with empty standard input.
+pub async fn ponddrift(arguments: &[&str]) -> CommandOutput {
     ponddrift_reading(arguments, "").await
 }
 
 /// Runs the binary with `input` on its standard input.
-pub async fn ponddrift_reading(arguments: &[&str], input: &str) -> Ran {
+pub async fn ponddrift_reading(arguments: &[&str], input: &str) -> CommandOutput {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ponddrift"))
         .args(arguments)
         .env_remove("PONDDRIFT_DAEMON")
@@ -83,26 +84,26 @@
         .kill_on_drop(true)
         .spawn()
         .expect("the binary starts");
-    let mut stdin = child.stdin.take().expect("a standard input");
-    // A command that reads nothing may have ended before.
+    let mut stdin = child.stdin.take().expect("stdin is piped");
+    // Writing fails if a command that reads no input has already exited.
     let _written = stdin.write_all(input.as_bytes()).await;
     drop(stdin);
     let Output {
         status,
         stdout,
         stderr,
-    } = child.wait_with_output().await.expect("the binary ends");
-    Ran {
+    } = child.wait_with_output().await.expect("the binary exits");
+    CommandOutput {
         code: status.code(),
-        output: String::from_utf8(stdout).expect("text"),
-        errors: String::from_utf8(stderr).expect("text"),
+        output: String::from_utf8(stdout).expect("UTF-8 output"),
+        errors: String::from_utf8(stderr).expect("UTF-8 output"),
     }
 }
 
-/// An address that nothing listens on.
-pub async fn nobody() -> String {
+/// Returns a local address with no listener.
+pub async fn unused_address() -> String {
     let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a free port");
-    listener.local_addr().expect("an address").to_string()
+    listener.local_addr().expect("a bound address").to_string()
 }
