--- a/crates/query/src/change.rs
+++ b/crates/query/src/change.rs
@@ -1,4 +1,4 @@
-//! Typed changes of the configuration.
+//! Typed configuration changes.
 
 use std::fmt;
 
@@ -7,27 +7,27 @@
     TenantName,
 };
 
-/// A change of one row.
+/// An `INSERT`, `UPDATE` or `DELETE` of one row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangeRequest {
-    /// What changes.
+    /// The row and the operation on it.
     pub object: ObjectChange,
-    /// The change applies only while the row was last changed at this revision.
+    /// If set, the change must only be applied while this is the revision of the row's last change.
     pub expected_revision: Option<Revision>,
 }
 
-/// What is done to a row.
+/// An operation on a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Edit<P> {
-    /// A new row.
+    /// Creates the row with these values.
     Insert(P),
-    /// Other values in a row.
+    /// Sets these values in an existing row.
     Update(P),
-    /// The row goes away.
+    /// Deletes an existing row.
     Delete,
 }
 
-/// The row, and what is done to it.
+/// A row, named by its key, and the operation on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ObjectChange {
     /// A service.
@@ -38,16 +38,16 @@
     Tenant(TenantName, Edit<TenantPatch>),
     /// A priority class.
     Priority(PriorityName, Edit<PriorityPatch>),
-    /// A pin of an engine.
+    /// The pin of an engine to a role.
     Pin(MachineId, Edit<PinPatch>),
 }
 
-/// What serves a service's requests, without the details.
+/// The kind of a service, without the settings specific to that kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceKindName {
-    /// Model engines.
+    /// Served by model engines.
     Completion,
-    /// Plain back ends.
+    /// Served by plain back ends.
     Plain,
 }
 
@@ -60,61 +60,61 @@
     }
 }
 
-/// Columns of a service that a statement sets; `None` leaves a column as it is.
+/// Columns of a service that a statement sets; `None` leaves a column unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ServicePatch {
-    /// What serves it.
+    /// Whether model engines or plain back ends serve it.
     pub kind: Option<ServiceKindName>,
-    /// Its model.
+    /// Model, for completion services.
     pub model: Option<ModelName>,
-    /// Its adapter; `Some(None)` takes it away.
+    /// Adapter, for completion services; `Some(None)` removes it.
     pub adapter: Option<Option<AdapterName>>,
-    /// The model's version.
+    /// Version of the model, for completion services.
     pub version: Option<u32>,
-    /// Its pool.
+    /// Pool of back ends, for plain services.
     pub pool: Option<PoolName>,
-    /// Its priority class.
+    /// Priority class of its requests.
     pub priority: Option<PriorityName>,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub repeatable: Option<bool>,
-    /// Time that a request may take, in milliseconds.
+    /// Maximum total time of a request, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Share of its engines that a version change may take away, in per cent.
+    /// Maximum share of its engines that are unavailable during a version change, in percent.
     pub rollout_percent: Option<u8>,
 }
 
-/// Columns of a model that a statement sets.
+/// Columns of a model that a statement sets; `None` leaves a column unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ModelPatch {
     /// Size of the weights in MiB.
     pub weights_mib: Option<u32>,
-    /// Share of the engines that hold it, in per cent.
+    /// Share of the engines that hold the model, in percent.
     pub engine_share_percent: Option<u8>,
 }
 
-/// Columns of a tenant that a statement sets.
+/// Columns of a tenant that a statement sets; `None` leaves a column unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct TenantPatch {
-    /// Requests a second.
+    /// Maximum requests per second over the whole system; 0 means no limit.
     pub requests_per_second: Option<u32>,
-    /// Requests at the same time.
+    /// Maximum concurrent requests over the whole system; 0 means no limit.
     pub concurrency: Option<u32>,
-    /// Tokens a second.
+    /// Maximum prompt and output tokens per second over the whole system; 0 means no limit.
     pub tokens_per_second: Option<u32>,
-    /// Share under contention.
+    /// Relative share among tenants of one priority under contention.
     pub weight: Option<u32>,
 }
 
-/// Columns of a priority class that a statement sets.
+/// Columns of a priority class that a statement sets; `None` leaves a column unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PriorityPatch {
-    /// 0 is served first.
+    /// Scheduling level; 0 is served first and shed last.
     pub level: Option<u8>,
 }
 
-/// Columns of a pin that a statement sets.
+/// Columns of a pin that a statement sets; `None` leaves a column unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PinPatch {
-    /// The role.
+    /// Role that the engine must keep.
     pub role: Option<EngineRole>,
 }
--- a/crates/query/src/error.rs
+++ b/crates/query/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a statement is refused, and what to write instead.
+//! Errors of statements, with the remedy in each message.
 
 use ponddrift_core::identifiers::InvalidName;
 
@@ -6,210 +6,210 @@
 use crate::schema::{ColumnType, Table};
 use crate::value::Value;
 
-/// A refused statement. Each message names the remedy.
+/// Reason why a statement was rejected. Messages say how to fix it.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum QueryError {
-    /// The text is too long.
+    /// The text exceeds the length limit.
     #[error("the statement has {length} bytes: write at most {limit}")]
     TooLong {
-        /// Its length in bytes.
+        /// Length of the text in bytes.
         length: usize,
-        /// The limit in bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// The text has too many words and signs.
-    #[error("the statement has {tokens} words and signs: write at most {limit}")]
+    /// The statement has too many tokens, not counting whitespace.
+    #[error("the statement has {tokens} tokens: write at most {limit}")]
     TooManyTokens {
-        /// Their number.
+        /// Number of tokens.
         tokens: usize,
-        /// The limit.
+        /// Maximum permitted value.
         limit: usize,
     },
     /// Parentheses or NOT are nested too deeply.
     #[error("the statement is nested more than {limit} deep: use fewer parentheses")]
     TooDeep {
-        /// The limit.
+        /// Maximum permitted value.
         limit: usize,
     },
-    /// There is no statement.
+    /// The text contains no statement.
     #[error("the statement is empty: write for example SELECT * FROM services")]
     Empty,
-    /// The text is not SQL.
+    /// The text could not be parsed as SQL.
     #[error(
         "this is not a statement of the language: {message}; write SELECT, INSERT INTO, UPDATE or DELETE FROM"
     )]
     Syntax {
-        /// What the parser found.
+        /// Message of the parser.
         message: String,
     },
-    /// More than one statement.
+    /// The text contains more than one statement.
     #[error(
         "the text holds {count} statements: send them one by one, since each is accepted or refused whole"
     )]
     SeveralStatements {
-        /// Their number.
+        /// Number of statements.
         count: usize,
     },
-    /// Something outside of the subset.
+    /// The statement uses SQL outside of the supported subset.
     #[error("{found} is not part of the language: {instead}")]
     Unsupported {
-        /// What was written.
+        /// The unsupported construct.
         found: String,
         /// What to write instead.
         instead: &'static str,
     },
-    /// No such table.
+    /// The table does not exist.
     #[error("there is no table {name:?}{}: the tables are {}", suggestion(.nearest), Table::names())]
     UnknownTable {
-        /// The name that was written.
+        /// Name in the statement.
         name: String,
-        /// The nearest name that exists.
+        /// Most similar existing name, if any is close enough.
         nearest: Option<&'static str>,
     },
-    /// No such column.
+    /// The table has no such column.
     #[error("table {table} has no column {name:?}{}: its columns are {}", suggestion(.nearest), .table.column_names())]
     UnknownColumn {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
-        /// The name that was written.
+        /// Name in the statement.
         name: String,
-        /// The nearest name that exists.
+        /// Most similar existing name, if any is close enough.
         nearest: Option<&'static str>,
     },
-    /// The table only shows state.
+    /// The table is read-only.
     #[error(
         "table {table} shows state and cannot be changed: change one of {}",
-        Table::changeable_names()
+        Table::writable_table_names()
     )]
     ReadOnlyTable {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
     },
-    /// The column only shows state, or is the key.
+    /// The column is read-only, or is the key of an `UPDATE`.
     #[error(
         "column {column} of {table} cannot be set: leave it out; a row gets another key by INSERT and DELETE"
     )]
     ReadOnlyColumn {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
-        /// The column.
+        /// Name of the column.
         column: &'static str,
     },
-    /// A column is named twice.
+    /// A column is set more than once.
     #[error("column {column} of {table} is set twice: set it once")]
     RepeatedColumn {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
-        /// The column.
+        /// Name of the column.
         column: &'static str,
     },
-    /// A value of the wrong type.
+    /// The value does not have the column's type.
     #[error("column {column} holds {expected}, not {found}: write {}", .expected.example())]
     WrongType {
-        /// The column.
+        /// Name of the column.
         column: &'static str,
         /// The column's type.
         expected: ColumnType,
-        /// The value that was written.
+        /// Value in the statement.
         found: Value,
     },
-    /// A number outside of the column's range.
+    /// The number is outside of the column's range.
     #[error("{found} is out of range for column {column}: write a number from 0 to {maximum}")]
     OutOfRange {
-        /// The column.
+        /// Name of the column.
         column: &'static str,
-        /// The number that was written.
+        /// Number in the statement.
         found: Value,
-        /// The largest number.
+        /// Largest permitted number.
         maximum: i64,
     },
-    /// A text that is none of the column's words.
+    /// The text is not one of the column's permitted values.
     #[error("column {column} cannot be {found:?}: write one of {allowed}")]
-    UnknownWord {
-        /// The column.
+    UnknownValue {
+        /// Name of the column.
         column: &'static str,
-        /// The text that was written.
+        /// Text in the statement.
         found: String,
-        /// The words.
+        /// Permitted values, as a list for the message.
         allowed: &'static str,
     },
-    /// A name with other characters.
+    /// The name is not valid.
     #[error(transparent)]
     InvalidName(#[from] InvalidName),
-    /// A comparison that is never true.
+    /// A comparison with NULL, which is never true.
     #[error(
         "comparing {column} with NULL is never true: write {column} IS NULL or {column} IS NOT NULL"
     )]
     ComparisonWithNull {
-        /// The column.
+        /// Name of the column.
         column: &'static str,
     },
-    /// The `VALUES` do not fit the columns.
+    /// The number of `VALUES` differs from the number of columns.
     #[error(
         "{columns} columns are named and {values} values given: write one value for each column"
     )]
     ValueCount {
-        /// Columns named.
+        /// Number of columns.
         columns: usize,
-        /// Values given.
+        /// Number of values.
         values: usize,
     },
-    /// A change that names no row.
+    /// The `WHERE` of a change does not select exactly one row by its key.
     #[error(
         "a change of {table} names its one row: write WHERE {key} = …, and AND revision = … to make it conditional"
     )]
     KeyMissing {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
-        /// Its key.
+        /// Name of the key column.
         key: &'static str,
     },
-    /// A column that a new row needs.
+    /// A required column has no value.
     #[error("a new row of {table} needs column {column}: add it to the INSERT")]
     MissingColumn {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
-        /// The column.
+        /// Name of the column.
         column: &'static str,
     },
-    /// A column that the service's kind does not have.
+    /// The column does not apply to the service's kind.
     #[error("a service of kind {kind} has no {column}: leave it out, or set kind as well")]
     ColumnOfOtherKind {
         /// The service's kind after the change.
         kind: ServiceKindName,
-        /// The column.
+        /// Name of the column.
         column: &'static str,
     },
-    /// A grouped query asks for something else than its group and the count.
+    /// A grouped query selects or sorts by something other than the group and the count.
     #[error(
         "column {column} is not what the rows are grouped by: select and sort by the GROUP BY column and COUNT(*) only"
     )]
     NotGrouped {
-        /// The column.
+        /// Name of the column.
         column: &'static str,
     },
-    /// The row is there already.
+    /// The row to insert already exists.
     #[error("{table} already has {key}: use UPDATE {table} SET … WHERE {} = {key}", .table.key_name())]
     AlreadyExists {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
-        /// Its key.
+        /// Key of the row.
         key: String,
     },
-    /// The row is not there.
+    /// The row to update or delete does not exist.
     #[error("{table} has no {key}: look with SELECT * FROM {table}, or use INSERT")]
     NotFound {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
-        /// The key.
+        /// Key of the row.
         key: String,
     },
-    /// The rows of a table cannot be had now.
+    /// The rows of the table are temporarily unavailable.
     #[error("the rows of {table} cannot be read now: {reason}; ask again, or ask another daemon")]
     Unavailable {
-        /// The table.
+        /// Table that the statement names.
         table: Table,
-        /// Why.
+        /// Cause of the failure.
         reason: String,
     },
 }
--- a/crates/query/src/evaluate.rs
+++ b/crates/query/src/evaluate.rs
@@ -1,4 +1,4 @@
-//! Running a `SELECT` over rows.
+//! Evaluates `SELECT` queries over rows.
 
 use std::cmp::Ordering as Order;
 
@@ -10,26 +10,26 @@
 };
 use crate::value::{ResultSet, Value};
 
-/// Values in the order of [`Table::columns`]. Missing ones at the end count as NULL.
+/// Values in the order of [`Table::columns`]. Missing trailing values are NULL.
 pub type Row = Vec<Value>;
 
-/// Gives the rows of tables.
+/// Provides the rows of tables.
 pub trait TableSource {
-    /// The rows of a table as they are now.
+    /// Returns the current rows of a table.
     ///
     /// # Errors
-    /// [`QueryError::Unavailable`] when they cannot be had.
+    /// [`QueryError::Unavailable`] if they cannot be read now.
     fn rows(&self, table: Table) -> Result<Vec<Row>, QueryError>;
 }
 
-/// Answers a question.
+/// Runs a query.
 ///
 /// # Errors
-/// What the source answers.
+/// Returns the error of the source.
 pub fn evaluate(query: &SelectQuery, source: &dyn TableSource) -> Result<ResultSet, QueryError> {
     let mut rows = source.rows(query.table)?;
     if let Some(filter) = &query.filter {
-        rows.retain(|row| holds(filter, row) == Some(true));
+        rows.retain(|row| evaluate_condition(filter, row) == Some(true));
     }
     let entries = if query.is_grouped() {
         count_groups(rows, query.group_by)
@@ -39,12 +39,12 @@
             .collect()
     };
     Ok(ResultSet {
-        columns: query.outputs.iter().map(output_name).collect(),
-        rows: present(entries, query),
+        columns: query.outputs.iter().map(output_column_name).collect(),
+        rows: sort_and_project(entries, query),
     })
 }
 
-/// A row of the table, or the first row of a group and the group's size.
+/// A row of the table, or the first row of a group with the number of its rows.
 struct Entry {
     row: Row,
     count: i64,
@@ -72,27 +72,29 @@
     }
 }
 
-fn output_name(output: &Output) -> String {
+fn output_column_name(output: &Output) -> String {
     match output {
         Output::Column(reference) => reference.column.name.to_owned(),
         Output::Count => "count".to_owned(),
     }
 }
 
-fn present(mut entries: Vec<Entry>, query: &SelectQuery) -> Vec<Vec<Value>> {
+/// Sorts and limits the entries, and selects the output columns.
+fn sort_and_project(mut entries: Vec<Entry>, query: &SelectQuery) -> Vec<Vec<Value>> {
     entries.sort_by(|left, right| {
         let keys = query.order_by.iter();
-        let decided = keys
+        let first_difference = keys
             .map(|ordering| left.compare(right, ordering))
             .find(|order| order.is_ne());
-        decided.unwrap_or(Order::Equal)
+        first_difference.unwrap_or(Order::Equal)
     });
     entries.truncate(query.limit.unwrap_or(usize::MAX));
     let outputs = &query.outputs;
-    let present_one = |entry: &Entry| outputs.iter().map(|output| entry.output(output)).collect();
-    entries.iter().map(present_one).collect()
+    let project = |entry: &Entry| outputs.iter().map(|output| entry.output(output)).collect();
+    entries.iter().map(project).collect()
 }
 
+/// Groups rows by equal values of the column, or counts all rows if there is none.
 fn count_groups(mut rows: Vec<Row>, group_by: Option<ColumnReference>) -> Vec<Entry> {
     let Some(column) = group_by else {
         let count = i64::try_from(rows.len()).unwrap_or(i64::MAX);
@@ -118,12 +120,12 @@
     row.get(column.index).unwrap_or(&Value::Null)
 }
 
-/// Three-valued logic: `None` is unknown.
-fn holds(condition: &Condition, row: &Row) -> Option<bool> {
+/// Evaluates a condition in three-valued logic, where `None` means unknown.
+fn evaluate_condition(condition: &Condition, row: &Row) -> Option<bool> {
     match condition {
         Condition::All(parts) => all(parts, row),
         Condition::Any(parts) => any(parts, row),
-        Condition::Not(part) => holds(part, row).map(|is_true| !is_true),
+        Condition::Not(part) => evaluate_condition(part, row).map(|is_true| !is_true),
         Condition::Compare {
             column,
             comparison,
@@ -151,7 +153,7 @@
 fn all(parts: &[Condition], row: &Row) -> Option<bool> {
     let mut result = Some(true);
     for part in parts {
-        match holds(part, row) {
+        match evaluate_condition(part, row) {
             Some(false) => return Some(false),
             Some(true) => {}
             None => result = None,
@@ -163,7 +165,7 @@
 fn any(parts: &[Condition], row: &Row) -> Option<bool> {
     let mut result = Some(false);
     for part in parts {
-        match holds(part, row) {
+        match evaluate_condition(part, row) {
             Some(true) => return Some(true),
             Some(false) => {}
             None => result = None,
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operators' SQL subset: parsing, checking, evaluation and changes.
+//! The SQL subset for operators: parsing, validation, query evaluation and configuration changes.
 //!
-//! [`parse`] turns text into a typed [`Statement`] or an error that names what to write instead.
-//! [`evaluate`] runs a [`SelectQuery`] over a [`TableSource`]; [`resolve`] turns a [`ChangeRequest`]
-//! into whole records over the current configuration. Nothing here does I/O.
-//! `docs/OPERATOR-LANGUAGE.md` is the operators' page.
+//! [`parse`] turns text into a typed [`Statement`], or an error that says what to write instead.
+//! [`evaluate`] runs a [`SelectQuery`] over a [`TableSource`]. [`resolve`] merges a
+//! [`ChangeRequest`] into the current configuration and returns complete records.
+//! The crate does no I/O.
+//! `docs/OPERATOR-LANGUAGE.md` documents the language for operators.
 
 mod change;
 mod error;
--- a/crates/query/src/like.rs
+++ b/crates/query/src/like.rs
@@ -1,31 +1,31 @@
-//! Patterns of `LIKE`: `%` stands for any text, `_` for one character.
+//! `LIKE` patterns: `%` matches any text, `_` one character.
 
-/// Whether `text` has the form of `pattern`. Takes time in proportion to the product of the lengths.
+/// Whether `text` matches `pattern`, in O(`text.len()` × `pattern.len()`) time.
 pub(crate) fn matches(pattern: &str, text: &str) -> bool {
     let pattern: Vec<char> = pattern.chars().collect();
     let text: Vec<char> = text.chars().collect();
-    let (mut in_pattern, mut in_text) = (0, 0);
-    // Where the last '%' was, and the text position from which it is tried next.
-    let mut retry: Option<(usize, usize)> = None;
-    while in_text < text.len() {
-        match pattern.get(in_pattern) {
+    let (mut pattern_index, mut text_index) = (0, 0);
+    // Position of the last '%' and the text position at which its match currently ends.
+    let mut backtrack: Option<(usize, usize)> = None;
+    while text_index < text.len() {
+        match pattern.get(pattern_index) {
             Some('%') => {
-                retry = Some((in_pattern, in_text));
-                in_pattern += 1;
+                backtrack = Some((pattern_index, text_index));
+                pattern_index += 1;
             }
-            Some(&expected) if expected == '_' || expected == text[in_text] => {
-                in_pattern += 1;
-                in_text += 1;
+            Some(&expected) if expected == '_' || expected == text[text_index] => {
+                pattern_index += 1;
+                text_index += 1;
             }
             _ => {
-                let Some((percent, from)) = retry else {
+                let Some((wildcard_index, text_start)) = backtrack else {
                     return false;
                 };
-                retry = Some((percent, from + 1));
-                in_pattern = percent + 1;
-                in_text = from + 1;
+                backtrack = Some((wildcard_index, text_start + 1));
+                pattern_index = wildcard_index + 1;
+                text_index = text_start + 1;
             }
         }
     }
-    pattern[in_pattern..].iter().all(|&rest| rest == '%')
+    pattern[pattern_index..].iter().all(|&rest| rest == '%')
 }
--- a/crates/query/src/parse.rs
+++ b/crates/query/src/parse.rs
@@ -1,9 +1,9 @@
-//! From text to a typed statement, within limits of length and depth.
+//! Parses text into typed statements, with limits on length and nesting.
 
 mod change;
 mod condition;
 mod literal;
-mod refuse;
+mod reject;
 mod select;
 mod tokens;
 
@@ -16,28 +16,28 @@
 use crate::schema::Table;
 use crate::statement::Statement;
 
-/// Longest statement in bytes.
+/// Maximum length of a statement in bytes.
 pub const MAXIMUM_STATEMENT_BYTES: usize = 16 * 1024;
-/// Most words and signs of a statement. They also bound the depth of the parser's tree, whose
-/// destructor is recursive.
+/// Maximum number of tokens of a statement, not counting whitespace. This also bounds the depth of
+/// the syntax tree, whose destructor is recursive.
 pub const MAXIMUM_STATEMENT_TOKENS: usize = 1_000;
-/// Deepest nesting of parentheses and NOT.
+/// Maximum nesting depth of parentheses and `NOT`.
 pub const MAXIMUM_NESTING: usize = 16;
 
-/// Depth of the parser's own recursion; it takes some levels for each parenthesis.
+/// Recursion limit of the SQL parser, which uses several levels for each parenthesis.
 const PARSER_RECURSION_LIMIT: usize = 2 * MAXIMUM_NESTING;
-/// Stack of the parser. Its frames are large (above 100 KiB a level in a debug build), and its own
-/// protection starts too late for them; a thread's 2 MiB do not hold the permitted depth.
+/// Stack size for the SQL parser. Its stack frames are large, so the permitted depth does not fit
+/// into a thread's default stack, and its own overflow protection starts too late.
 const PARSER_STACK_BYTES: usize = 16 * 1024 * 1024;
-/// Longest part of a refused text that an error repeats, in characters.
+/// Maximum number of characters of the statement that an error message quotes.
 const MAXIMUM_QUOTED_CHARACTERS: usize = 80;
 
-/// Parses and checks one statement.
+/// Parses and validates one statement.
 ///
 /// # Errors
-/// [`QueryError`], whose message names what to write instead.
+/// Returns a [`QueryError`] whose message says what to write instead.
 pub fn parse(text: &str) -> Result<Statement, QueryError> {
-    // The parser's tree is also dropped there: its destructor is recursive.
+    // The syntax tree must also be dropped on the large stack: its destructor is recursive.
     stacker::grow(PARSER_STACK_BYTES, || parse_on_large_stack(text))
 }
 
@@ -52,7 +52,7 @@
         ast::Statement::Insert(insert) => change::insert(insert).map(Statement::Change),
         ast::Statement::Delete(delete) => change::delete(delete).map(Statement::Change),
         update @ ast::Statement::Update { .. } => change::update(update).map(Statement::Change),
-        other => Err(refuse::statement(&other)),
+        other => Err(reject::unsupported_statement(&other)),
     }
 }
 
@@ -88,21 +88,21 @@
 
 fn syntax(message: &str) -> QueryError {
     QueryError::Syntax {
-        message: shorten(message),
+        message: truncate(message),
     }
 }
 
-/// The beginning of a text, for messages.
-fn shorten(text: &str) -> String {
+/// Truncates a text for error messages.
+fn truncate(text: &str) -> String {
     let mut characters = text.chars();
-    let mut short: String = characters
+    let mut truncated: String = characters
         .by_ref()
         .take(MAXIMUM_QUOTED_CHARACTERS)
         .collect();
     if characters.next().is_some() {
-        short.push('…');
+        truncated.push('…');
     }
-    short
+    truncated
 }
 
 fn unsupported(found: impl Into<String>, instead: &'static str) -> QueryError {
@@ -112,7 +112,7 @@
     }
 }
 
-/// The text of an identifier: names without quotes are the same in any case.
+/// Returns the text of an identifier. Unquoted identifiers are case-insensitive.
 fn identifier(ident: &ast::Ident) -> String {
     if ident.quote_style.is_some() {
         ident.value.clone()
@@ -121,18 +121,18 @@
     }
 }
 
-/// A name of one part.
+/// Returns a name without qualifier.
 fn simple_name(name: &ast::ObjectName) -> Result<String, QueryError> {
     match name.0.as_slice() {
         [ast::ObjectNamePart::Identifier(ident)] => Ok(identifier(ident)),
         _ => Err(unsupported(
-            format!("the name {}", shorten(&name.to_string())),
+            format!("the name {}", truncate(&name.to_string())),
             "write the bare name of the table or column, without a prefix",
         )),
     }
 }
 
-/// The one table of a statement.
+/// Returns the table of a statement, which must name exactly one.
 fn single_table(tables: &[ast::TableWithJoins]) -> Result<Table, QueryError> {
     let [table] = tables else {
         return Err(unsupported(
@@ -146,5 +146,5 @@
             "ask for each table by itself, for example with WHERE service = 'reconcile'",
         ));
     }
-    refuse::table_factor(&table.relation)
+    reject::plain_table(&table.relation)
 }
--- a/crates/query/src/parse/change.rs
+++ b/crates/query/src/parse/change.rs
@@ -1,13 +1,13 @@
-//! Changes.
+//! Lowers `INSERT`, `UPDATE` and `DELETE` to typed changes.
 
 mod assign;
 
 use sqlparser::ast;
 use sqlparser::ast::{BinaryOperator, Expr};
 
-use self::assign::{Assignment, object_change};
+use self::assign::{Assignment, build_object_change};
 use super::literal::{column, literal};
-use super::{condition, identifier, refuse, shorten, simple_name, single_table, unsupported};
+use super::{condition, identifier, reject, simple_name, single_table, truncate, unsupported};
 use crate::change::{ChangeRequest, Edit};
 use crate::error::QueryError;
 use crate::schema::{Access, Column, Table};
@@ -15,20 +15,21 @@
 use crate::value::Value;
 use ponddrift_core::Revision;
 
-/// Column that makes a change conditional.
+/// Column that makes a change conditional when compared in `WHERE`.
 const REVISION_COLUMN: &str = "revision";
 
-/// The row that a change names.
-struct RowName {
+/// The `WHERE` clause of a change.
+struct RowSelector {
+    /// Value of the key column.
     key: Value,
     expected_revision: Option<Revision>,
 }
 
 /// Lowers `INSERT`.
 pub(super) fn insert(insert: ast::Insert) -> Result<ChangeRequest, QueryError> {
-    refuse_insert_clauses(&insert)?;
+    reject_insert_clauses(&insert)?;
     let table = match &insert.table {
-        ast::TableObject::TableName(name) => Table::find(&shorten(&simple_name(name)?))?,
+        ast::TableObject::TableName(name) => Table::find(&truncate(&simple_name(name)?))?,
         ast::TableObject::TableFunction(_) => {
             return Err(unsupported(
                 "a table function",
@@ -36,7 +37,7 @@
             ));
         }
     };
-    let key = changeable_key(table)?;
+    let key = require_key(table)?;
     if insert.columns.is_empty() {
         return Err(unsupported(
             "INSERT without column names",
@@ -52,24 +53,24 @@
     }
     let mut assignments = Vec::new();
     for (name, value) in insert.columns.iter().zip(values) {
-        let column = ColumnReference::find(table, &shorten(&identifier(name)))?.column;
+        let column = ColumnReference::find(table, &truncate(&identifier(name)))?.column;
         add_assignment(table, &mut assignments, column, value)?;
     }
-    let place = assignments
+    let position = assignments
         .iter()
         .position(|assignment| assignment.column == key);
-    let place = place.ok_or(QueryError::MissingColumn {
+    let position = position.ok_or(QueryError::MissingColumn {
         table,
         column: key.name,
     })?;
-    let key_value = assignments.remove(place).value;
+    let key_value = assignments.remove(position).value;
     Ok(ChangeRequest {
-        object: object_change(table, &key_value, Edit::Insert(assignments))?,
+        object: build_object_change(table, &key_value, Edit::Insert(assignments))?,
         expected_revision: None,
     })
 }
 
-fn refuse_insert_clauses(insert: &ast::Insert) -> Result<(), QueryError> {
+fn reject_insert_clauses(insert: &ast::Insert) -> Result<(), QueryError> {
     let ast::Insert {
         or,
         ignore,
@@ -91,48 +92,48 @@
         settings,
         format_clause,
     } = insert;
-    let plain = "write INSERT INTO table (column, …) VALUES (value, …)";
-    let update = "write UPDATE for a row that is there, INSERT for a new one";
+    let hint = "write INSERT INTO table (column, …) VALUES (value, …)";
+    let update_hint = "write UPDATE for a row that is there, INSERT for a new one";
     let has_replace = *replace_into || *overwrite || *ignore || or.is_some();
-    refuse::clauses(&[
+    reject::reject_clauses(&[
         (
             has_replace,
             "REPLACE, OVERWRITE, IGNORE and INSERT OR",
-            update,
+            update_hint,
         ),
-        (on.is_some(), "ON CONFLICT", update),
+        (on.is_some(), "ON CONFLICT", update_hint),
         (
             table_alias.is_some() || insert_alias.is_some(),
             "an alias",
-            plain,
+            hint,
         ),
-        (!assignments.is_empty(), "INSERT … SET", plain),
+        (!assignments.is_empty(), "INSERT … SET", hint),
         (
             partitioned.is_some() || !after_columns.is_empty(),
             "PARTITION",
-            plain,
+            hint,
         ),
         (
             returning.is_some(),
             "RETURNING",
             "ask with SELECT after the change",
         ),
-        (priority.is_some(), "a priority of INSERT", plain),
+        (priority.is_some(), "a priority of INSERT", hint),
         (
             settings.is_some() || format_clause.is_some(),
             "SETTINGS and FORMAT",
-            plain,
+            hint,
         ),
     ])
 }
 
 fn inserted_values(source: Option<&ast::Query>) -> Result<Vec<Value>, QueryError> {
-    let plain = "write VALUES with one row of literals";
-    let no_values = || unsupported("INSERT without VALUES", plain);
+    let hint = "write VALUES with one row of literals";
+    let no_values = || unsupported("INSERT without VALUES", hint);
     let query = source.ok_or_else(no_values)?;
-    refuse::query_clauses(query)?;
+    reject::reject_query_clauses(query)?;
     let has_more = query.order_by.is_some() || query.limit_clause.is_some();
-    refuse::clauses(&[(has_more, "ORDER BY or LIMIT in INSERT", plain)])?;
+    reject::reject_clauses(&[(has_more, "ORDER BY or LIMIT in INSERT", hint)])?;
     let ast::SetExpr::Values(values) = query.body.as_ref() else {
         return Err(no_values());
     };
@@ -157,9 +158,9 @@
         limit,
     } = statement
     else {
-        return Err(refuse::statement(&statement));
+        return Err(reject::unsupported_statement(&statement));
     };
-    refuse::clauses(&[
+    reject::reject_clauses(&[
         (from.is_some(), "FROM in UPDATE", "write literals after SET"),
         (
             returning.is_some(),
@@ -174,28 +175,28 @@
         ),
     ])?;
     let table = single_table(std::slice::from_ref(&table))?;
-    changeable_key(table)?;
+    require_key(table)?;
     let assignments = update_assignments(table, &assignments)?;
-    let row = row_name(table, selection.as_ref())?;
+    let row = row_selector(table, selection.as_ref())?;
     Ok(ChangeRequest {
-        object: object_change(table, &row.key, Edit::Update(assignments))?,
+        object: build_object_change(table, &row.key, Edit::Update(assignments))?,
         expected_revision: row.expected_revision,
     })
 }
 
 fn update_assignments(
     table: Table,
-    written: &[ast::Assignment],
+    ast_assignments: &[ast::Assignment],
 ) -> Result<Vec<Assignment>, QueryError> {
     let mut assignments = Vec::new();
-    for assignment in written {
+    for assignment in ast_assignments {
         let ast::AssignmentTarget::ColumnName(name) = &assignment.target else {
             return Err(unsupported(
                 "SET with a list of columns",
                 "write SET column = value, …",
             ));
         };
-        let column = ColumnReference::find(table, &shorten(&simple_name(name)?))?.column;
+        let column = ColumnReference::find(table, &truncate(&simple_name(name)?))?.column;
         if column.access == Access::Key {
             return Err(read_only(table, column));
         }
@@ -215,14 +216,14 @@
         order_by,
         limit,
     } = delete;
-    let plain = "write DELETE FROM table WHERE name = '…'";
+    let hint = "write DELETE FROM table WHERE name = '…'";
     let ast::FromTable::WithFromKeyword(from) = from else {
-        return Err(unsupported("DELETE without FROM", plain));
+        return Err(unsupported("DELETE without FROM", hint));
     };
     let is_sorted = !order_by.is_empty() || limit.is_some();
-    refuse::clauses(&[
-        (!tables.is_empty(), "DELETE from several tables", plain),
-        (using.is_some(), "USING", plain),
+    reject::reject_clauses(&[
+        (!tables.is_empty(), "DELETE from several tables", hint),
+        (using.is_some(), "USING", hint),
         (
             returning.is_some(),
             "RETURNING",
@@ -235,14 +236,14 @@
         ),
     ])?;
     let table = single_table(&from)?;
-    let row = row_name(table, selection.as_ref())?;
+    let row = row_selector(table, selection.as_ref())?;
     Ok(ChangeRequest {
-        object: object_change(table, &row.key, Edit::Delete)?,
+        object: build_object_change(table, &row.key, Edit::Delete)?,
         expected_revision: row.expected_revision,
     })
 }
 
-fn changeable_key(table: Table) -> Result<&'static Column, QueryError> {
+fn require_key(table: Table) -> Result<&'static Column, QueryError> {
     table.key().ok_or(QueryError::ReadOnlyTable { table })
 }
 
@@ -273,13 +274,13 @@
 }
 
 /// Reads `WHERE key = literal [AND revision = number]`, in either order.
-fn row_name(table: Table, selection: Option<&Expr>) -> Result<RowName, QueryError> {
-    let key_column = changeable_key(table)?;
-    let missing = || QueryError::KeyMissing {
+fn row_selector(table: Table, selection: Option<&Expr>) -> Result<RowSelector, QueryError> {
+    let key_column = require_key(table)?;
+    let key_missing = || QueryError::KeyMissing {
         table,
         key: key_column.name,
     };
-    let selection = selection.ok_or_else(missing)?;
+    let selection = selection.ok_or_else(key_missing)?;
     let mut key = None;
     let mut expected_revision = None;
     for part in condition::operands(selection, &BinaryOperator::And) {
@@ -289,7 +290,7 @@
             right,
         } = part
         else {
-            return Err(missing());
+            return Err(key_missing());
         };
         let column = column(table, left)?.column;
         if column == key_column && key.is_none() {
@@ -297,17 +298,17 @@
         } else if column.name == REVISION_COLUMN && expected_revision.is_none() {
             expected_revision = Some(revision(column, literal(right)?)?);
         } else {
-            return Err(missing());
+            return Err(key_missing());
         }
     }
-    let key = key.ok_or_else(missing)?;
-    Ok(RowName {
+    let key = key.ok_or_else(key_missing)?;
+    Ok(RowSelector {
         key,
         expected_revision,
     })
 }
 
 fn revision(column: &'static Column, value: Value) -> Result<Revision, QueryError> {
-    let number = assign::whole_number(column, &value, i64::MAX)?;
+    let number = assign::integer_in_range(column, &value, i64::MAX)?;
     Ok(Revision(number))
 }
--- a/crates/query/src/parse/change/assign.rs
+++ b/crates/query/src/parse/change/assign.rs
@@ -1,4 +1,4 @@
-//! From assigned values to typed patches.
+//! Converts assigned values to typed patches.
 
 use ponddrift_core::identifiers::InvalidName;
 use ponddrift_core::{EngineRole, MachineId, ModelName, PriorityName, ServiceName, TenantName};
@@ -8,19 +8,19 @@
     TenantPatch,
 };
 use crate::error::QueryError;
-use crate::parse::literal::shortened;
-use crate::parse::shorten;
+use crate::parse::literal::truncate_value;
+use crate::parse::truncate;
 use crate::schema::{Access, Column, ColumnType, Table};
 use crate::value::Value;
 
-/// A value for a column.
+/// A value assigned to a column.
 pub(super) struct Assignment {
     pub(super) column: &'static Column,
     pub(super) value: Value,
 }
 
-/// Types a change of one row.
-pub(super) fn object_change(
+/// Converts a key and assignments to a typed change of one row.
+pub(super) fn build_object_change(
     table: Table,
     key: &Value,
     edit: Edit<Vec<Assignment>>,
@@ -28,33 +28,39 @@
     let key_column = table.key().ok_or(QueryError::ReadOnlyTable { table })?;
     match table {
         Table::Services => {
-            let name: ServiceName = name(key_column, key)?;
-            Ok(ObjectChange::Service(name, patched(edit, set_service)?))
+            let name: ServiceName = parse_name(key_column, key)?;
+            Ok(ObjectChange::Service(name, build_edit(edit, set_service)?))
         }
         Table::Models => {
-            let name: ModelName = name(key_column, key)?;
-            Ok(ObjectChange::Model(name, patched(edit, set_model)?))
+            let name: ModelName = parse_name(key_column, key)?;
+            Ok(ObjectChange::Model(name, build_edit(edit, set_model)?))
         }
         Table::Tenants => {
-            let name: TenantName = name(key_column, key)?;
-            Ok(ObjectChange::Tenant(name, patched(edit, set_tenant)?))
+            let name: TenantName = parse_name(key_column, key)?;
+            Ok(ObjectChange::Tenant(name, build_edit(edit, set_tenant)?))
         }
         Table::Priorities => {
-            let name: PriorityName = name(key_column, key)?;
-            Ok(ObjectChange::Priority(name, patched(edit, set_priority)?))
+            let name: PriorityName = parse_name(key_column, key)?;
+            Ok(ObjectChange::Priority(
+                name,
+                build_edit(edit, set_priority)?,
+            ))
         }
         Table::Pins => {
-            let engine = MachineId(bounded(key_column, key)?);
-            Ok(ObjectChange::Pin(engine, patched(edit, set_pin)?))
+            let engine = MachineId(bounded_number(key_column, key)?);
+            Ok(ObjectChange::Pin(engine, build_edit(edit, set_pin)?))
         }
         _ => Err(QueryError::ReadOnlyTable { table }),
     }
 }
 
 /// Sets one column of a patch.
-type Setter<P> = fn(&mut P, &Assignment) -> Result<(), QueryError>;
+type SetColumn<P> = fn(&mut P, &Assignment) -> Result<(), QueryError>;
 
-fn patched<P: Default>(edit: Edit<Vec<Assignment>>, set: Setter<P>) -> Result<Edit<P>, QueryError> {
+fn build_edit<P: Default>(
+    edit: Edit<Vec<Assignment>>,
+    set: SetColumn<P>,
+) -> Result<Edit<P>, QueryError> {
     let patch = |assignments: Vec<Assignment>| {
         let mut patch = P::default();
         for assignment in &assignments {
@@ -72,17 +78,17 @@
 fn set_service(patch: &mut ServicePatch, assignment: &Assignment) -> Result<(), QueryError> {
     let Assignment { column, value } = assignment;
     match column.name {
-        "kind" => patch.kind = Some(kind(column, value)?),
-        "model" => patch.model = Some(name(column, value)?),
+        "kind" => patch.kind = Some(parse_kind(column, value)?),
+        "model" => patch.model = Some(parse_name(column, value)?),
         "adapter" if *value == Value::Null => patch.adapter = Some(None),
-        "adapter" => patch.adapter = Some(Some(name(column, value)?)),
-        "version" => patch.version = Some(bounded(column, value)?),
-        "pool" => patch.pool = Some(name(column, value)?),
-        "priority" => patch.priority = Some(name(column, value)?),
+        "adapter" => patch.adapter = Some(Some(parse_name(column, value)?)),
+        "version" => patch.version = Some(bounded_number(column, value)?),
+        "pool" => patch.pool = Some(parse_name(column, value)?),
+        "priority" => patch.priority = Some(parse_name(column, value)?),
         "repeatable" => patch.repeatable = Some(boolean(column, value)?),
-        "deadline_ms" => patch.deadline_ms = Some(bounded(column, value)?),
-        "rollout_percent" => patch.rollout_percent = Some(bounded(column, value)?),
-        _ => return Err(unknown(Table::Services, column)),
+        "deadline_ms" => patch.deadline_ms = Some(bounded_number(column, value)?),
+        "rollout_percent" => patch.rollout_percent = Some(bounded_number(column, value)?),
+        _ => return Err(no_setter(Table::Services, column)),
     }
     Ok(())
 }
@@ -90,9 +96,9 @@
 fn set_model(patch: &mut ModelPatch, assignment: &Assignment) -> Result<(), QueryError> {
     let Assignment { column, value } = assignment;
     match column.name {
-        "weights_mib" => patch.weights_mib = Some(bounded(column, value)?),
-        "engine_share_percent" => patch.engine_share_percent = Some(bounded(column, value)?),
-        _ => return Err(unknown(Table::Models, column)),
+        "weights_mib" => patch.weights_mib = Some(bounded_number(column, value)?),
+        "engine_share_percent" => patch.engine_share_percent = Some(bounded_number(column, value)?),
+        _ => return Err(no_setter(Table::Models, column)),
     }
     Ok(())
 }
@@ -100,11 +106,11 @@
 fn set_tenant(patch: &mut TenantPatch, assignment: &Assignment) -> Result<(), QueryError> {
     let Assignment { column, value } = assignment;
     match column.name {
-        "requests_per_second" => patch.requests_per_second = Some(bounded(column, value)?),
-        "concurrency" => patch.concurrency = Some(bounded(column, value)?),
-        "tokens_per_second" => patch.tokens_per_second = Some(bounded(column, value)?),
-        "weight" => patch.weight = Some(bounded(column, value)?),
-        _ => return Err(unknown(Table::Tenants, column)),
+        "requests_per_second" => patch.requests_per_second = Some(bounded_number(column, value)?),
+        "concurrency" => patch.concurrency = Some(bounded_number(column, value)?),
+        "tokens_per_second" => patch.tokens_per_second = Some(bounded_number(column, value)?),
+        "weight" => patch.weight = Some(bounded_number(column, value)?),
+        _ => return Err(no_setter(Table::Tenants, column)),
     }
     Ok(())
 }
@@ -112,8 +118,8 @@
 fn set_priority(patch: &mut PriorityPatch, assignment: &Assignment) -> Result<(), QueryError> {
     let Assignment { column, value } = assignment;
     match column.name {
-        "level" => patch.level = Some(bounded(column, value)?),
-        _ => return Err(unknown(Table::Priorities, column)),
+        "level" => patch.level = Some(bounded_number(column, value)?),
+        _ => return Err(no_setter(Table::Priorities, column)),
     }
     Ok(())
 }
@@ -121,14 +127,15 @@
 fn set_pin(patch: &mut PinPatch, assignment: &Assignment) -> Result<(), QueryError> {
     let Assignment { column, value } = assignment;
     match column.name {
-        "role" => patch.role = Some(role(column, value)?),
-        _ => return Err(unknown(Table::Pins, column)),
+        "role" => patch.role = Some(parse_role(column, value)?),
+        _ => return Err(no_setter(Table::Pins, column)),
     }
     Ok(())
 }
 
-/// A writable column without a setter: [`crate::schema`] and this module disagree.
-fn unknown(table: Table, column: &Column) -> QueryError {
+/// Returns the error for a writable column without a setter, which only occurs if [`crate::schema`]
+/// and this module are inconsistent.
+fn no_setter(table: Table, column: &Column) -> QueryError {
     QueryError::ReadOnlyColumn {
         table,
         column: column.name,
@@ -139,7 +146,7 @@
     QueryError::WrongType {
         column: column.name,
         expected: column.column_type,
-        found: shortened(value),
+        found: truncate_value(value),
     }
 }
 
@@ -150,7 +157,7 @@
     }
 }
 
-fn name<N>(column: &'static Column, value: &Value) -> Result<N, QueryError>
+fn parse_name<N>(column: &'static Column, value: &Value) -> Result<N, QueryError>
 where
     N: std::str::FromStr<Err = InvalidName>,
 {
@@ -164,8 +171,8 @@
     }
 }
 
-/// A whole number from 0 to `maximum`.
-pub(super) fn whole_number(
+/// Converts a value to an integer from 0 to `maximum`.
+pub(super) fn integer_in_range(
     column: &'static Column,
     value: &Value,
     maximum: i64,
@@ -184,14 +191,17 @@
     }
 }
 
-/// A number within the column's range, in the configuration's type.
-fn bounded<N: TryFrom<u64>>(column: &'static Column, value: &Value) -> Result<N, QueryError> {
+/// Converts a value to the configuration's integer type, checking the column's range.
+fn bounded_number<N: TryFrom<u64>>(
+    column: &'static Column,
+    value: &Value,
+) -> Result<N, QueryError> {
     debug_assert_eq!(column.column_type, ColumnType::Integer);
     let maximum = match column.access {
         Access::Writable { maximum } => maximum,
         Access::Key | Access::ReadOnly => i64::from(u32::MAX),
     };
-    let number = whole_number(column, value, maximum)?;
+    let number = integer_in_range(column, value, maximum)?;
     N::try_from(number).map_err(|_too_large| QueryError::OutOfRange {
         column: column.name,
         found: value.clone(),
@@ -199,20 +209,20 @@
     })
 }
 
-fn kind(column: &'static Column, value: &Value) -> Result<ServiceKindName, QueryError> {
+fn parse_kind(column: &'static Column, value: &Value) -> Result<ServiceKindName, QueryError> {
     match text(column, value)? {
         "completion" => Ok(ServiceKindName::Completion),
         "plain" => Ok(ServiceKindName::Plain),
-        other => Err(unknown_word(column, other, "'completion' and 'plain'")),
+        other => Err(unknown_value(column, other, "'completion' and 'plain'")),
     }
 }
 
-fn role(column: &'static Column, value: &Value) -> Result<EngineRole, QueryError> {
+fn parse_role(column: &'static Column, value: &Value) -> Result<EngineRole, QueryError> {
     match text(column, value)? {
         "prefill" => Ok(EngineRole::Prefill),
         "decode" => Ok(EngineRole::Decode),
         "mixed" => Ok(EngineRole::Mixed),
-        other => Err(unknown_word(
+        other => Err(unknown_value(
             column,
             other,
             "'prefill', 'decode' and 'mixed'",
@@ -220,10 +230,10 @@
     }
 }
 
-fn unknown_word(column: &'static Column, found: &str, allowed: &'static str) -> QueryError {
-    QueryError::UnknownWord {
+fn unknown_value(column: &'static Column, found: &str, allowed: &'static str) -> QueryError {
+    QueryError::UnknownValue {
         column: column.name,
-        found: shorten(found),
+        found: truncate(found),
         allowed,
     }
 }
--- a/crates/query/src/parse/condition.rs
+++ b/crates/query/src/parse/condition.rs
@@ -1,21 +1,21 @@
-//! Conditions of `WHERE`.
+//! Lowers the conditions of `WHERE`.
 
 use sqlparser::ast::{BinaryOperator, Expr, UnaryOperator};
 
-use super::literal::{check_type, column, compared, literal};
-use super::{MAXIMUM_NESTING, refuse, too_deep, unsupported};
+use super::literal::{check_type, column, comparison_literal, literal};
+use super::{MAXIMUM_NESTING, reject, too_deep, unsupported};
 use crate::error::QueryError;
 use crate::schema::{ColumnType, Table};
 use crate::statement::{Comparison, Condition};
 use crate::value::Value;
 
-/// Lowers a condition.
+/// Lowers an expression to a condition on the columns of `table`.
 pub(super) fn lower(table: Table, expression: &Expr) -> Result<Condition, QueryError> {
     Lowering { table, depth: 0 }.lower(expression)
 }
 
-/// The operands of a chain of one operator. The parser nests a chain to the left, as deep as it is
-/// long; the walk down its left side is a loop.
+/// Returns the operands of a chain of one operator. The parser nests a chain to the left, as deep
+/// as it is long, so this iterates instead of recursing.
 pub(super) fn operands<'a>(mut expression: &'a Expr, operator: &BinaryOperator) -> Vec<&'a Expr> {
     let mut reversed = Vec::new();
     loop {
@@ -33,6 +33,7 @@
     }
 }
 
+/// Context of a lowering: the table and the current nesting depth.
 #[derive(Clone, Copy)]
 struct Lowering {
     table: Table,
@@ -40,8 +41,8 @@
 }
 
 impl Lowering {
-    /// Lowers a part of the condition, one level deeper.
-    fn inner(self, expression: &Expr) -> Result<Condition, QueryError> {
+    /// Lowers a nested expression, checking the nesting limit.
+    fn lower_nested(self, expression: &Expr) -> Result<Condition, QueryError> {
         if self.depth >= MAXIMUM_NESTING {
             return Err(too_deep());
         }
@@ -54,11 +55,11 @@
 
     fn lower(self, expression: &Expr) -> Result<Condition, QueryError> {
         match expression {
-            Expr::Nested(inner) => self.inner(inner),
+            Expr::Nested(inner) => self.lower_nested(inner),
             Expr::UnaryOp {
                 op: UnaryOperator::Not,
                 expr,
-            } => self.inner(expr).map(negate),
+            } => self.lower_nested(expr).map(negate),
             Expr::BinaryOp { left, op, right } => match op {
                 BinaryOperator::And => self.chain(expression, op).map(Condition::All),
                 BinaryOperator::Or => self.chain(expression, op).map(Condition::Any),
@@ -75,13 +76,13 @@
                 column(self.table, inner).map(|column| negate(Condition::IsNull(column)))
             }
             Expr::Identifier(_) => self.bare_column(expression),
-            other => Err(refuse::expression(other)),
+            other => Err(reject::unsupported_expression(other)),
         }
     }
 
     fn chain(self, expression: &Expr, op: &BinaryOperator) -> Result<Vec<Condition>, QueryError> {
         let parts = operands(expression, op).into_iter();
-        parts.map(|part| self.inner(part)).collect()
+        parts.map(|part| self.lower_nested(part)).collect()
     }
 
     fn comparison(
@@ -91,9 +92,9 @@
         right: &Expr,
     ) -> Result<Condition, QueryError> {
         let comparison = comparison(op)?;
-        let is_exchanged = !is_name(left) && is_name(right);
-        let (name, value, comparison) = if is_exchanged {
-            (right, left, comparison.exchanged())
+        let is_reversed = !is_name(left) && is_name(right);
+        let (name, value, comparison) = if is_reversed {
+            (right, left, comparison.with_swapped_operands())
         } else {
             (left, right, comparison)
         };
@@ -104,7 +105,7 @@
                 "compare a column with a literal; text stands in single quotes",
             ));
         }
-        let value = compared(column.column, value)?;
+        let value = comparison_literal(column.column, value)?;
         Ok(Condition::Compare {
             column,
             comparison,
@@ -114,7 +115,9 @@
 
     fn in_list(self, name: &Expr, list: &[Expr]) -> Result<Condition, QueryError> {
         let column = column(self.table, name)?;
-        let values = list.iter().map(|value| compared(column.column, value));
+        let values = list
+            .iter()
+            .map(|value| comparison_literal(column.column, value));
         let values = values.collect::<Result<_, _>>()?;
         Ok(Condition::In { column, values })
     }
@@ -128,9 +131,9 @@
             ..
         } = expression
         else {
-            return Err(refuse::expression(expression));
+            return Err(reject::unsupported_expression(expression));
         };
-        refuse::clauses(&[
+        reject::reject_clauses(&[
             (*any, "LIKE ANY", "write several LIKE with OR"),
             (escape_char.is_some(), "ESCAPE", "write _ for the character"),
         ])?;
--- a/crates/query/src/parse/literal.rs
+++ b/crates/query/src/parse/literal.rs
@@ -1,50 +1,50 @@
-//! Literals and their types.
+//! Lowers literals and column names, and checks types.
 
 use sqlparser::ast;
 
-use super::{identifier, refuse, shorten, unsupported};
+use super::{identifier, reject, truncate, unsupported};
 use crate::error::QueryError;
 use crate::schema::{Column, ColumnType, Table};
 use crate::statement::ColumnReference;
 use crate::value::Value;
 
-/// A literal.
+/// Lowers a literal.
 pub(super) fn literal(expression: &ast::Expr) -> Result<Value, QueryError> {
     match expression {
         ast::Expr::Nested(inner) => literal(inner),
-        ast::Expr::Value(value) => plain(&value.value, false),
+        ast::Expr::Value(value) => convert_value(&value.value, false),
         ast::Expr::UnaryOp {
             op: ast::UnaryOperator::Minus,
             expr,
         } => match expr.as_ref() {
-            ast::Expr::Value(value) => plain(&value.value, true),
-            other => Err(refuse::expression(other)),
+            ast::Expr::Value(value) => convert_value(&value.value, true),
+            other => Err(reject::unsupported_expression(other)),
         },
         ast::Expr::Identifier(name) => Err(unsupported(
             format!(
                 "the name {} in place of a value",
-                shorten(&name.to_string())
+                truncate(&name.to_string())
             ),
             "write text in single quotes, like 'reconcile'",
         )),
-        other => Err(refuse::expression(other)),
+        other => Err(reject::unsupported_expression(other)),
     }
 }
 
-fn plain(value: &ast::Value, negative: bool) -> Result<Value, QueryError> {
+fn convert_value(value: &ast::Value, negative: bool) -> Result<Value, QueryError> {
     match value {
-        ast::Value::Number(digits, false) => number(digits, negative),
+        ast::Value::Number(digits, false) => parse_number(digits, negative),
         ast::Value::SingleQuotedString(text) if !negative => Ok(Value::Text(text.clone())),
         ast::Value::Boolean(value) if !negative => Ok(Value::Boolean(*value)),
         ast::Value::Null if !negative => Ok(Value::Null),
         other => Err(unsupported(
-            format!("the literal {}", shorten(&other.to_string())),
+            format!("the literal {}", truncate(&other.to_string())),
             "write a number, text in single quotes, true, false or NULL",
         )),
     }
 }
 
-fn number(digits: &str, negative: bool) -> Result<Value, QueryError> {
+fn parse_number(digits: &str, negative: bool) -> Result<Value, QueryError> {
     let signed = if negative {
         format!("-{digits}")
     } else {
@@ -56,14 +56,14 @@
     match signed.parse::<f64>() {
         Ok(real) if real.is_finite() => Ok(Value::Real(real)),
         _ => Err(unsupported(
-            format!("the number {}", shorten(&signed)),
+            format!("the number {}", truncate(&signed)),
             "write a number like 7 or 0.5",
         )),
     }
 }
 
-/// A literal that is compared with a column.
-pub(super) fn compared(
+/// Lowers a literal that is compared with a column; NULL is an error.
+pub(super) fn comparison_literal(
     column: &'static Column,
     expression: &ast::Expr,
 ) -> Result<Value, QueryError> {
@@ -76,7 +76,7 @@
     Ok(value)
 }
 
-/// Checks that a literal can stand beside a column. Numbers of both types can.
+/// Checks that a literal can be compared with a column. Integers and reals can be mixed.
 pub(super) fn check_type(column: &'static Column, value: &Value) -> Result<(), QueryError> {
     let fits = matches!(
         (column.column_type, value),
@@ -93,23 +93,23 @@
     Err(QueryError::WrongType {
         column: column.name,
         expected: column.column_type,
-        found: shortened(value),
+        found: truncate_value(value),
     })
 }
 
-/// A value for messages.
-pub(super) fn shortened(value: &Value) -> Value {
+/// Truncates a value for error messages.
+pub(super) fn truncate_value(value: &Value) -> Value {
     match value {
-        Value::Text(text) => Value::Text(shorten(text)),
+        Value::Text(text) => Value::Text(truncate(text)),
         other => other.clone(),
     }
 }
 
-/// The column that an expression names.
+/// Returns the column that an expression names.
 pub(super) fn column(table: Table, expression: &ast::Expr) -> Result<ColumnReference, QueryError> {
     match expression {
         ast::Expr::Nested(inner) => column(table, inner),
-        ast::Expr::Identifier(name) => ColumnReference::find(table, &shorten(&identifier(name))),
-        other => Err(refuse::expression(other)),
+        ast::Expr::Identifier(name) => ColumnReference::find(table, &truncate(&identifier(name))),
+        other => Err(reject::unsupported_expression(other)),
     }
 }
--- a/crates/query/src/parse/refuse.rs
+++ b/crates/query/src/parse/reject.rs
@@ -1,21 +1,22 @@
-//! What is outside of the subset, and what to write instead.
+//! Errors for SQL outside of the supported subset, with the supported alternative.
 
 use sqlparser::ast;
 
-use super::{shorten, simple_name, unsupported};
+use super::{simple_name, truncate, unsupported};
 use crate::error::QueryError;
 use crate::schema::Table;
 
-/// Refuses each clause that is there. `clauses` holds: present, what it is, what to write instead.
-pub(super) fn clauses(clauses: &[(bool, &str, &'static str)]) -> Result<(), QueryError> {
-    match clauses.iter().find(|(present, _, _)| *present) {
+/// Returns an error for the first clause that is present. Each element of `clauses` holds whether
+/// the clause is present, its name, and what to write instead.
+pub(super) fn reject_clauses(clauses: &[(bool, &str, &'static str)]) -> Result<(), QueryError> {
+    match clauses.iter().find(|(is_present, _, _)| *is_present) {
         Some((_, found, instead)) => Err(unsupported(*found, instead)),
         None => Ok(()),
     }
 }
 
-/// Refuses what may surround a question or the values of a change, but for `ORDER BY` and `LIMIT`.
-pub(super) fn query_clauses(query: &ast::Query) -> Result<(), QueryError> {
+/// Rejects all clauses around the body of a query except `ORDER BY` and `LIMIT`.
+pub(super) fn reject_query_clauses(query: &ast::Query) -> Result<(), QueryError> {
     let ast::Query {
         with,
         body: _,
@@ -28,21 +29,21 @@
         format_clause,
         pipe_operators,
     } = query;
-    let condition = "leave it out, and write UPDATE … WHERE revision = …";
-    let plain = "write SELECT … FROM … WHERE …";
-    clauses(&[
+    let revision_hint = "leave it out, and write UPDATE … WHERE revision = …";
+    let select_hint = "write SELECT … FROM … WHERE …";
+    reject_clauses(&[
         (with.is_some(), "WITH", "ask each question by itself"),
         (fetch.is_some(), "FETCH", "write LIMIT"),
-        (!locks.is_empty(), "FOR UPDATE", condition),
+        (!locks.is_empty(), "FOR UPDATE", revision_hint),
         (for_clause.is_some(), "FOR XML and FOR JSON", "leave it out"),
         (settings.is_some(), "SETTINGS", "leave it out"),
         (format_clause.is_some(), "FORMAT", "leave it out"),
-        (!pipe_operators.is_empty(), "a pipe", plain),
+        (!pipe_operators.is_empty(), "a pipe", select_hint),
     ])
 }
 
-/// The error for a statement that is neither a question nor a change.
-pub(super) fn statement(statement: &ast::Statement) -> QueryError {
+/// Returns the error for a statement that is neither a query nor a change.
+pub(super) fn unsupported_statement(statement: &ast::Statement) -> QueryError {
     let text = statement.to_string();
     let first_word = text.split_whitespace().next().unwrap_or_default();
     let instead = match first_word {
@@ -55,11 +56,11 @@
         }
         _ => "write SELECT, INSERT INTO, UPDATE or DELETE FROM",
     };
-    unsupported(shorten(first_word), instead)
+    unsupported(truncate(first_word), instead)
 }
 
-/// The plain table that a relation names.
-pub(super) fn table_factor(factor: &ast::TableFactor) -> Result<Table, QueryError> {
+/// Returns the table that a relation names; rejects everything but a bare name.
+pub(super) fn plain_table(factor: &ast::TableFactor) -> Result<Table, QueryError> {
     let ast::TableFactor::Table {
         name,
         alias,
@@ -78,25 +79,25 @@
             "write FROM with the name of a table",
         ));
     };
-    let bare = "write the bare name of the table";
-    clauses(&[
-        (alias.is_some(), "an alias of a table", bare),
-        (args.is_some(), "a table function", bare),
-        (!with_hints.is_empty(), "a table hint", bare),
-        (version.is_some(), "a version of a table", bare),
-        (*with_ordinality, "WITH ORDINALITY", bare),
-        (!partitions.is_empty(), "PARTITION", bare),
-        (json_path.is_some(), "a path into a table", bare),
+    let bare_name_hint = "write the bare name of the table";
+    reject_clauses(&[
+        (alias.is_some(), "an alias of a table", bare_name_hint),
+        (args.is_some(), "a table function", bare_name_hint),
+        (!with_hints.is_empty(), "a table hint", bare_name_hint),
+        (version.is_some(), "a version of a table", bare_name_hint),
+        (*with_ordinality, "WITH ORDINALITY", bare_name_hint),
+        (!partitions.is_empty(), "PARTITION", bare_name_hint),
+        (json_path.is_some(), "a path into a table", bare_name_hint),
         (sample.is_some(), "SAMPLE", "write LIMIT"),
-        (!index_hints.is_empty(), "an index hint", bare),
+        (!index_hints.is_empty(), "an index hint", bare_name_hint),
     ])?;
     Table::find(&simple_name(name)?)
 }
 
-/// The error for an expression that is no condition or value of the language.
-pub(super) fn expression(expression: &ast::Expr) -> QueryError {
+/// Returns the error for an expression that is neither a supported condition nor a literal.
+pub(super) fn unsupported_expression(expression: &ast::Expr) -> QueryError {
     use ast::Expr;
-    let found = shorten(&expression.to_string());
+    let found = truncate(&expression.to_string());
     match expression {
         Expr::Function(_) => unsupported(
             format!("the function {found}"),
--- a/crates/query/src/parse/select.rs
+++ b/crates/query/src/parse/select.rs
@@ -1,20 +1,20 @@
-//! Questions.
+//! Lowers `SELECT` queries.
 
 use sqlparser::ast;
 
 use super::literal::{column, literal};
-use super::{condition, refuse, single_table, unsupported};
+use super::{condition, reject, single_table, unsupported};
 use crate::error::QueryError;
 use crate::schema::Table;
 use crate::statement::{ColumnReference, Direction, Ordering, Output, SelectQuery, SortKey};
 use crate::value::Value;
 
-/// Name of `COUNT(*)` in the answer, and in `ORDER BY`.
+/// Name of `COUNT(*)` in the result and in `ORDER BY`.
 const COUNT_NAME: &str = "count";
 
-/// Lowers a question.
+/// Lowers a query.
 pub(super) fn lower(query: ast::Query) -> Result<SelectQuery, QueryError> {
-    refuse::query_clauses(&query)?;
+    reject::reject_query_clauses(&query)?;
     let ast::Query {
         body,
         order_by,
@@ -38,12 +38,12 @@
     };
     select.order_by = order_by.map_or(Ok(Vec::new()), |by| lower_order_by(&select, by))?;
     select.limit = limit_clause.map_or(Ok(None), |clause| lower_limit(&clause))?;
-    check_groups(&select)?;
+    check_grouped_columns(&select)?;
     Ok(select)
 }
 
 fn lower_select(select: ast::Select) -> Result<SelectQuery, QueryError> {
-    refuse_select_clauses(&select)?;
+    reject_select_clauses(&select)?;
     let table = single_table(&select.from)?;
     let filter = select.selection.as_ref();
     let mut outputs = Vec::new();
@@ -68,7 +68,7 @@
     })
 }
 
-fn refuse_select_clauses(select: &ast::Select) -> Result<(), QueryError> {
+fn reject_select_clauses(select: &ast::Select) -> Result<(), QueryError> {
     let ast::Select {
         select_token: _,
         distinct,
@@ -93,10 +93,10 @@
         connect_by,
         flavor,
     } = select;
-    let filter = "write WHERE";
-    let sort = "write ORDER BY";
+    let filter_hint = "write WHERE";
+    let sort_hint = "write ORDER BY";
     let is_from_first = !matches!(flavor, ast::SelectFlavor::Standard);
-    refuse::clauses(&[
+    reject::reject_clauses(&[
         (
             distinct.is_some(),
             "DISTINCT",
@@ -114,23 +114,23 @@
             "leave it out: answers are only shown",
         ),
         (!lateral_views.is_empty(), "LATERAL VIEW", "leave it out"),
-        (prewhere.is_some(), "PREWHERE", filter),
-        (!cluster_by.is_empty(), "CLUSTER BY", sort),
-        (!distribute_by.is_empty(), "DISTRIBUTE BY", sort),
-        (!sort_by.is_empty(), "SORT BY", sort),
+        (prewhere.is_some(), "PREWHERE", filter_hint),
+        (!cluster_by.is_empty(), "CLUSTER BY", sort_hint),
+        (!distribute_by.is_empty(), "DISTRIBUTE BY", sort_hint),
+        (!sort_by.is_empty(), "SORT BY", sort_hint),
         (
             having.is_some(),
             "HAVING",
             "write ORDER BY count DESC and LIMIT, or WHERE for the rows",
         ),
         (!named_window.is_empty(), "WINDOW", "leave it out"),
-        (qualify.is_some(), "QUALIFY", filter),
+        (qualify.is_some(), "QUALIFY", filter_hint),
         (
             value_table_mode.is_some(),
             "AS VALUE and AS STRUCT",
             "leave it out",
         ),
-        (connect_by.is_some(), "CONNECT BY", filter),
+        (connect_by.is_some(), "CONNECT BY", filter_hint),
         (is_from_first, "FROM before SELECT", "write SELECT … FROM …"),
     ])
 }
@@ -236,7 +236,7 @@
 
 fn lower_ordering(select: &SelectQuery, key: &ast::OrderByExpr) -> Result<Ordering, QueryError> {
     let instead = "leave it out: NULL comes first, and last with DESC";
-    refuse::clauses(&[
+    reject::reject_clauses(&[
         (
             key.options.nulls_first.is_some(),
             "NULLS FIRST and NULLS LAST",
@@ -288,14 +288,14 @@
     match literal(limit)? {
         Value::Integer(rows @ 0..) => Ok(Some(usize::try_from(rows).unwrap_or(usize::MAX))),
         other => Err(unsupported(
-            format!("LIMIT {}", super::literal::shortened(&other)),
+            format!("LIMIT {}", super::literal::truncate_value(&other)),
             "write LIMIT with a whole number from 0",
         )),
     }
 }
 
-/// A counting question shows and sorts by nothing but its group and the count.
-fn check_groups(select: &SelectQuery) -> Result<(), QueryError> {
+/// Checks that a grouped query only selects and sorts by the group column and the count.
+fn check_grouped_columns(select: &SelectQuery) -> Result<(), QueryError> {
     if !select.is_grouped() {
         return Ok(());
     }
--- a/crates/query/src/parse/tokens.rs
+++ b/crates/query/src/parse/tokens.rs
@@ -1,4 +1,4 @@
-//! Bounds on the tokens of a statement, before the parser sees them.
+//! Limits on the tokens of a statement, checked before it is parsed.
 
 use sqlparser::keywords::Keyword;
 use sqlparser::tokenizer::{Token, TokenWithSpan};
@@ -7,13 +7,13 @@
 use crate::error::QueryError;
 use crate::schema::Table;
 
-/// Most keywords and signs outside of the language. Few are let through, so that the refusal can name
-/// what to write instead; some, like INTERVAL, recurse without a limit in the parser, and in a time
-/// that doubles with each.
-const MAXIMUM_FOREIGN_TOKENS: usize = 8;
+/// Maximum number of tokens outside of the SQL subset. A few are passed to the parser, so that
+/// errors can say what to write instead. The limit protects the parser: for some tokens, such as
+/// `INTERVAL`, it recurses without limit and takes exponential time.
+const MAXIMUM_UNSUPPORTED_TOKENS: usize = 8;
 
-/// Keywords of the language.
-const LANGUAGE_WORDS: &[Keyword] = &[
+/// Keywords of the SQL subset.
+const SUPPORTED_KEYWORDS: &[Keyword] = &[
     Keyword::SELECT,
     Keyword::FROM,
     Keyword::WHERE,
@@ -41,35 +41,39 @@
     Keyword::FALSE,
 ];
 
-/// Bounds the number of tokens, of foreign tokens, and the nesting.
+/// Checks the number of tokens, the number of unsupported tokens, and the nesting of brackets.
 pub(super) fn check(tokens: &[TokenWithSpan]) -> Result<(), QueryError> {
-    let written = tokens.iter().map(|token| &token.token);
-    let written: Vec<&Token> = written.filter(|token| !is_space(token)).collect();
-    if written.len() > MAXIMUM_STATEMENT_TOKENS {
+    let significant_tokens = tokens.iter().map(|token| &token.token);
+    let significant_tokens: Vec<&Token> = significant_tokens
+        .filter(|token| !is_whitespace(token))
+        .collect();
+    if significant_tokens.len() > MAXIMUM_STATEMENT_TOKENS {
         return Err(QueryError::TooManyTokens {
-            tokens: written.len(),
+            tokens: significant_tokens.len(),
             limit: MAXIMUM_STATEMENT_TOKENS,
         });
     }
-    let foreign = written.iter().filter(|token| is_foreign(token));
-    if foreign.count() > MAXIMUM_FOREIGN_TOKENS {
+    let unsupported_tokens = significant_tokens
+        .iter()
+        .filter(|token| is_unsupported(token));
+    if unsupported_tokens.count() > MAXIMUM_UNSUPPORTED_TOKENS {
         return Err(unsupported(
             "a statement with so many words and signs of other SQL",
             "write SELECT, INSERT INTO, UPDATE or DELETE FROM over one table, with literals",
         ));
     }
-    check_nesting(&written)
+    check_nesting(&significant_tokens)
 }
 
-fn is_space(token: &Token) -> bool {
+fn is_whitespace(token: &Token) -> bool {
     matches!(token, Token::Whitespace(_))
 }
 
-fn is_foreign(token: &Token) -> bool {
+fn is_unsupported(token: &Token) -> bool {
     match token {
         Token::Word(word) => {
             word.keyword != Keyword::NoKeyword
-                && !LANGUAGE_WORDS.contains(&word.keyword)
+                && !SUPPORTED_KEYWORDS.contains(&word.keyword)
                 && !is_schema_name(&word.value)
         }
         Token::Number(..) | Token::SingleQuotedString(_) => false,
@@ -80,7 +84,7 @@
     }
 }
 
-/// Whether a keyword is the name of a table or column as well, like `version`.
+/// Whether a keyword is also the name of a table or column, like `version`.
 fn is_schema_name(word: &str) -> bool {
     Table::ALL.into_iter().any(|table| {
         let mut columns = table.columns().iter();
--- a/crates/query/src/resolve.rs
+++ b/crates/query/src/resolve.rs
@@ -1,4 +1,4 @@
-//! From a typed change to whole records, over the current configuration.
+//! Merges typed changes into the current configuration to get complete records.
 
 use ponddrift_core::configuration::{
     Configuration, ModelSettings, Pin, PrioritySettings, ServiceKind, ServiceSettings,
@@ -13,7 +13,7 @@
 use crate::error::QueryError;
 use crate::schema::Table;
 
-/// A record to write or to delete.
+/// A configuration record to write or delete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordChange {
     /// Writes a service.
@@ -38,9 +38,10 @@
     DeletePin(MachineId),
 }
 
-/// Merges a change into the current records.
+/// Merges a change into the current configuration.
 ///
-/// [`ChangeRequest::expected_revision`] is left to the writer, whose transaction compares it.
+/// This does not check [`ChangeRequest::expected_revision`]: the caller must compare it in the
+/// transaction that writes the records.
 ///
 /// # Errors
 /// [`QueryError::AlreadyExists`], [`QueryError::NotFound`], [`QueryError::MissingColumn`] or
@@ -49,10 +50,10 @@
     configuration: &Configuration,
     request: &ChangeRequest,
 ) -> Result<Vec<RecordChange>, QueryError> {
-    let change = match &request.object {
+    let record_change = match &request.object {
         ObjectChange::Service(name, edit) => {
             let current = configuration.services.get(name);
-            let merged = merge(Table::Services, name, current, edit, merge_service)?;
+            let merged = merge_edit(Table::Services, name, current, edit, merge_service)?;
             match merged {
                 Some(settings) => RecordChange::PutService(name.clone(), settings),
                 None => RecordChange::DeleteService(name.clone()),
@@ -60,7 +61,7 @@
         }
         ObjectChange::Model(name, edit) => {
             let current = configuration.models.get(name);
-            let merged = merge(Table::Models, name, current, edit, merge_model)?;
+            let merged = merge_edit(Table::Models, name, current, edit, merge_model)?;
             match merged {
                 Some(settings) => RecordChange::PutModel(name.clone(), settings),
                 None => RecordChange::DeleteModel(name.clone()),
@@ -68,7 +69,7 @@
         }
         ObjectChange::Tenant(name, edit) => {
             let current = configuration.tenants.get(name);
-            let merged = merge(Table::Tenants, name, current, edit, merge_tenant)?;
+            let merged = merge_edit(Table::Tenants, name, current, edit, merge_tenant)?;
             match merged {
                 Some(settings) => RecordChange::PutTenant(name.clone(), settings),
                 None => RecordChange::DeleteTenant(name.clone()),
@@ -76,7 +77,7 @@
         }
         ObjectChange::Priority(name, edit) => {
             let current = configuration.priorities.get(name);
-            let merged = merge(Table::Priorities, name, current, edit, merge_priority)?;
+            let merged = merge_edit(Table::Priorities, name, current, edit, merge_priority)?;
             match merged {
                 Some(settings) => RecordChange::PutPriority(name.clone(), settings),
                 None => RecordChange::DeletePriority(name.clone()),
@@ -84,25 +85,25 @@
         }
         ObjectChange::Pin(engine, edit) => {
             let current = configuration.pins.get(engine);
-            match merge(Table::Pins, engine, current, edit, merge_pin)? {
+            match merge_edit(Table::Pins, engine, current, edit, merge_pin)? {
                 Some(pin) => RecordChange::PutPin(*engine, pin),
                 None => RecordChange::DeletePin(*engine),
             }
         }
     };
-    Ok(vec![change])
+    Ok(vec![record_change])
 }
 
-/// Merges a patch into the current record, if there is one.
-type Merge<P, S> = fn(&P, Option<&S>) -> Result<S, QueryError>;
+/// Merges a patch into the current record, or builds a new record if there is none.
+type MergePatch<P, S> = fn(&P, Option<&S>) -> Result<S, QueryError>;
 
-/// The record after the change; `None` when it is deleted.
-fn merge<P, S>(
+/// Returns the record after the change; `None` if it is deleted.
+fn merge_edit<P, S>(
     table: Table,
     key: &impl ToString,
     current: Option<&S>,
     edit: &Edit<P>,
-    merge_patch: Merge<P, S>,
+    merge_patch: MergePatch<P, S>,
 ) -> Result<Option<S>, QueryError> {
     match (edit, current) {
         (Edit::Insert(_), Some(_)) => Err(QueryError::AlreadyExists {
@@ -119,8 +120,8 @@
     }
 }
 
-/// A column's new value, or the one it had.
-fn required<T: Clone>(
+/// Returns the patched value of a column, or else its current value.
+fn new_or_current<T: Clone>(
     table: Table,
     column: &'static str,
     patched: Option<&T>,
@@ -141,15 +142,15 @@
     let rollout_percent = current.map(|settings| &settings.rollout_percent);
     Ok(ServiceSettings {
         kind: merge_kind(patch, current.map(|settings| &settings.kind))?,
-        priority: required(table, "priority", patch.priority.as_ref(), priority)?,
-        repeatable: required(table, "repeatable", patch.repeatable.as_ref(), repeatable)?,
-        deadline_ms: required(
+        priority: new_or_current(table, "priority", patch.priority.as_ref(), priority)?,
+        repeatable: new_or_current(table, "repeatable", patch.repeatable.as_ref(), repeatable)?,
+        deadline_ms: new_or_current(
             table,
             "deadline_ms",
             patch.deadline_ms.as_ref(),
             deadline_ms,
         )?,
-        rollout_percent: required(
+        rollout_percent: new_or_current(
             table,
             "rollout_percent",
             patch.rollout_percent.as_ref(),
@@ -170,13 +171,13 @@
     current: Option<&ServiceKind>,
 ) -> Result<ServiceKind, QueryError> {
     let current_name = current.map(kind_name);
-    let kind = required(
+    let kind = new_or_current(
         Table::Services,
         "kind",
         patch.kind.as_ref(),
         current_name.as_ref(),
     )?;
-    refuse_columns_of_other_kind(patch, kind)?;
+    reject_columns_of_other_kind(patch, kind)?;
     match kind {
         ServiceKindName::Completion => merge_completion(patch, current),
         ServiceKindName::Plain => {
@@ -184,7 +185,7 @@
                 Some(ServiceKind::Plain { pool }) => Some(pool),
                 _ => None,
             };
-            let pool = required(Table::Services, "pool", patch.pool.as_ref(), pool)?;
+            let pool = new_or_current(Table::Services, "pool", patch.pool.as_ref(), pool)?;
             Ok(ServiceKind::Plain { pool })
         }
     }
@@ -203,13 +204,13 @@
         _ => (None, None, None),
     };
     Ok(ServiceKind::Completion {
-        model: required(Table::Services, "model", patch.model.as_ref(), model)?,
+        model: new_or_current(Table::Services, "model", patch.model.as_ref(), model)?,
         adapter: patch.adapter.clone().unwrap_or(adapter),
-        version: required(Table::Services, "version", patch.version.as_ref(), version)?,
+        version: new_or_current(Table::Services, "version", patch.version.as_ref(), version)?,
     })
 }
 
-fn refuse_columns_of_other_kind(
+fn reject_columns_of_other_kind(
     patch: &ServicePatch,
     kind: ServiceKindName,
 ) -> Result<(), QueryError> {
@@ -237,8 +238,8 @@
     let weights = current.map(|settings| &settings.weights_mib);
     let share = current.map(|settings| &settings.engine_share_percent);
     Ok(ModelSettings {
-        weights_mib: required(table, "weights_mib", patch.weights_mib.as_ref(), weights)?,
-        engine_share_percent: required(
+        weights_mib: new_or_current(table, "weights_mib", patch.weights_mib.as_ref(), weights)?,
+        engine_share_percent: new_or_current(
             table,
             "engine_share_percent",
             patch.engine_share_percent.as_ref(),
@@ -252,7 +253,7 @@
     current: Option<&TenantSettings>,
 ) -> Result<TenantSettings, QueryError> {
     let column = |name, patched: Option<u32>, current: Option<u32>| {
-        required(Table::Tenants, name, patched.as_ref(), current.as_ref())
+        new_or_current(Table::Tenants, name, patched.as_ref(), current.as_ref())
     };
     let requests = current.map(|settings| settings.requests_per_second);
     let concurrency = current.map(|settings| settings.concurrency);
@@ -271,12 +272,12 @@
     current: Option<&PrioritySettings>,
 ) -> Result<PrioritySettings, QueryError> {
     let level = current.map(|settings| &settings.level);
-    let level = required(Table::Priorities, "level", patch.level.as_ref(), level)?;
+    let level = new_or_current(Table::Priorities, "level", patch.level.as_ref(), level)?;
     Ok(PrioritySettings { level })
 }
 
 fn merge_pin(patch: &PinPatch, current: Option<&Pin>) -> Result<Pin, QueryError> {
     let role = current.map(|pin| &pin.role);
-    let role = required(Table::Pins, "role", patch.role.as_ref(), role)?;
+    let role = new_or_current(Table::Pins, "role", patch.role.as_ref(), role)?;
     Ok(Pin { role })
 }
--- a/crates/query/src/schema.rs
+++ b/crates/query/src/schema.rs
@@ -1,4 +1,4 @@
-//! Tables and columns: the one place that names them.
+//! Schema of the operator language: tables and their columns.
 
 mod columns;
 
@@ -11,13 +11,13 @@
 /// Type of a column.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ColumnType {
-    /// Text.
+    /// A string.
     Text,
-    /// A whole number.
+    /// A 64-bit signed integer.
     Integer,
-    /// A number with a fraction.
+    /// A 64-bit floating-point number.
     Real,
-    /// True or false.
+    /// `true` or `false`.
     Boolean,
 }
 
@@ -43,34 +43,34 @@
     }
 }
 
-/// What a change may do with a column.
+/// How a change may use a column.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access {
-    /// Names the row: set by `INSERT`, named in `WHERE`.
+    /// Identifies the row: set by `INSERT`, compared in the `WHERE` of a change.
     Key,
-    /// Set by `INSERT` and `UPDATE`; `maximum` bounds a number.
+    /// Can be set by `INSERT` and `UPDATE`.
     Writable {
-        /// Largest number that can be set.
+        /// Largest number that can be set; ignored for other types.
         maximum: i64,
     },
-    /// Only shown.
+    /// Cannot be set.
     ReadOnly,
 }
 
-/// One column.
+/// A column of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Column {
-    /// Its name.
+    /// Name in statements and results.
     pub name: &'static str,
-    /// Its type.
+    /// Type of its values.
     pub column_type: ColumnType,
-    /// What a change may do with it.
+    /// How a change may use it.
     pub access: Access,
-    /// What it means, with its unit.
+    /// Meaning and unit, for the help text.
     pub description: &'static str,
 }
 
-/// One table.
+/// A table of the operator language.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Table {
     /// Services.
@@ -89,20 +89,20 @@
     Cells,
     /// Recent decisions and their reasons.
     Decisions,
-    /// Requests that run or wait.
+    /// Running and waiting requests.
     Requests,
-    /// The configuration as a whole.
+    /// Configuration revision in force at each daemon.
     Configuration,
     /// Tenants.
     Tenants,
     /// Priority classes.
     Priorities,
-    /// Engines that are to keep a role.
+    /// Engines pinned to a role.
     Pins,
 }
 
 impl Table {
-    /// Every table, in the order of the help.
+    /// All tables, in the order of the help text.
     pub const ALL: [Self; 13] = [
         Self::Services,
         Self::Models,
@@ -119,7 +119,7 @@
         Self::Pins,
     ];
 
-    /// Its name in the language.
+    /// Returns the name used in statements.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// What a row of it is.
+    /// Returns a description of its rows, for the help text.
     #[must_use]
     pub const fn description(self) -> &'static str {
         match self {
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Its columns; a row holds its values in this order.
+    /// Returns the columns; the values of a row are in this order.
     #[must_use]
     pub const fn columns(self) -> &'static [Column] {
         match self {
@@ -179,7 +179,7 @@
         }
     }
 
-    /// The column that names a row, where rows can be changed.
+    /// Returns the key column; `None` if the table is read-only.
     #[must_use]
     pub fn key(self) -> Option<&'static Column> {
         let mut columns = self.columns().iter();
@@ -193,7 +193,7 @@
     /// Finds a table by its name.
     ///
     /// # Errors
-    /// [`QueryError::UnknownTable`] with the nearest name.
+    /// [`QueryError::UnknownTable`] with the most similar name.
     pub fn find(name: &str) -> Result<Self, QueryError> {
         let found = Self::ALL.into_iter().find(|table| table.as_str() == name);
         found.ok_or_else(|| QueryError::UnknownTable {
@@ -202,10 +202,10 @@
         })
     }
 
-    /// Finds a column's place by its name.
+    /// Finds the index of a column by its name.
     ///
     /// # Errors
-    /// [`QueryError::UnknownColumn`] with the nearest name.
+    /// [`QueryError::UnknownColumn`] with the most similar name.
     pub fn find_column(self, name: &str) -> Result<usize, QueryError> {
         let found = self.columns().iter().position(|column| column.name == name);
         found.ok_or_else(|| QueryError::UnknownColumn {
@@ -219,9 +219,9 @@
         Self::ALL.map(Self::as_str).join(", ")
     }
 
-    pub(crate) fn changeable_names() -> String {
-        let changeable = Self::ALL.into_iter().filter(|table| table.key().is_some());
-        changeable.map(Self::as_str).collect::<Vec<_>>().join(", ")
+    pub(crate) fn writable_table_names() -> String {
+        let writable = Self::ALL.into_iter().filter(|table| table.key().is_some());
+        writable.map(Self::as_str).collect::<Vec<_>>().join(", ")
     }
 
     pub(crate) fn column_names(self) -> String {
@@ -236,7 +236,7 @@
     }
 }
 
-/// Every table and column as a text for help.
+/// Returns the help text that lists all tables and columns.
 #[must_use]
 pub fn schema() -> String {
     let mut text = String::new();
--- a/crates/query/src/schema/columns.rs
+++ b/crates/query/src/schema/columns.rs
@@ -1,12 +1,12 @@
-//! Columns of each table.
+//! Column definitions of each table. Descriptions appear in help texts and documentation.
 
 use super::{Access, Column, ColumnType};
 
-/// Largest number of a column that the configuration keeps in 32 bits.
+/// Maximum of columns that the configuration stores as `u32`.
 const MAXIMUM_U32: i64 = u32::MAX as i64;
-/// Largest number of a column that the configuration keeps in 8 bits.
+/// Maximum of columns that the configuration stores as `u8`.
 const MAXIMUM_U8: i64 = u8::MAX as i64;
-/// Largest share.
+/// Maximum of percentage columns.
 const MAXIMUM_PERCENT: i64 = 100;
 
 const fn column(
--- a/crates/query/src/statement.rs
+++ b/crates/query/src/statement.rs
@@ -1,24 +1,24 @@
-//! Typed statements.
+//! Typed statements and their parts.
 
 use crate::change::ChangeRequest;
 use crate::schema::{Column, Table};
 use crate::value::Value;
 
-/// A checked statement.
+/// A validated statement.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Statement {
-    /// A question.
+    /// A `SELECT`.
     Select(SelectQuery),
-    /// A change.
+    /// An `INSERT`, `UPDATE` or `DELETE`.
     Change(ChangeRequest),
 }
 
 /// A column of a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ColumnReference {
-    /// Its place in the table's columns.
+    /// Index in [`Table::columns`].
     pub index: usize,
-    /// The column.
+    /// Definition of the column.
     pub column: &'static Column,
 }
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// One column of the answer.
+/// A column of the result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
     /// A column of the table.
     Column(ColumnReference),
-    /// `COUNT(*)`; called `count` in the answer.
+    /// `COUNT(*)`, named `count` in the result.
     Count,
 }
 
-/// `=`, `<>`, `<`, `<=`, `>` and `>=`.
+/// A comparison operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
     /// `=`
@@ -59,8 +59,8 @@
 }
 
 impl Comparison {
-    /// The comparison with its sides exchanged.
-    pub(crate) const fn exchanged(self) -> Self {
+    /// Returns the operator that gives the same result with left and right operand swapped.
+    pub(crate) const fn with_swapped_operands(self) -> Self {
         match self {
             Self::Equal => Self::Equal,
             Self::NotEqual => Self::NotEqual,
@@ -83,7 +83,7 @@
     }
 }
 
-/// A condition of `WHERE`. As in SQL, it can be true, false or unknown (where a NULL is compared).
+/// A condition of `WHERE`. As in SQL, it is true, false or unknown; comparing NULL gives unknown.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Condition {
     /// `AND`
@@ -94,32 +94,32 @@
     Not(Box<Condition>),
     /// A column compared with a literal.
     Compare {
-        /// The column.
+        /// Column on the left side.
         column: ColumnReference,
-        /// The comparison.
+        /// Operator.
         comparison: Comparison,
-        /// The literal.
+        /// Literal on the right side.
         value: Value,
     },
     /// `IN`
     In {
-        /// The column.
+        /// Column on the left side.
         column: ColumnReference,
-        /// The literals.
+        /// Literals, none of which is NULL.
         values: Vec<Value>,
     },
     /// `LIKE`
     Like {
-        /// The column.
+        /// Column on the left side.
         column: ColumnReference,
-        /// The pattern: `%` for any text, `_` for one character.
+        /// Pattern: `%` matches any text, `_` one character.
         pattern: String,
     },
     /// `IS NULL`
     IsNull(ColumnReference),
 }
 
-/// Up or down.
+/// Sort direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     /// `ASC`; NULL first.
@@ -137,34 +137,34 @@
     Count,
 }
 
-/// One part of `ORDER BY`.
+/// One key of `ORDER BY`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ordering {
-    /// By what.
+    /// What to sort by.
     pub key: SortKey,
-    /// Which way.
+    /// Ascending or descending.
     pub direction: Direction,
 }
 
-/// A question.
+/// A `SELECT` query over one table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SelectQuery {
-    /// The table.
+    /// Table in `FROM`.
     pub table: Table,
-    /// Columns of the answer.
+    /// Columns of the result.
     pub outputs: Vec<Output>,
-    /// Which rows.
+    /// Condition in `WHERE`.
     pub filter: Option<Condition>,
-    /// What rows are counted by.
+    /// Column in `GROUP BY`.
     pub group_by: Option<ColumnReference>,
-    /// How the answer is sorted.
+    /// Sort keys, most significant first.
     pub order_by: Vec<Ordering>,
-    /// Most rows of the answer.
+    /// Maximum number of rows in the result.
     pub limit: Option<usize>,
 }
 
 impl SelectQuery {
-    /// Whether the answer counts rows.
+    /// Whether the query groups or counts rows.
     #[must_use]
     pub fn is_grouped(&self) -> bool {
         self.group_by.is_some() || self.outputs.contains(&Output::Count)
--- a/crates/query/src/value.rs
+++ b/crates/query/src/value.rs
@@ -1,28 +1,28 @@
-//! Values of columns, and results.
+//! Column values and query results.
 
 use std::cmp::Ordering;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One value. In JSON it is the plain value.
+/// A column value. Serialized as the bare JSON value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
-    /// Nothing is known, or the column doesn't apply to the row.
+    /// The value is unknown, or the column does not apply to the row.
     Null,
-    /// True or false.
+    /// `true` or `false`.
     Boolean(bool),
-    /// A whole number.
+    /// A 64-bit signed integer.
     Integer(i64),
-    /// A number with a fraction.
+    /// A 64-bit floating-point number.
     Real(f64),
-    /// Text.
+    /// A string.
     Text(String),
 }
 
 impl Value {
-    /// Compares as the language does; `None` when either is NULL or the types do not compare.
+    /// Compares values as in `WHERE`; `None` if either is NULL or the types are not comparable.
     #[must_use]
     pub fn compare(&self, other: &Self) -> Option<Ordering> {
         match (self, other) {
@@ -33,11 +33,11 @@
         }
     }
 
-    /// Order of `ORDER BY`: NULL first, then by type, numbers together. A total order.
+    /// Compares values as in `ORDER BY`: a total order of NULL, booleans, numbers, then text.
     #[must_use]
     pub fn sort_order(&self, other: &Self) -> Ordering {
         if let (Some(left), Some(right)) = (self.as_real(), other.as_real()) {
-            // Large whole numbers may share one fraction: they are told apart after it.
+            // Different large integers may convert to the same `f64`: compare them exactly too.
             let by_size = left.total_cmp(&right);
             return by_size.then_with(|| self.as_integer().cmp(&other.as_integer()));
         }
@@ -63,7 +63,7 @@
 
     #[expect(
         clippy::cast_precision_loss,
-        reason = "a whole number is compared with a fraction"
+        reason = "integers and reals are compared as f64"
     )]
     const fn as_real(&self) -> Option<f64> {
         match self {
@@ -128,11 +128,11 @@
     }
 }
 
-/// The answer to a `SELECT`.
+/// The result of a `SELECT`.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ResultSet {
-    /// Names of the columns.
+    /// Column names.
     pub columns: Vec<String>,
-    /// Rows, each as long as `columns`.
+    /// Rows, each with one value per column.
     pub rows: Vec<Vec<Value>>,
 }
--- a/crates/query/tests/hostile_text.rs
+++ b/crates/query/tests/hostile_text.rs
@@ -1,24 +1,24 @@
-//! No text makes the parser panic, overflow the stack or take long.
+//! No input makes the parser panic, overflow the stack or run for a long time.
 
 use ponddrift_query::{
     MAXIMUM_STATEMENT_BYTES, QueryError, Row, Statement, Table, TableSource, evaluate, parse,
 };
 
-/// Small on purpose: a thread of the daemon has 2 MiB, and may have used most of it.
+/// Deliberately small: a daemon thread may have used most of its stack when it calls the parser.
 const STACK_BYTES: usize = 256 * 1024;
 
-struct Nothing;
+struct EmptyRow;
 
-impl TableSource for Nothing {
+impl TableSource for EmptyRow {
     fn rows(&self, _table: Table) -> Result<Vec<Row>, QueryError> {
         Ok(vec![Row::new()])
     }
 }
 
-fn check(text: &str) {
+fn parse_and_evaluate(text: &str) {
     match parse(text) {
         Ok(Statement::Select(query)) => {
-            let _answer = evaluate(&query, &Nothing);
+            let _answer = evaluate(&query, &EmptyRow);
         }
         Ok(Statement::Change(_)) => {}
         Err(error) => assert!(error.to_string().len() < 2_000, "{error}"),
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn any_text_is_parsed_or_refused() {
+fn any_text_is_parsed_or_rejected() {
     bolero::check!()
         .with_type::<String>()
-        .for_each(|text| check(text));
+        .for_each(|text| parse_and_evaluate(text));
 }
 
-/// Pieces that reach deeper into the parser than random characters do.
-const PIECES: &[&str] = &[
+/// SQL fragments, which get further into the parser than random characters.
+const SQL_FRAGMENTS: &[&str] = &[
     "SELECT ",
     "INSERT INTO ",
     "UPDATE ",
@@ -100,16 +100,16 @@
 ];
 
 #[test]
-fn any_order_of_words_is_parsed_or_refused() {
+fn any_sequence_of_sql_fragments_is_parsed_or_rejected() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|choices| {
-        let piece = |choice: &u8| PIECES[usize::from(*choice) % PIECES.len()];
-        check(&choices.iter().map(piece).collect::<String>());
+        let fragment = |choice: &u8| SQL_FRAGMENTS[usize::from(*choice) % SQL_FRAGMENTS.len()];
+        parse_and_evaluate(&choices.iter().map(fragment).collect::<String>());
     });
 }
 
 #[test]
-fn deep_and_long_texts_are_refused_on_a_small_stack() {
-    let shapes = [
+fn deep_and_long_texts_do_not_overflow_a_small_stack() {
+    let repeated_fragments = [
         "(",
         "NOT ",
         "- ",
@@ -141,33 +141,36 @@
         "/*",
         "\"",
     ];
-    let heads = [
+    let prefixes = [
         "",
         "SELECT * FROM engines WHERE ",
         "SELECT ",
         "DELETE FROM pins WHERE ",
     ];
     let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
-    let checked = thread.spawn(move || {
-        for head in heads {
-            for shape in shapes {
+    let handle = thread.spawn(move || {
+        for prefix in prefixes {
+            for repeated_fragment in repeated_fragments {
                 for count in [7, 8, 15, 16, 17, 29, 100, 450, 990, 3_000] {
-                    check(&format!("{head}{}", shape.repeat(count)));
-                    check(&format!("{head}{}id = 1", shape.repeat(count)));
-                    check(&format!(
-                        "{head}{}1{}",
-                        shape.repeat(count),
+                    parse_and_evaluate(&format!("{prefix}{}", repeated_fragment.repeat(count)));
+                    parse_and_evaluate(&format!(
+                        "{prefix}{}id = 1",
+                        repeated_fragment.repeat(count)
+                    ));
+                    parse_and_evaluate(&format!(
+                        "{prefix}{}1{}",
+                        repeated_fragment.repeat(count),
                         ")".repeat(count)
                     ));
                 }
             }
         }
     });
-    checked.expect("starts").join().expect("no panic");
+    handle.expect("starts").join().expect("no panic");
 }
 
 #[test]
-fn limits_are_named() {
+fn exceeded_limits_are_reported() {
     let long = format!(
         "SELECT * FROM engines WHERE name = '{}'",
         "x".repeat(MAXIMUM_STATEMENT_BYTES)
--- a/crates/query/tests/operators_page.rs
+++ b/crates/query/tests/operators_page.rs
@@ -1,10 +1,10 @@
-//! The operators' page names every table and column, and says what the program says.
+//! `docs/OPERATOR-LANGUAGE.md` matches the schema, the parser and its error messages.
 
 use ponddrift_query::{Access, Column, Table, parse};
 
 const PAGE: &str = include_str!("../../../docs/OPERATOR-LANGUAGE.md");
 
-fn row(column: &Column) -> String {
+fn column_row(column: &Column) -> String {
     let change = match column.access {
         Access::Key => "key",
         Access::Writable { .. } => "yes",
@@ -17,26 +17,26 @@
     )
 }
 
-fn section(table: Table) -> String {
+fn table_section(table: Table) -> String {
     let mut text = format!("### `{table}`: {}\n\n", table.description());
     text.push_str("| column | type | set | meaning |\n|---|---|---|---|\n");
     for column in table.columns() {
-        text.push_str(&row(column));
+        text.push_str(&column_row(column));
         text.push('\n');
     }
     text
 }
 
 #[test]
-fn every_table_and_column_is_on_the_page() {
+fn every_table_and_column_is_documented() {
     for table in Table::ALL {
-        let expected = section(table);
+        let expected = table_section(table);
         assert!(PAGE.contains(&expected), "the page lacks:\n{expected}");
     }
 }
 
 #[test]
-fn every_example_is_accepted() {
+fn every_documented_example_is_accepted() {
     let blocks = PAGE.split("```sql\n").skip(1);
     let statements: Vec<&str> = blocks
         .filter_map(|block| block.split("```").next())
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn every_refusal_says_what_the_page_says() {
+fn every_documented_error_message_matches() {
     let (_, refusals) = PAGE.split_once("## Refusals").expect("a section");
     let rows: Vec<(&str, &str)> = refusals
         .lines()
--- a/crates/query/tests/questions.rs
+++ b/crates/query/tests/questions.rs
@@ -1,16 +1,16 @@
-//! Questions over a small fleet.
+//! Results of queries over a small fleet.
 
 use ponddrift_query::{
     QueryError, ResultSet, Row, Statement, Table, TableSource, Value, evaluate, parse,
 };
 
-/// Three engines, one of which changes its role, and a service.
-struct Fleet;
+/// Table source with four engines, of which one has no role, and an unavailable table of cells.
+struct TestFleet;
 
 fn engine(id: i64, zone: &str, role: Option<&str>, running: i64, used: f64) -> Row {
     let mut row = vec![Value::Null; Table::Engines.columns().len()];
     let mut set = |name: &str, value: Value| {
-        row[Table::Engines.find_column(name).expect("a column")] = value;
+        row[Table::Engines.find_column(name).expect("the column exists")] = value;
     };
     set("id", Value::Integer(id));
     set("name", Value::from(format!("engine-{id}")));
@@ -22,7 +22,7 @@
     row
 }
 
-impl TableSource for Fleet {
+impl TableSource for TestFleet {
     fn rows(&self, table: Table) -> Result<Vec<Row>, QueryError> {
         match table {
             Table::Engines => Ok(vec![
@@ -40,20 +40,20 @@
     }
 }
 
-fn ask(text: &str) -> ResultSet {
+fn run(text: &str) -> ResultSet {
     let statement = parse(text).unwrap_or_else(|error| panic!("{text}: {error}"));
     let Statement::Select(query) = statement else {
-        panic!("{text} is a change");
+        panic!("{text} is not a query");
     };
-    evaluate(&query, &Fleet).unwrap_or_else(|error| panic!("{text}: {error}"))
+    evaluate(&query, &TestFleet).unwrap_or_else(|error| panic!("{text}: {error}"))
 }
 
-/// The first column of the engines that `condition` holds for.
-fn ids(rest: &str) -> Vec<i64> {
-    let rows = ask(&format!("SELECT id FROM engines {rest}")).rows;
+/// Returns the ids of the engines selected by `clauses`, which follow `FROM engines`.
+fn ids(clauses: &str) -> Vec<i64> {
+    let rows = run(&format!("SELECT id FROM engines {clauses}")).rows;
     let number = |row: &Row| match row[0] {
         Value::Integer(number) => number,
-        ref other => panic!("{other} is no number"),
+        ref other => panic!("{other} is not an integer"),
     };
     rows.iter().map(number).collect()
 }
@@ -90,13 +90,13 @@
         ("WHERE reason = 'x' OR id = 1", &[1]),
         ("WHERE reason = 'x' AND id = 1", &[]),
     ];
-    for (rest, expected) in cases {
-        assert_eq!(ids(rest), *expected, "{rest}");
+    for (clauses, expected) in cases {
+        assert_eq!(ids(clauses), *expected, "{clauses}");
     }
 }
 
 #[test]
-fn answers_are_sorted_and_limited() {
+fn results_are_sorted_and_limited() {
     let cases: &[(&str, &[i64])] = &[
         ("ORDER BY running", &[4, 1, 3, 2]),
         ("ORDER BY running DESC LIMIT 2", &[2, 3]),
@@ -105,20 +105,20 @@
         ("ORDER BY cache_used_percent ASC LIMIT 1", &[4]),
         ("LIMIT 0", &[]),
     ];
-    for (rest, expected) in cases {
-        assert_eq!(ids(rest), *expected, "{rest}");
+    for (clauses, expected) in cases {
+        assert_eq!(ids(clauses), *expected, "{clauses}");
     }
 }
 
 #[test]
-fn names_are_the_same_in_any_case() {
+fn unquoted_names_are_case_insensitive() {
     assert_eq!(ids("WHERE ZONE = 'b'"), [2]);
-    assert_eq!(ask("select ID from ENGINES limit 1;").columns, ["id"]);
+    assert_eq!(run("select ID from ENGINES limit 1;").columns, ["id"]);
 }
 
 #[test]
 fn rows_are_counted_by_a_column() {
-    let counted = ask("SELECT role, COUNT(*) FROM engines GROUP BY role ORDER BY count DESC, role");
+    let counted = run("SELECT role, COUNT(*) FROM engines GROUP BY role ORDER BY count DESC, role");
     assert_eq!(counted.columns, ["role", "count"]);
     let expected = [
         vec![Value::from("decode"), Value::Integer(2)],
@@ -127,26 +127,26 @@
     ];
     assert_eq!(counted.rows, expected);
     assert_eq!(
-        ask("SELECT COUNT(*) FROM engines WHERE zone = 'a'").rows,
+        run("SELECT COUNT(*) FROM engines WHERE zone = 'a'").rows,
         [[Value::Integer(3)]]
     );
     assert_eq!(
-        ask("SELECT count(*) FROM daemons").rows,
+        run("SELECT count(*) FROM daemons").rows,
         [[Value::Integer(0)]]
     );
     assert!(
-        ask("SELECT zone FROM daemons GROUP BY zone")
+        run("SELECT zone FROM daemons GROUP BY zone")
             .rows
             .is_empty()
     );
 }
 
 #[test]
-fn a_star_gives_every_column_and_json_gives_plain_values() {
-    let all = ask("SELECT * FROM engines WHERE id = 3");
+fn a_wildcard_selects_every_column_and_json_values_are_bare() {
+    let all = run("SELECT * FROM engines WHERE id = 3");
     let names = Table::Engines.columns().iter().map(|column| column.name);
     assert!(all.columns.iter().map(String::as_str).eq(names));
-    let some = ask("SELECT id, role, pinned, cache_used_percent FROM engines WHERE id >= 3");
+    let some = run("SELECT id, role, pinned, cache_used_percent FROM engines WHERE id >= 3");
     let json = serde_json::to_string(&some).expect("serializes");
     assert_eq!(
         json,
@@ -157,11 +157,11 @@
 }
 
 #[test]
-fn a_source_that_has_no_rows_now_says_so() {
+fn an_unavailable_table_is_reported() {
     let Ok(Statement::Select(query)) = parse("SELECT * FROM cells") else {
-        panic!("it is a question");
+        panic!("expected a query");
     };
-    let error = evaluate(&query, &Fleet).expect_err("unavailable");
+    let error = evaluate(&query, &TestFleet).expect_err("unavailable");
     assert_eq!(
         error.to_string(),
         "the rows of cells cannot be read now: no controller is known; ask again, or ask another daemon"
