--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,7 +1,8 @@
 //! HTTP client for the operator interface of one or more daemons.
 //!
-//! Queries fall through to the next daemon after any failure. A change is only sent to the next
-//! daemon if the previous one certainly did not execute it.
+//! The next daemon is tried if the request could not be sent or the daemon was unavailable and did
+//! not execute it. After a lost response, only queries and status requests are sent to the next
+//! daemon, because a change may already have been accepted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -20,7 +20,7 @@
     /// A daemon rejected the statement.
     #[error("{}: {}{}", .0.title, .0.detail, execution_text(.0.execution))]
     Rejected(Box<Problem>),
-    /// No daemon could be reached. A change was not executed.
+    /// All daemons were tried without success. A change was not executed.
     #[error(
         "no daemon could be reached, so nothing was sent; give a running one with --daemon IP:PORT or PONDDRIFT_DAEMON:{}",
         format_attempts(.0)
--- a/crates/query/src/nearest.rs
+++ b/crates/query/src/nearest.rs
@@ -1,6 +1,6 @@
 //! Suggests existing names for misspelled ones.
 
-/// Maximum input length, which bounds the cost of the comparison.
+/// Maximum input length; longer texts are not misspelled names.
 const MAXIMUM_INPUT_CHARACTERS: usize = 40;
 
 /// Returns the candidate with the smallest edit distance, if it is similar enough to `input`.
