--- a/crates/serve/tests/silent_connections.rs
+++ b/crates/serve/tests/silent_connections.rs
@@ -47,7 +47,7 @@
     send_concurrent_requests(&mut fleet, 12);
     let handle = fleet.simulation.handle();
     for engine in fleet.records_hosts.clone() {
-        handle.silence_connections(fleet.daemons[0].host, engine);
+        handle.blackhole_connections(fleet.daemons[0].host, engine);
     }
     let mut slow_requests = 0;
     for number in 0..8 {
@@ -66,7 +66,7 @@
 fn a_daemon_with_silent_connections_to_the_store_applies_a_change_in_time() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let handle = fleet.simulation.handle();
-    handle.silence_connections(fleet.daemons[0].host, fleet.store_host);
+    handle.blackhole_connections(fleet.daemons[0].host, fleet.store_host);
     let mut remaining_routes = routes();
     remaining_routes.truncate(1);
     fleet.configure(2, &remaining_routes);
@@ -84,7 +84,7 @@
     let handle = fleet.simulation.handle();
     for first in fleet.daemons.clone() {
         for second in fleet.daemons.clone() {
-            handle.silence_connections(first.host, second.host);
+            handle.blackhole_connections(first.host, second.host);
         }
     }
     let mut remaining_routes = routes();
--- a/crates/serve/tests/usage.rs
+++ b/crates/serve/tests/usage.rs
@@ -201,11 +201,11 @@
 fn clock_errors_of_seconds_move_no_requests_between_windows() {
     let mut fleet = fleet(5);
     let handle = fleet.simulation.handle();
-    handle.step_clock(fleet.daemons[0].host, 2_000);
-    handle.step_clock(fleet.daemons[1].host, -2_000);
+    handle.set_clock_offset(fleet.daemons[0].host, 2_000);
+    handle.set_clock_offset(fleet.daemons[1].host, -2_000);
     let served = send_requests(&mut fleet, &[0, 1, 2, 3, 4], Duration::from_secs(20));
-    handle.step_clock(fleet.daemons[0].host, 0);
-    handle.step_clock(fleet.daemons[1].host, 0);
+    handle.set_clock_offset(fleet.daemons[0].host, 0);
+    handle.set_clock_offset(fleet.daemons[1].host, 0);
     fleet.wait(DUE + WINDOW);
     let windows = reported(&fleet);
     assert_close(&total_by_tenant(&windows), &served);
--- a/crates/simulation/src/handle.rs
+++ b/crates/simulation/src/handle.rs
@@ -47,14 +47,14 @@
     }
 
     /// Silences the open connections between two hosts for good, without a reset. New connections work.
-    pub fn silence_connections(&self, first: HostId, second: HostId) {
+    pub fn blackhole_connections(&self, first: HostId, second: HostId) {
         self.world
-            .with(|world| world.silence_connections(first, second));
+            .with(|world| world.blackhole_connections(first, second));
     }
 
     /// Sets a host's time of day so many milliseconds ahead of the true one; behind it where negative.
-    pub fn step_clock(&self, host: HostId, ahead_ms: i64) {
-        self.world.with(|world| world.step_clock(host, ahead_ms));
+    pub fn set_clock_offset(&self, host: HostId, ahead_ms: i64) {
+        self.world.with(|world| world.set_clock_offset(host, ahead_ms));
     }
 
     /// Cuts the link between two hosts in both directions.
--- a/crates/simulation/src/network/delivery.rs
+++ b/crates/simulation/src/network/delivery.rs
@@ -44,7 +44,7 @@
     }
 
     /// Open connections between two hosts carry nothing from now on, without a reset; new ones work.
-    pub(crate) fn silence_connections(&mut self, first: HostId, second: HostId) {
+    pub(crate) fn blackhole_connections(&mut self, first: HostId, second: HostId) {
         for endpoint in self.connections.endpoints.values_mut() {
             let ends = (endpoint.host, endpoint.remote_host);
             endpoint.is_silent |= ends == (first, second) || ends == (second, first);
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -118,7 +118,7 @@
         self.clock_steps_ms.get(&host).copied().unwrap_or_default()
     }
 
-    pub(crate) fn step_clock(&mut self, host: HostId, ahead_ms: i64) {
+    pub(crate) fn set_clock_offset(&mut self, host: HostId, ahead_ms: i64) {
         self.clock_steps_ms.insert(host, ahead_ms);
     }
 
