--- a/crates/simulation/src/clock.rs
+++ b/crates/simulation/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of one life of a host.
+//! The clock of one incarnation of a host.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use crate::host::HostId;
 use crate::world::SharedWorld;
 
-/// Counts from the start of the life. It tells virtual time to callers outside of the run too, where
-/// tokio's own `Instant::now` would tell the real time.
+/// Measures virtual time since the incarnation started. It also works outside of the tokio runtime,
+/// where `Instant::now` would return the real time.
 pub(crate) struct SimulatedClock {
     world: SharedWorld,
     host: HostId,
     start: Duration,
 }
 
-/// Time of day at which every simulation starts: the beginning of 2026, so that traces repeat.
-const START_OF_DAY: Duration = Duration::from_secs(1_767_225_600);
+/// Unix time at which every simulation starts (2026-01-01). It is fixed to keep runs reproducible.
+const START_TIME_OF_DAY: Duration = Duration::from_secs(1_767_225_600);
 
 impl SimulatedClock {
-    /// A clock of this host that starts now.
+    /// Creates a clock for `host` that starts at zero now.
     pub(crate) fn start(world: SharedWorld, host: HostId) -> Self {
         let start = world.with(|world| world.elapsed());
         Self { world, host, start }
@@ -34,15 +34,15 @@
     }
 
     fn time_of_day(&self) -> Duration {
-        let (elapsed, step_ms) = self
+        let (elapsed, offset_ms) = self
             .world
-            .with(|world| (world.elapsed(), world.clock_step_ms(self.host)));
-        let true_time = START_OF_DAY + elapsed;
-        let step = Duration::from_millis(step_ms.unsigned_abs());
-        if step_ms < 0 {
-            true_time.saturating_sub(step)
+            .with(|world| (world.elapsed(), world.clock_offset_ms(self.host)));
+        let true_time = START_TIME_OF_DAY + elapsed;
+        let offset = Duration::from_millis(offset_ms.unsigned_abs());
+        if offset_ms < 0 {
+            true_time.saturating_sub(offset)
         } else {
-            true_time + step
+            true_time + offset
         }
     }
 }
--- a/crates/simulation/src/fault_schedule.rs
+++ b/crates/simulation/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Seeded schedules of faults, after which everything is whole again.
+//! Random fault schedules that repair every fault before they end.
 
 use std::time::Duration;
 
@@ -7,53 +7,53 @@
 
 use crate::host::HostId;
 
-/// One change of the surroundings.
+/// A fault, or the repair of one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// Kills a host's process.
     Kill(HostId),
-    /// Takes the power of a host's machine away.
+    /// Powers off a host's machine.
     PowerOff(HostId),
-    /// Starts a host with empty memory.
+    /// Starts a new incarnation of a host, without any state.
     Restart(HostId),
-    /// Stops a host's tasks.
+    /// Suspends all tasks of a host.
     Freeze(HostId),
-    /// Lets a frozen host go on.
+    /// Resumes a frozen host.
     Thaw(HostId),
     /// Cuts a link in both directions.
     Cut(HostId, HostId),
     /// Cuts one direction of a link.
     CutOneWay {
-        /// Whose packets are lost.
+        /// Sender whose packets no longer arrive.
         from: HostId,
-        /// Whom they no longer reach.
+        /// Receiver.
         to: HostId,
     },
-    /// Heals a link in both directions.
+    /// Restores a link in both directions.
     Heal(HostId, HostId),
 }
 
-/// A fault and its time.
+/// A fault and the time at which it is injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// Time since the schedule began, in whole milliseconds.
+    /// Time since the start of the schedule, in whole milliseconds.
     pub at: Duration,
-    /// The fault.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// How often each kind is drawn, as shares of their sum.
+/// Relative weights with which the kinds of faults are drawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FaultWeights {
-    /// A killed process, started again later.
+    /// Kill a process and restart it later.
     pub kill: u32,
-    /// A machine without power, started again later.
+    /// Power off a machine and restart it later.
     pub power_off: u32,
-    /// A frozen host, thawed later.
+    /// Freeze a host and thaw it later.
     pub freeze: u32,
-    /// A link cut both ways, healed later.
+    /// Cut a link in both directions and restore it later.
     pub cut: u32,
-    /// A link cut one way, healed later.
+    /// Cut a link in one direction and restore it later.
     pub cut_one_way: u32,
 }
 
@@ -69,33 +69,33 @@
     }
 }
 
-/// What a random schedule may do.
+/// Parameters of a random schedule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Hosts that may be killed, frozen and cut off from one another.
+    /// Hosts that may be killed, powered off, frozen or disconnected from each other.
     pub hosts: Vec<HostId>,
-    /// Everything is whole again after this time.
+    /// Time by which every fault has been repaired. Faults are shortened to end by then.
     pub horizon: Duration,
-    /// Faults that begin within the horizon; some are left out where their targets are taken.
+    /// Number of faults to draw. A fault is omitted if its target is already affected at that time.
     pub faults: usize,
-    /// Shortest time that a fault lasts.
-    pub shortest: Duration,
-    /// Longest time that a fault lasts.
-    pub longest: Duration,
-    /// How often each kind is drawn.
+    /// Minimum duration of a fault that is not shortened by the horizon.
+    pub min_duration: Duration,
+    /// Maximum duration of a fault.
+    pub max_duration: Duration,
+    /// Relative weights of the kinds of faults.
     pub weights: FaultWeights,
 }
 
-/// Faults in the order of their times. [`std::fmt::Display`] and [`std::str::FromStr`] print and
-/// read it, so that a schedule that found an error can be replayed or cut down by hand.
+/// Faults ordered by time. A schedule implements [`std::fmt::Display`] and [`std::str::FromStr`] so
+/// that one that exposed an error can be replayed or reduced by hand.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct FaultSchedule {
-    /// The faults.
+    /// Faults and repairs, ordered by time.
     pub faults: Vec<ScheduledFault>,
 }
 
 #[derive(Clone, Copy)]
-enum Kind {
+enum FaultKind {
     Kill,
     PowerOff,
     Freeze,
@@ -103,21 +103,22 @@
     CutOneWay,
 }
 
-/// A host or a link that a fault holds for some time.
-struct Busy {
+/// Time interval in milliseconds during which a fault affects a host or a link. Hosts are stored as
+/// `(host, host)`.
+struct Reservation {
     target: (HostId, HostId),
     from: u64,
     until: u64,
 }
 
 impl FaultSchedule {
-    /// Draws a schedule. One seed and plan give one schedule.
+    /// Generates a schedule. The same seed and plan always produce the same schedule.
     #[must_use]
     pub fn generate(seed: u64, plan: &FaultPlan) -> Self {
         let mut generator = Generator {
             random: seeded(seed, "fault schedule"),
             plan,
-            busy: Vec::new(),
+            reserved: Vec::new(),
             faults: Vec::new(),
         };
         if !plan.hosts.is_empty() {
@@ -126,7 +127,7 @@
             }
         }
         let mut faults = generator.faults;
-        // Stable: faults of one time stay in the order in which they were drawn.
+        // The sort is stable: faults at the same time stay in the order in which they were drawn.
         faults.sort_by_key(|fault| fault.at);
         Self { faults }
     }
@@ -135,7 +136,7 @@
 struct Generator<'a> {
     random: SeededRandom,
     plan: &'a FaultPlan,
-    busy: Vec<Busy>,
+    reserved: Vec<Reservation>,
     faults: Vec<ScheduledFault>,
 }
 
@@ -143,18 +144,18 @@
     fn draw_fault(&mut self) {
         let horizon = whole_millis(self.plan.horizon);
         let begin = self.random.random_range(0..=horizon);
-        let shortest = whole_millis(self.plan.shortest);
-        let longest = whole_millis(self.plan.longest).max(shortest);
-        let lasts = self.random.random_range(shortest..=longest);
-        let end = begin.saturating_add(lasts).min(horizon);
+        let min_duration = whole_millis(self.plan.min_duration);
+        let max_duration = whole_millis(self.plan.max_duration).max(min_duration);
+        let duration_ms = self.random.random_range(min_duration..=max_duration);
+        let end = begin.saturating_add(duration_ms).min(horizon);
         let kind = self.draw_kind();
         let first = self.draw_host();
         let second = self.draw_host();
-        let Some((fault, repair, target)) = pair(kind, first, second) else {
+        let Some((fault, repair, target)) = fault_and_repair(kind, first, second) else {
             return;
         };
         if begin < end && self.is_free(target, begin, end) {
-            self.busy.push(Busy {
+            self.reserved.push(Reservation {
                 target,
                 from: begin,
                 until: end,
@@ -169,14 +170,14 @@
         self.plan.hosts[index]
     }
 
-    fn draw_kind(&mut self) -> Kind {
+    fn draw_kind(&mut self) -> FaultKind {
         let weights = self.plan.weights;
         let kinds = [
-            (Kind::Kill, weights.kill),
-            (Kind::PowerOff, weights.power_off),
-            (Kind::Freeze, weights.freeze),
-            (Kind::Cut, weights.cut),
-            (Kind::CutOneWay, weights.cut_one_way),
+            (FaultKind::Kill, weights.kill),
+            (FaultKind::PowerOff, weights.power_off),
+            (FaultKind::Freeze, weights.freeze),
+            (FaultKind::Cut, weights.cut),
+            (FaultKind::CutOneWay, weights.cut_one_way),
         ];
         let sum: u32 = kinds.iter().map(|(_, weight)| weight).sum();
         let mut drawn = self.random.random_range(0..sum.max(1));
@@ -186,13 +187,13 @@
             }
             drawn -= weight;
         }
-        Kind::Kill
+        FaultKind::Kill
     }
 
     fn is_free(&self, target: (HostId, HostId), from: u64, until: u64) -> bool {
-        let overlaps = |busy: &Busy| busy.from <= until && from <= busy.until;
-        let same = |busy: &&Busy| busy.target == target;
-        !self.busy.iter().filter(same).any(overlaps)
+        let overlaps = |reserved: &Reservation| reserved.from <= until && from <= reserved.until;
+        let same = |reserved: &&Reservation| reserved.target == target;
+        !self.reserved.iter().filter(same).any(overlaps)
     }
 
     fn push(&mut self, at: u64, fault: Fault) {
@@ -201,19 +202,23 @@
     }
 }
 
-/// The fault, what repairs it, and what it holds; nothing for a link from a host to itself.
-fn pair(kind: Kind, first: HostId, second: HostId) -> Option<(Fault, Fault, (HostId, HostId))> {
+/// Returns the fault, its repair and the target; `None` for a link from a host to itself.
+fn fault_and_repair(
+    kind: FaultKind,
+    first: HostId,
+    second: HostId,
+) -> Option<(Fault, Fault, (HostId, HostId))> {
     let host = (first, first);
     let link = (first.min(second), first.max(second));
     let is_link = first != second;
     match kind {
-        Kind::Kill => Some((Fault::Kill(first), Fault::Restart(first), host)),
-        Kind::PowerOff => Some((Fault::PowerOff(first), Fault::Restart(first), host)),
-        Kind::Freeze => Some((Fault::Freeze(first), Fault::Thaw(first), host)),
-        Kind::Cut => {
+        FaultKind::Kill => Some((Fault::Kill(first), Fault::Restart(first), host)),
+        FaultKind::PowerOff => Some((Fault::PowerOff(first), Fault::Restart(first), host)),
+        FaultKind::Freeze => Some((Fault::Freeze(first), Fault::Thaw(first), host)),
+        FaultKind::Cut => {
             is_link.then_some((Fault::Cut(first, second), Fault::Heal(first, second), link))
         }
-        Kind::CutOneWay => {
+        FaultKind::CutOneWay => {
             let (from, to) = (first, second);
             is_link.then_some((Fault::CutOneWay { from, to }, Fault::Heal(from, to), link))
         }
--- a/crates/simulation/src/fault_text.rs
+++ b/crates/simulation/src/fault_text.rs
@@ -1,4 +1,4 @@
-//! The printed form of a fault schedule: one line a fault, `<milliseconds> <fault> <host> [<host>]`.
+//! Text format of a fault schedule: one `<milliseconds> <fault> <host> [<host>]` line per fault.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,16 +7,16 @@
 use crate::fault_schedule::{Fault, FaultSchedule, ScheduledFault};
 use crate::host::HostId;
 
-/// A line that is no scheduled fault.
+/// A line could not be parsed as a scheduled fault.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "line {line} ({text:?}) is no fault: write '<milliseconds> <fault> <host number> [<host number>]' \
+    "line {line} ({text:?}) is not a valid fault: write '<milliseconds> <fault> <host number> [<host number>]' \
      with kill, power-off, restart, freeze or thaw and one host, or cut, cut-one-way or heal and two"
 )]
 pub struct FaultTextError {
-    /// Number of the line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// The line.
+    /// Content of the line.
     pub text: String,
 }
 
--- a/crates/simulation/src/handle.rs
+++ b/crates/simulation/src/handle.rs
@@ -1,4 +1,4 @@
-//! Faults and queries of a running simulation.
+//! Fault injection and queries on a running simulation.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::trace::{Trace, TraceEvent};
 use crate::world::SharedWorld;
 
-/// Applies faults to a simulation, from a driver or between two steps.
+/// Injects faults into a simulation, from a driver or between two runs.
 #[derive(Clone)]
 pub struct SimulationHandle {
     pub(crate) world: SharedWorld,
@@ -21,40 +21,43 @@
         Self { world }
     }
 
-    /// Kills a host's process; its machine resets the connections.
+    /// Kills a host's process. Its operating system resets the open connections.
     pub fn kill(&self, host: HostId) {
         self.world.with(|world| world.kill_host(host));
     }
 
-    /// Takes the power of a host's machine away: peers are told nothing, packets vanish.
+    /// Powers off a host's machine. Peers are not notified, and nothing on it answers.
     pub fn power_off(&self, host: HostId) {
         self.world.with(|world| world.power_off_host(host));
     }
 
-    /// Starts a host with empty memory; a running one is killed first.
+    /// Starts a new incarnation of a host, without any state. A running one is killed first.
     pub fn restart(&self, host: HostId) {
         self.world.with(|world| world.restart_host(host));
     }
 
-    /// Stops a host's tasks without telling them. Its machine still takes packets in.
+    /// Suspends all tasks of a host. Its operating system still receives packets.
     pub fn freeze(&self, host: HostId) {
         self.world.with(|world| world.set_frozen(host, true));
     }
 
-    /// Lets a frozen host go on.
+    /// Resumes a frozen host.
     pub fn thaw(&self, host: HostId) {
         self.world.with(|world| world.set_frozen(host, false));
     }
 
-    /// Silences the open connections between two hosts for good, without a reset. New connections work.
+    /// Permanently drops all packets of the open connections between two hosts, without a reset.
+    /// New connections work.
     pub fn blackhole_connections(&self, first: HostId, second: HostId) {
         self.world
             .with(|world| world.blackhole_connections(first, second));
     }
 
-    /// Sets a host's time of day so many milliseconds ahead of the true one; behind it where negative.
+    /// Sets the offset of a host's time of day from the simulated time, in milliseconds. A negative
+    /// offset makes it late.
     pub fn set_clock_offset(&self, host: HostId, ahead_ms: i64) {
-        self.world.with(|world| world.set_clock_offset(host, ahead_ms));
+        self.world
+            .with(|world| world.set_clock_offset(host, ahead_ms));
     }
 
     /// Cuts the link between two hosts in both directions.
@@ -63,12 +66,12 @@
         self.cut_one_way(second, first);
     }
 
-    /// Cuts the link from one host to another. The other direction still works.
+    /// Cuts the link from one host to another. The opposite direction still works.
     pub fn cut_one_way(&self, from: HostId, to: HostId) {
         self.world.with(|world| world.cut_link(from, to));
     }
 
-    /// Heals the link between two hosts in both directions.
+    /// Restores the link between two hosts in both directions.
     pub fn heal(&self, first: HostId, second: HostId) {
         self.world.with(|world| {
             world.heal_link(first, second);
@@ -76,12 +79,12 @@
         });
     }
 
-    /// Heals the link from one host to another; the other direction stays as it is.
+    /// Restores the link from one host to another. The opposite direction is unchanged.
     pub fn heal_one_way(&self, from: HostId, to: HostId) {
         self.world.with(|world| world.heal_link(from, to));
     }
 
-    /// Cuts every link between two groups of hosts, in both directions.
+    /// Cuts every link between two groups of hosts in both directions.
     pub fn partition(&self, first: &[HostId], second: &[HostId]) {
         for &left in first {
             for &right in second {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Heals every link.
+    /// Restores every link.
     pub fn heal_all(&self) {
         self.world.with(|world| {
             for (from, to) in world.cut_links() {
@@ -99,12 +102,12 @@
         });
     }
 
-    /// Replaces the faults of datagrams.
+    /// Replaces the datagram fault settings.
     pub fn set_datagram_faults(&self, faults: DatagramFaults) {
         self.world.with(|world| world.datagram_faults = faults);
     }
 
-    /// Applies one fault of a schedule.
+    /// Injects one fault of a schedule.
     pub fn apply(&self, fault: Fault) {
         match fault {
             Fault::Kill(host) => self.kill(host),
@@ -118,25 +121,25 @@
         }
     }
 
-    /// Whether a host's process runs (frozen or not).
+    /// Returns whether a host's process is running. A frozen process counts as running.
     #[must_use]
     pub fn is_running(&self, host: HostId) -> bool {
         self.world.with(|world| world.is_running(host))
     }
 
-    /// Whether a host is frozen.
+    /// Returns whether a host is frozen.
     #[must_use]
     pub fn is_frozen(&self, host: HostId) -> bool {
         self.world.with(|world| world.is_frozen(host))
     }
 
-    /// Every host, in the order of adding.
+    /// Returns all hosts in the order in which they were added.
     #[must_use]
     pub fn hosts(&self) -> Vec<HostId> {
         self.world.with(|world| world.host_ids())
     }
 
-    /// The hosts of a zone, in the order of adding.
+    /// Returns the hosts of a zone in the order in which they were added.
     #[must_use]
     pub fn hosts_in_zone(&self, zone: &ZoneName) -> Vec<HostId> {
         self.world.with(|world| {
@@ -147,13 +150,13 @@
         })
     }
 
-    /// Virtual time since the run began.
+    /// Returns the virtual time since the simulation was created.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         self.world.with(|world| world.elapsed())
     }
 
-    /// A writer of notes for `source`.
+    /// Returns a [`Tracer`] whose notes name `source`.
     #[must_use]
     pub fn tracer(&self, source: &str) -> Tracer {
         Tracer {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// What happened so far.
+    /// Returns a copy of the trace recorded so far.
     #[must_use]
     pub fn trace(&self) -> Trace {
         self.world.with(|world| world.trace.clone())
@@ -173,7 +176,7 @@
     }
 }
 
-/// Writes an application's notes into the trace.
+/// Adds application-defined notes to the trace.
 #[derive(Clone)]
 pub struct Tracer {
     world: SharedWorld,
@@ -181,7 +184,7 @@
 }
 
 impl Tracer {
-    /// Notes something that a test compares or checks.
+    /// Records a note that a test can check or compare between runs.
     pub fn note(&self, text: impl Into<String>) {
         let event = TraceEvent::Note {
             source: self.source.clone(),
--- a/crates/simulation/src/host.rs
+++ b/crates/simulation/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts: real code in a `LocalSet` of its own that can be frozen, killed and started again.
+//! Hosts: tasks in a separate `LocalSet` that can be frozen, killed and restarted.
 
 use std::any::Any;
 use std::fmt;
@@ -22,7 +22,7 @@
 use crate::trace::TraceEvent;
 use crate::world::SharedWorld;
 
-/// Number of a host, in the order in which hosts were added.
+/// Identifies a host. Numbers are assigned from 0 in the order in which hosts are added.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub u32);
 
@@ -32,45 +32,45 @@
     }
 }
 
-/// A host's place.
+/// Name, address and location of a host.
 #[derive(Debug, Clone)]
 pub struct HostSpec {
-    /// Its name, for messages.
+    /// Name used in messages and to derive the host's random seed.
     pub name: String,
-    /// Its only address.
+    /// The host's only IP address.
     pub ip: IpAddr,
-    /// Its zone.
+    /// Zone, which determines the latency to other hosts.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region, which determines the latency to other hosts.
     pub region: RegionName,
 }
 
-/// Makes the main task of each life of a host.
+/// Creates the main task of each incarnation of a host.
 pub(crate) type HostFactory = Box<dyn Fn(Runtime) -> LocalBoxFuture<'static, ()>>;
 
-/// One life of a host.
-struct Life {
+/// The tasks of a host between a start and the next stop.
+struct Incarnation {
     number: u64,
     queue: Arc<SpawnQueue>,
     tasks: LocalSet,
     main: JoinHandle<()>,
 }
 
-/// The task that polls a host's `LocalSet` unless the host is frozen or dead.
+/// Polls a host's `LocalSet` unless the host is frozen or down.
 pub(crate) struct HostTask {
     id: HostId,
     world: SharedWorld,
     factory: HostFactory,
-    life: Option<Life>,
+    active: Option<Incarnation>,
     polls: PollCounter,
 }
 
-/// What the faults want of a host.
+/// Desired state of a host, as set by fault injection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct HostControl {
-    /// The life that is to run; `None` when dead.
-    pub(crate) life: Option<u64>,
-    /// Whether its tasks are held.
+    /// Incarnation that should run, or `None` if the host should be down.
+    pub(crate) incarnation: Option<u64>,
+    /// Whether the host's tasks must not be polled.
     pub(crate) frozen: bool,
 }
 
@@ -85,7 +85,7 @@
             id,
             world,
             factory,
-            life: None,
+            active: None,
             polls,
         }
     }
@@ -95,8 +95,8 @@
         let runtime = self.runtime(number, Arc::clone(&queue));
         let tasks = LocalSet::new();
         let main = (self.factory)(runtime);
-        let main = tasks.spawn_local(watched(self.id, self.world.clone(), main));
-        self.life = Some(Life {
+        let main = tasks.spawn_local(record_task_panic(self.id, self.world.clone(), main));
+        self.active = Some(Incarnation {
             number,
             queue,
             tasks,
@@ -104,33 +104,40 @@
         });
     }
 
-    fn runtime(&self, life: u64, queue: Arc<SpawnQueue>) -> Runtime {
+    fn runtime(&self, incarnation: u64, queue: Arc<SpawnQueue>) -> Runtime {
         Runtime {
-            network: Arc::new(SimulatedNetwork::new(self.world.clone(), self.id, life)),
+            network: Arc::new(SimulatedNetwork::new(
+                self.world.clone(),
+                self.id,
+                incarnation,
+            )),
             spawner: Arc::new(SimulatedSpawner(queue)),
             clock: Arc::new(SimulatedClock::start(self.world.clone(), self.id)),
-            seed: self.world.with(|world| world.host_seed(self.id, life)),
+            seed: self
+                .world
+                .with(|world| world.host_seed(self.id, incarnation)),
         }
     }
 
-    fn end_life(&mut self) {
-        if let Some(life) = self.life.take() {
-            life.queue.close();
-            drop(life);
+    fn end_incarnation(&mut self) {
+        if let Some(incarnation) = self.active.take() {
+            incarnation.queue.close();
+            drop(incarnation);
         }
     }
 
-    fn poll_life(&mut self, context: &mut Context<'_>) {
-        let Some(life) = &mut self.life else { return };
-        for task in life.queue.take(context.waker()) {
-            life.tasks
-                .spawn_local(watched(self.id, self.world.clone(), task));
+    fn poll_incarnation(&mut self, context: &mut Context<'_>) {
+        let Some(run) = &mut self.active else { return };
+        for task in run.queue.take(context.waker()) {
+            run.tasks
+                .spawn_local(record_task_panic(self.id, self.world.clone(), task));
         }
-        let _all_ended = Pin::new(&mut life.tasks).poll(context);
-        if life.main.is_finished() {
-            let number = life.number;
-            self.end_life();
-            self.world.with(|world| world.host_exited(self.id, number));
+        let _all_ended = Pin::new(&mut run.tasks).poll(context);
+        if run.main.is_finished() {
+            let number = run.number;
+            self.end_incarnation();
+            self.world
+                .with(|world| world.handle_host_exit(self.id, number));
         }
     }
 }
@@ -143,27 +150,27 @@
         let control = this
             .world
             .with(|world| world.host_control(this.id, context.waker()));
-        let running = this.life.as_ref().map(|life| life.number);
-        if running != control.life {
-            this.end_life();
-            if let Some(number) = control.life {
+        let running = this.active.as_ref().map(|run| run.number);
+        if running != control.incarnation {
+            this.end_incarnation();
+            if let Some(number) = control.incarnation {
                 this.start(number);
             }
         }
         if control.frozen {
             return Poll::Pending;
         }
-        if this.polls.exceed_limit() {
-            this.end_life();
-            this.world.with(|world| world.host_stuck(this.id));
+        if this.polls.record_poll_and_check() {
+            this.end_incarnation();
+            this.world.with(|world| world.kill_stuck_host(this.id));
             return Poll::Pending;
         }
-        this.poll_life(context);
+        this.poll_incarnation(context);
         Poll::Pending
     }
 }
 
-/// Notices a host that runs on and on without letting the virtual time pass.
+/// Detects a host that is polled repeatedly without virtual time advancing.
 struct PollCounter {
     instant: Instant,
     count: u32,
@@ -171,7 +178,7 @@
 }
 
 impl PollCounter {
-    fn exceed_limit(&mut self) -> bool {
+    fn record_poll_and_check(&mut self) -> bool {
         let now = Instant::now();
         if now != self.instant {
             self.instant = now;
@@ -182,8 +189,8 @@
     }
 }
 
-/// Runs a task and records its panic, which tokio would keep to itself.
-async fn watched(host: HostId, world: SharedWorld, task: impl Future<Output = ()>) {
+/// Runs a task and records a panic, which tokio would otherwise only report in the `JoinHandle`.
+async fn record_task_panic(host: HostId, world: SharedWorld, task: impl Future<Output = ()>) {
     if let Err(panic) = AssertUnwindSafe(task).catch_unwind().await {
         let message = panic_message(panic.as_ref());
         world.with(|world| world.record_panic(host, message));
@@ -201,7 +208,7 @@
 }
 
 impl crate::world::World {
-    /// Records the panic of a host's task; the run ends with it.
+    /// Records a panic of a host's task. `Simulation::block_on` panics because of it.
     pub(crate) fn record_panic(&mut self, host: HostId, message: String) {
         let name = self.host(host).spec.name.clone();
         self.panics.push(format!("{name} ({host}): {message}"));
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,9 @@
-//! Deterministic simulation of daemons and stand-ins on a virtual clock and network.
+//! Deterministic simulation of daemons and emulated back ends on a virtual clock and network.
 //!
-//! A host is real code that takes its [`ponddrift_runtime::Runtime`] as a parameter. Each host runs
-//! in a `LocalSet` of its own on tokio's paused clock, so that it can be frozen, killed and started
-//! again as a whole. [`Simulation`] owns the run, [`SimulationHandle`] applies faults, [`Trace`]
-//! records what happened: one seed gives one trace. `docs/design/simulation.md` gives the reasons.
+//! A host runs production code that receives its [`ponddrift_runtime::Runtime`] as a parameter.
+//! Each host has its own `LocalSet` on tokio's paused clock, so that its tasks can be frozen,
+//! killed and restarted together. [`Simulation`] owns the run, [`SimulationHandle`] injects faults,
+//! and [`Trace`] records the events. The same seed always produces the same trace.
 
 mod clock;
 mod fault_schedule;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! The virtual network of one host.
+//! The virtual network as used by one host.
 
 mod connection;
 mod datagram;
@@ -23,38 +23,42 @@
 use listener::SimulatedListener;
 use stream::SimulatedStream;
 
-/// A coming event of the network.
+/// A pending network event.
 pub(crate) enum Event {
-    /// A packet of a connection arrives.
+    /// Arrival of a stream packet.
     Packet(Packet),
-    /// A datagram arrives.
+    /// Arrival of a datagram.
     Datagram(InFlightDatagram),
-    /// A sender gives up when it was stalled since `stall`.
+    /// Aborts the connection of a sender that is still in the given stall.
     RetransmissionLimit {
-        /// The sender's end.
+        /// Endpoint of the sender.
         endpoint: EndpointId,
-        /// The stall that the timer belongs to.
+        /// Identifies the stall for which the timer was started.
         stall: u64,
     },
 }
 
-/// The network as one life of a host sees it.
+/// Network access of one incarnation of a host.
 pub(crate) struct SimulatedNetwork {
     world: SharedWorld,
     host: HostId,
-    life: u64,
+    incarnation: u64,
 }
 
 impl SimulatedNetwork {
-    pub(crate) fn new(world: SharedWorld, host: HostId, life: u64) -> Self {
-        Self { world, host, life }
+    pub(crate) fn new(world: SharedWorld, host: HostId, incarnation: u64) -> Self {
+        Self {
+            world,
+            host,
+            incarnation,
+        }
     }
 
     fn check_alive(&self, world: &World) -> io::Result<()> {
-        if world.host(self.host).life == Some(self.life) {
+        if world.host(self.host).incarnation == Some(self.incarnation) {
             return Ok(());
         }
-        Err(io::Error::other("this life of the host has ended"))
+        Err(io::Error::other("this incarnation of the host has ended"))
     }
 }
 
@@ -77,7 +81,8 @@
                 self.check_alive(world)?;
                 world.bind_listener(self.host, address)
             })?;
-            let listener = SimulatedListener::new(self.world.clone(), local, self.host, self.life);
+            let listener =
+                SimulatedListener::new(self.world.clone(), local, self.host, self.incarnation);
             Ok(Box::new(listener) as BoxedListener)
         })
     }
@@ -88,30 +93,34 @@
                 self.check_alive(world)?;
                 world.bind_datagram(self.host, address)
             })?;
-            let socket = SimulatedDatagram::new(self.world.clone(), local, self.host, self.life);
+            let socket =
+                SimulatedDatagram::new(self.world.clone(), local, self.host, self.incarnation);
             Ok(Box::new(socket) as BoxedDatagram)
         })
     }
 }
 
 impl World {
-    /// The local address for a wish: the host's own IP number, and a free port for port 0.
+    /// Resolves the local address to bind: the host's own IP address, and a free port for port 0.
+    ///
+    /// Fails with `AddrNotAvailable` for another host's IP address and with `AddrInUse` if no port
+    /// is free.
     fn local_address(
         &mut self,
         host: HostId,
-        wish: SocketAddr,
+        requested: SocketAddr,
         is_taken: impl Fn(&Self, SocketAddr) -> bool,
     ) -> io::Result<SocketAddr> {
         let ip = self.host(host).spec.ip;
-        if wish.ip() != ip && !wish.ip().is_unspecified() {
+        if requested.ip() != ip && !requested.ip().is_unspecified() {
             return Err(io::ErrorKind::AddrNotAvailable.into());
         }
-        if wish.port() == 0 {
+        if requested.port() == 0 {
             return self
                 .free_port(host, is_taken)
                 .ok_or_else(|| io::ErrorKind::AddrInUse.into());
         }
-        let local = SocketAddr::new(ip, wish.port());
+        let local = SocketAddr::new(ip, requested.port());
         if is_taken(self, local) {
             return Err(io::ErrorKind::AddrInUse.into());
         }
--- a/crates/simulation/src/network/connection.rs
+++ b/crates/simulation/src/network/connection.rs
@@ -1,4 +1,4 @@
-//! Connections: ordered bytes between two ends, with TCP's ways of failing.
+//! Connections: ordered byte streams between two endpoints, with the failure modes of TCP.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -11,60 +11,60 @@
 use crate::trace::TraceEvent;
 use crate::world::World;
 
-/// Number of one end of a connection. Never used twice.
+/// Identifies one endpoint of a connection. Numbers are never reused.
 pub(crate) type EndpointId = u64;
 
-/// What a packet carries.
+/// Content of a packet.
 pub(crate) enum Payload {
-    /// Asks for a connection.
+    /// Connection request.
     Open,
-    /// The listener's end.
+    /// The request was accepted; carries the endpoint on the listener's side.
     Accepted(EndpointId),
-    /// No listener.
+    /// The request was refused.
     Refused,
-    /// Bytes.
+    /// Stream bytes.
     Data(Vec<u8>),
-    /// The sender writes no more.
+    /// The sender has shut down its write side.
     End,
-    /// The sender is gone.
+    /// The sender's endpoint no longer exists.
     Reset,
 }
 
-/// A packet of a connection on its way.
+/// A stream packet in flight.
 pub(crate) struct Packet {
     pub(crate) from: HostId,
     pub(crate) to: HostId,
     pub(super) sender: EndpointId,
     pub(super) receiver: Receiver,
-    /// Place in the sender's order; `None` for answers of a machine that knows no such connection.
+    /// Position in the sender's sequence; `None` for a reply from a host without such an endpoint.
     pub(super) sequence: Option<u64>,
     pub(super) payload: Payload,
 }
 
-/// Whom a packet is for.
+/// Destination of a packet.
 #[derive(Clone, Copy)]
 pub(super) enum Receiver {
-    /// A listener.
+    /// A listener, for a connection request.
     Listener {
-        /// The caller's end.
+        /// Client address.
         from: SocketAddr,
-        /// The listener.
+        /// Listener address.
         to: SocketAddr,
     },
-    /// An end.
+    /// An endpoint of a connection.
     Endpoint(EndpointId),
 }
 
-/// How far an end is.
+/// Connection state of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Waits for the listener's answer.
+    /// Waiting for the listener's reply.
     Opening,
-    /// Carries bytes.
+    /// Established.
     Open,
 }
 
-/// One end of a connection.
+/// One endpoint of a connection.
 pub(super) struct Endpoint {
     pub(super) host: HostId,
     pub(super) remote_host: HostId,
@@ -72,26 +72,26 @@
     pub(super) remote: SocketAddr,
     pub(super) peer: Option<EndpointId>,
     pub(super) phase: Phase,
-    /// Bytes that arrived and were not read.
+    /// Received bytes that the application has not read yet.
     pub(super) inbox: VecDeque<u8>,
-    /// The other side writes no more.
+    /// Whether the peer has shut down its write side.
     pub(super) end_received: bool,
-    /// This side writes no more.
+    /// Whether this side has shut down its write side.
     pub(super) end_sent: bool,
-    /// Why the connection is unusable.
+    /// Error that every later operation returns, once the connection has failed.
     pub(super) failure: Option<io::ErrorKind>,
-    /// Nothing arrives any more, without a reset.
-    pub(super) is_silent: bool,
-    /// Bytes sent and not yet read by the other side.
+    /// Whether all packets to this endpoint are dropped without a reset.
+    pub(super) is_blackholed: bool,
+    /// Bytes sent that the peer has not read yet.
     pub(super) outstanding: usize,
-    /// Acknowledgements that a cut link holds back.
-    pub(super) held_credit: usize,
-    /// The running stall, if bytes wait for a cut link.
+    /// Bytes read here whose acknowledgement is waiting for the link to be restored.
+    pub(super) deferred_credit_bytes: usize,
+    /// Identifies the current stall while sent packets are not acknowledged.
     pub(super) stall: Option<u64>,
     pub(super) next_sequence: u64,
     pub(super) expected_sequence: u64,
-    /// Packets that arrived before an earlier one.
-    pub(super) early: BTreeMap<u64, Payload>,
+    /// Payloads that arrived before one with a lower sequence number.
+    pub(super) out_of_order: BTreeMap<u64, Payload>,
     pub(super) read_waker: Option<Waker>,
     pub(super) write_waker: Option<Waker>,
 }
@@ -114,20 +114,20 @@
             end_received: false,
             end_sent: false,
             failure: None,
-            is_silent: false,
+            is_blackholed: false,
             outstanding: 0,
-            held_credit: 0,
+            deferred_credit_bytes: 0,
             stall: None,
             next_sequence: 0,
             expected_sequence: 0,
-            early: BTreeMap::new(),
+            out_of_order: BTreeMap::new(),
             read_waker: None,
             write_waker: None,
         }
     }
 }
 
-/// Every listener and every end of a connection.
+/// All listeners and connection endpoints.
 #[derive(Default)]
 pub(crate) struct Connections {
     pub(super) endpoints: BTreeMap<EndpointId, Endpoint>,
@@ -143,14 +143,14 @@
         self.next_endpoint
     }
 
-    fn of_host(&self, host: HostId) -> Vec<EndpointId> {
-        let of_host = self.endpoints.iter().filter(|(_, end)| end.host == host);
-        of_host.map(|(id, _)| *id).collect()
+    fn endpoints_of_host(&self, host: HostId) -> Vec<EndpointId> {
+        let endpoints = self.endpoints.iter().filter(|(_, end)| end.host == host);
+        endpoints.map(|(id, _)| *id).collect()
     }
 }
 
 impl World {
-    /// Begins a connection; its end is usable when the listener has answered.
+    /// Sends a connection request. The endpoint is usable once the listener has accepted it.
     pub(super) fn open_connection(
         &mut self,
         host: HostId,
@@ -172,7 +172,7 @@
         Ok(id)
     }
 
-    /// Sends from an end to its peer, in order.
+    /// Sends a payload from an endpoint to its peer, in order.
     pub(super) fn send_payload(&mut self, id: EndpointId, payload: Payload) {
         if let Some(peer) = self.connections.endpoints.get(&id).and_then(|end| end.peer) {
             self.send_to(id, Receiver::Endpoint(peer), payload);
@@ -193,16 +193,16 @@
             sequence: Some(sequence),
             payload,
         };
-        self.launch(packet);
+        self.transmit(packet);
     }
 
-    /// Puts a packet on its way.
-    pub(super) fn launch(&mut self, packet: Packet) {
+    /// Schedules the arrival of a packet after the link's delay.
+    pub(super) fn transmit(&mut self, packet: Packet) {
         let delay = self.draw_delay(packet.from, packet.to);
         self.schedule(delay, Event::Packet(packet));
     }
 
-    /// The application lets go of an end.
+    /// Closes an endpoint that the application dropped. Unread bytes cause a reset, as in TCP.
     pub(super) fn close_endpoint(&mut self, id: EndpointId) {
         let Some(endpoint) = self.connections.endpoints.get(&id) else {
             return;
@@ -217,7 +217,7 @@
         self.connections.endpoints.remove(&id);
     }
 
-    /// Makes an end unusable and tells its owner.
+    /// Marks an endpoint as failed and wakes its reader and writer.
     pub(super) fn fail_endpoint(&mut self, id: EndpointId, failure: io::ErrorKind) {
         let Some(endpoint) = self.connections.endpoints.get_mut(&id) else {
             return;
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Notes that a sender's bytes are not acknowledged, and when it gives up.
+    /// Marks a sender as stalled and starts its retransmission timer, unless it is already stalled.
     pub(super) fn stall_sender(&mut self, id: EndpointId) {
         let limit = self.settings.retransmission_limit;
         let connections = &mut self.connections;
@@ -260,30 +260,30 @@
         }
     }
 
-    /// A stalled sender's time is over: its bytes that still wait are dropped with it.
+    /// Fails a connection whose sender is still in this stall, and drops its waiting packets.
     pub(super) fn retransmission_limit(&mut self, id: EndpointId, stall: u64) {
         let endpoint = self.connections.endpoints.get(&id);
         if endpoint.is_some_and(|end| end.stall == Some(stall)) {
             self.fail_endpoint(id, io::ErrorKind::TimedOut);
-            for packets in self.held.values_mut() {
+            for packets in self.held_packets.values_mut() {
                 packets.retain(|packet| packet.sender != id);
             }
         }
     }
 
-    /// The process of a host ends: its machine resets every connection.
+    /// Resets every connection of a host whose process ended.
     pub(crate) fn reset_connections_of(&mut self, host: HostId) {
-        for id in self.connections.of_host(host) {
+        for id in self.connections.endpoints_of_host(host) {
             self.send_payload(id, Payload::Reset);
             self.connections.endpoints.remove(&id);
         }
     }
 
-    /// A machine loses its power: its connections are forgotten, and nobody is told.
+    /// Removes the connections of a host that lost power, without notifying its peers.
     pub(crate) fn forget_connections_of(&mut self, host: HostId) {
-        for id in self.connections.of_host(host) {
+        for id in self.connections.endpoints_of_host(host) {
             self.connections.endpoints.remove(&id);
         }
-        self.held.retain(|(from, _), _| *from != host);
+        self.held_packets.retain(|(from, _), _| *from != host);
     }
 }
--- a/crates/simulation/src/network/datagram.rs
+++ b/crates/simulation/src/network/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams: lost, doubled, late and out of order.
+//! Datagrams, which can be lost, duplicated, delayed and reordered.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::future::poll_fn;
@@ -15,12 +15,12 @@
 use crate::trace::{DropReason, TraceEvent};
 use crate::world::{SharedWorld, World};
 
-/// Largest datagram in bytes, as UDP over IPv4 has it.
+/// Maximum payload of a UDP datagram over IPv4.
 const MAXIMUM_DATAGRAM_BYTES: usize = 65_507;
-/// Datagrams that a socket keeps for a slow reader.
+/// Maximum number of unread datagrams per socket. Further ones are dropped.
 const RECEIVE_BUFFER_DATAGRAMS: usize = 1_024;
 
-/// A datagram on its way.
+/// A datagram in flight.
 pub(crate) struct InFlightDatagram {
     from: SocketAddr,
     to: SocketAddr,
@@ -34,7 +34,7 @@
     waker: Option<Waker>,
 }
 
-/// Every datagram socket.
+/// All datagram sockets by local address.
 #[derive(Default)]
 pub(crate) struct DatagramSockets(BTreeMap<SocketAddr, SocketState>);
 
@@ -44,21 +44,26 @@
     }
 }
 
-/// A socket as the application holds it.
+/// The application's side of a datagram socket.
 pub(super) struct SimulatedDatagram {
     world: SharedWorld,
     local: SocketAddr,
     host: HostId,
-    life: u64,
+    incarnation: u64,
 }
 
 impl SimulatedDatagram {
-    pub(super) fn new(world: SharedWorld, local: SocketAddr, host: HostId, life: u64) -> Self {
+    pub(super) fn new(
+        world: SharedWorld,
+        local: SocketAddr,
+        host: HostId,
+        incarnation: u64,
+    ) -> Self {
         Self {
             world,
             local,
             host,
-            life,
+            incarnation,
         }
     }
 
@@ -75,7 +80,7 @@
                 socket.waker = Some(context.waker().clone());
                 return Poll::Pending;
             };
-            // As UDP does: what does not fit is cut off.
+            // As with UDP, bytes that do not fit into the buffer are discarded.
             let length = bytes.len().min(buffer.len());
             buffer[..length].copy_from_slice(&bytes[..length]);
             Poll::Ready(Ok((length, from)))
@@ -94,7 +99,7 @@
                 return Err(io::Error::other("the datagram is longer than 65507 bytes"));
             }
             self.world.with(|world| {
-                if world.host(self.host).life == Some(self.life) {
+                if world.host(self.host).incarnation == Some(self.incarnation) {
                     world.send_datagram(self.host, self.local, target, bytes);
                 }
             });
@@ -117,7 +122,7 @@
 impl Drop for SimulatedDatagram {
     fn drop(&mut self) {
         self.world.with(|world| {
-            if world.host(self.host).life == Some(self.life) {
+            if world.host(self.host).incarnation == Some(self.incarnation) {
                 world.datagrams.0.remove(&self.local);
             }
         });
@@ -128,10 +133,10 @@
     pub(super) fn bind_datagram(
         &mut self,
         host: HostId,
-        wish: SocketAddr,
+        requested: SocketAddr,
     ) -> io::Result<SocketAddr> {
         let is_taken = |world: &Self, address: SocketAddr| world.datagrams.0.contains_key(&address);
-        let local = self.local_address(host, wish, is_taken)?;
+        let local = self.local_address(host, requested, is_taken)?;
         let socket = SocketState {
             host,
             inbox: VecDeque::new(),
@@ -167,7 +172,7 @@
         }
     }
 
-    pub(super) fn datagram_arrives(&mut self, datagram: InFlightDatagram) {
+    pub(super) fn handle_datagram(&mut self, datagram: InFlightDatagram) {
         let InFlightDatagram {
             from,
             to,
--- a/crates/simulation/src/network/delivery.rs
+++ b/crates/simulation/src/network/delivery.rs
@@ -1,4 +1,4 @@
-//! What happens when a packet arrives, is held by a cut link, or is let go.
+//! Packet delivery, including packets that wait for a cut link.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,61 +9,62 @@
 use crate::trace::TraceEvent;
 use crate::world::World;
 
-/// Connections that may wait for a listener's `accept`.
+/// Maximum number of connections that wait for a listener's `accept`.
 const ACCEPT_BACKLOG: usize = 1_024;
 
 impl World {
     pub(crate) fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Packet(packet) => self.packet_arrives(packet),
-            Event::Datagram(datagram) => self.datagram_arrives(datagram),
+            Event::Packet(packet) => self.handle_packet(packet),
+            Event::Datagram(datagram) => self.handle_datagram(datagram),
             Event::RetransmissionLimit { endpoint, stall } => {
                 self.retransmission_limit(endpoint, stall);
             }
         }
     }
 
-    fn packet_arrives(&mut self, packet: Packet) {
+    fn handle_packet(&mut self, packet: Packet) {
         let link = (packet.from, packet.to);
         if self.is_blocked(packet.from, packet.to) {
             self.stall_sender(packet.sender);
-            self.held.entry(link).or_default().push_back(packet);
+            self.held_packets.entry(link).or_default().push_back(packet);
             return;
         }
         if self.is_blocked(packet.to, packet.from) {
-            // The bytes arrive, their acknowledgement does not.
+            // The bytes arrive, but their acknowledgement does not.
             self.stall_sender(packet.sender);
         }
-        if self.is_silent(packet.receiver) {
+        if self.is_blackholed(packet.receiver) {
             return;
         }
         match packet.receiver {
-            Receiver::Listener { from, to } => self.open_arrives(&packet, from, to),
-            Receiver::Endpoint(receiver) => self.endpoint_receives(receiver, packet),
+            Receiver::Listener { from, to } => self.handle_open(&packet, from, to),
+            Receiver::Endpoint(receiver) => self.deliver_to_endpoint(receiver, packet),
         }
     }
 
-    /// Open connections between two hosts carry nothing from now on, without a reset; new ones work.
+    /// Drops all further packets of the open connections between two hosts, without a reset. New
+    /// connections work.
     pub(crate) fn blackhole_connections(&mut self, first: HostId, second: HostId) {
         for endpoint in self.connections.endpoints.values_mut() {
             let ends = (endpoint.host, endpoint.remote_host);
-            endpoint.is_silent |= ends == (first, second) || ends == (second, first);
+            endpoint.is_blackholed |= ends == (first, second) || ends == (second, first);
         }
     }
 
-    fn is_silent(&self, receiver: Receiver) -> bool {
+    fn is_blackholed(&self, receiver: Receiver) -> bool {
         let Receiver::Endpoint(id) = receiver else {
             return false;
         };
         let endpoint = self.connections.endpoints.get(&id);
-        endpoint.is_some_and(|endpoint| endpoint.is_silent)
+        endpoint.is_some_and(|endpoint| endpoint.is_blackholed)
     }
 
-    fn open_arrives(&mut self, packet: &Packet, from: SocketAddr, to: SocketAddr) {
+    fn handle_open(&mut self, packet: &Packet, from: SocketAddr, to: SocketAddr) {
         let has_room = |backlog: usize| backlog < ACCEPT_BACKLOG;
         let listener = self.connections.listeners.get(&to);
         if !listener.is_some_and(|listener| has_room(listener.waiting.len())) {
-            self.answer_without_connection(packet, Payload::Refused);
+            self.reply_without_endpoint(packet, Payload::Refused);
             return;
         }
         let mut endpoint = Endpoint::new(packet.to, packet.from, to, from);
@@ -80,8 +81,8 @@
         }
     }
 
-    fn answer_without_connection(&mut self, packet: &Packet, payload: Payload) {
-        self.launch(Packet {
+    fn reply_without_endpoint(&mut self, packet: &Packet, payload: Payload) {
+        self.transmit(Packet {
             from: packet.to,
             to: packet.from,
             sender: 0,
@@ -91,17 +92,17 @@
         });
     }
 
-    fn endpoint_receives(&mut self, id: EndpointId, packet: Packet) {
+    fn deliver_to_endpoint(&mut self, id: EndpointId, packet: Packet) {
         let Some(endpoint) = self.connections.endpoints.get_mut(&id) else {
             if !matches!(packet.payload, Payload::Reset | Payload::Refused) {
-                self.answer_without_connection(&packet, Payload::Reset);
+                self.reply_without_endpoint(&packet, Payload::Reset);
             }
             return;
         };
         match packet.sequence {
-            None => self.process(id, packet.payload),
+            None => self.process_payload(id, packet.payload),
             Some(sequence) => {
-                endpoint.early.insert(sequence, packet.payload);
+                endpoint.out_of_order.insert(sequence, packet.payload);
                 self.process_in_order(id);
             }
         }
@@ -112,15 +113,15 @@
             let Some(endpoint) = self.connections.endpoints.get_mut(&id) else {
                 return;
             };
-            let Some(payload) = endpoint.early.remove(&endpoint.expected_sequence) else {
+            let Some(payload) = endpoint.out_of_order.remove(&endpoint.expected_sequence) else {
                 return;
             };
             endpoint.expected_sequence += 1;
-            self.process(id, payload);
+            self.process_payload(id, payload);
         }
     }
 
-    fn process(&mut self, id: EndpointId, payload: Payload) {
+    fn process_payload(&mut self, id: EndpointId, payload: Payload) {
         let Some(endpoint) = self.connections.endpoints.get_mut(&id) else {
             return;
         };
@@ -152,7 +153,8 @@
         self.wake(waker);
     }
 
-    /// Gives a sender room for `bytes` that the other side has read.
+    /// Frees `bytes` of the sender's window after `receiver` has read them. If the link is cut, the
+    /// credit is deferred.
     pub(super) fn credit_sender(&mut self, receiver: EndpointId, bytes: usize) {
         let Some(endpoint) = self.connections.endpoints.get(&receiver) else {
             return;
@@ -160,7 +162,7 @@
         let (host, remote_host, peer) = (endpoint.host, endpoint.remote_host, endpoint.peer);
         if self.is_blocked(host, remote_host) {
             if let Some(endpoint) = self.connections.endpoints.get_mut(&receiver) {
-                endpoint.held_credit += bytes;
+                endpoint.deferred_credit_bytes += bytes;
             }
             return;
         }
@@ -172,13 +174,13 @@
         self.wake(waker);
     }
 
-    /// Sends on what waits for links that are whole again.
-    pub(crate) fn release_held_packets(&mut self) {
-        for (link, packets) in std::mem::take(&mut self.held) {
+    /// Sends the packets and acknowledgements that waited for links which now work again.
+    pub(crate) fn resend_held_packets(&mut self) {
+        for (link, packets) in std::mem::take(&mut self.held_packets) {
             if self.is_blocked(link.0, link.1) {
-                self.held.insert(link, packets);
+                self.held_packets.insert(link, packets);
             } else {
-                packets.into_iter().for_each(|packet| self.launch(packet));
+                packets.into_iter().for_each(|packet| self.transmit(packet));
             }
         }
         self.release_endpoints();
@@ -190,13 +192,13 @@
             let Some(endpoint) = self.connections.endpoints.get(&id) else {
                 continue;
             };
-            let (here, there) = (endpoint.host, endpoint.remote_host);
-            let credit = endpoint.held_credit;
-            let sends = !self.is_blocked(here, there);
-            let is_whole = sends && !self.is_blocked(there, here);
+            let (local_host, peer_host) = (endpoint.host, endpoint.remote_host);
+            let credit = endpoint.deferred_credit_bytes;
+            let sends = !self.is_blocked(local_host, peer_host);
+            let is_whole = sends && !self.is_blocked(peer_host, local_host);
             if let Some(endpoint) = self.connections.endpoints.get_mut(&id) {
                 if sends {
-                    endpoint.held_credit = 0;
+                    endpoint.deferred_credit_bytes = 0;
                 }
                 if is_whole {
                     endpoint.stall = None;
--- a/crates/simulation/src/network/listener.rs
+++ b/crates/simulation/src/network/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners.
+//! Listeners for incoming connections.
 
 use std::collections::VecDeque;
 use std::future::poll_fn;
@@ -14,29 +14,34 @@
 use crate::network::stream::SimulatedStream;
 use crate::world::{SharedWorld, World};
 
-/// A bound listener as the network sees it.
+/// The network's side of a bound listener.
 pub(super) struct ListenerState {
     pub(super) host: HostId,
-    /// Connections that wait for `accept`.
+    /// Established connections that wait for `accept`.
     pub(super) waiting: VecDeque<EndpointId>,
     pub(super) waker: Option<Waker>,
 }
 
-/// A listener as the application holds it.
+/// The application's side of a listener.
 pub(super) struct SimulatedListener {
     world: SharedWorld,
     local: SocketAddr,
     host: HostId,
-    life: u64,
+    incarnation: u64,
 }
 
 impl SimulatedListener {
-    pub(super) fn new(world: SharedWorld, local: SocketAddr, host: HostId, life: u64) -> Self {
+    pub(super) fn new(
+        world: SharedWorld,
+        local: SocketAddr,
+        host: HostId,
+        incarnation: u64,
+    ) -> Self {
         Self {
             world,
             local,
             host,
-            life,
+            incarnation,
         }
     }
 
@@ -74,7 +79,7 @@
 impl Drop for SimulatedListener {
     fn drop(&mut self) {
         self.world.with(|world| {
-            if world.host(self.host).life == Some(self.life) {
+            if world.host(self.host).incarnation == Some(self.incarnation) {
                 world.remove_listener(self.local);
             }
         });
@@ -85,11 +90,11 @@
     pub(super) fn bind_listener(
         &mut self,
         host: HostId,
-        wish: SocketAddr,
+        requested: SocketAddr,
     ) -> io::Result<SocketAddr> {
         let is_taken =
             |world: &Self, address: SocketAddr| world.connections.listeners.contains_key(&address);
-        let local = self.local_address(host, wish, is_taken)?;
+        let local = self.local_address(host, requested, is_taken)?;
         let state = ListenerState {
             host,
             waiting: VecDeque::new(),
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Unbinds every listener of a host whose process ended.
+    /// Removes all listeners of a host whose process ended.
     pub(crate) fn remove_listeners_of(&mut self, host: HostId) {
         let listeners = &mut self.connections.listeners;
         listeners.retain(|_, listener| listener.host != host);
--- a/crates/simulation/src/network/stream.rs
+++ b/crates/simulation/src/network/stream.rs
@@ -1,4 +1,4 @@
-//! One end of a connection as the application holds it.
+//! The application's side of a connection.
 
 use std::future::poll_fn;
 use std::io;
@@ -10,7 +10,7 @@
 use crate::network::connection::{Endpoint, EndpointId, Payload, Phase};
 use crate::world::{SharedWorld, World};
 
-/// A stream of the virtual network.
+/// A connected stream. Dropping it closes the endpoint.
 pub(super) struct SimulatedStream {
     world: SharedWorld,
     endpoint: EndpointId,
@@ -21,7 +21,7 @@
         Self { world, endpoint }
     }
 
-    /// Waits for the listener's answer.
+    /// Waits until the listener has accepted or refused the connection.
     pub(super) async fn established(&self) -> io::Result<()> {
         poll_fn(|context| {
             self.with_endpoint(|_, endpoint| {
@@ -38,7 +38,8 @@
         .await
     }
 
-    /// Runs `action` on the end; one that its host lost is reset.
+    /// Runs `action` with the window size and the endpoint. Fails with `ConnectionReset` if the
+    /// endpoint no longer exists.
     fn with_endpoint<T>(
         &self,
         action: impl FnOnce(usize, &mut Endpoint) -> Poll<io::Result<T>>,
--- a/crates/simulation/src/settings.rs
+++ b/crates/simulation/src/settings.rs
@@ -1,19 +1,20 @@
-//! Settings of a run.
+//! Settings of a simulation.
 
 use std::time::Duration;
 
-/// One-way delays by distance. tokio's paused clock steps by 1 ms, so arrivals round up to that.
+/// One-way delays by distance. Tokio's timers have a resolution of 1 ms, so arrival times are
+/// rounded up to whole milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatencySettings {
-    /// From a host to itself.
+    /// Within one host.
     pub same_host: Duration,
-    /// Between hosts of one zone.
+    /// Between two hosts of the same zone.
     pub same_zone: Duration,
-    /// Between zones of one region.
+    /// Between two zones of the same region.
     pub same_region: Duration,
-    /// Between regions.
+    /// Between two regions.
     pub between_regions: Duration,
-    /// Largest random addition to each packet's delay.
+    /// Maximum random delay added to each packet between two hosts.
     pub jitter: Duration,
 }
 
@@ -29,40 +30,40 @@
     }
 }
 
-/// Faults of datagrams. Probabilities lie between 0 and 1.
+/// Datagram faults. Probabilities must be between 0 and 1.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct DatagramFaults {
     /// Probability that a datagram is lost.
     pub loss: f64,
     /// Probability that a datagram arrives twice.
     pub duplication: f64,
-    /// Probability that a datagram is late, so that others overtake it.
+    /// Probability that a datagram is delayed further, so that later ones can overtake it.
     pub reordering: f64,
-    /// Largest addition to the delay of a late datagram.
+    /// Maximum additional delay of a reordered datagram.
     pub reordering_delay: Duration,
 }
 
-/// Settings of a run.
+/// Settings of a simulation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SimulationSettings {
-    /// Seed of every random choice.
+    /// Seed from which all random choices are derived.
     pub seed: u64,
-    /// Delays of the network.
+    /// Network delays.
     pub latency: LatencySettings,
-    /// Faults of datagrams at the start.
+    /// Initial datagram faults.
     pub datagram_faults: DatagramFaults,
-    /// Time after which a sender gives a connection up whose bytes are not acknowledged.
+    /// Time without an acknowledgement after which a sender aborts a connection.
     pub retransmission_limit: Duration,
-    /// Bytes that a sender may have under way before the receiver reads them.
+    /// Maximum number of bytes per direction of a connection that were sent but not yet read.
     pub window_bytes: usize,
-    /// Polls of one host at one instant after which it counts as stuck in a busy loop.
+    /// Number of polls at one instant above which a host is considered stuck in a busy loop.
     pub polls_per_instant_limit: u32,
-    /// Entries that the trace keeps; later ones are only hashed.
+    /// Maximum number of trace entries kept. Later entries only go into the hash.
     pub trace_capacity: usize,
 }
 
 impl SimulationSettings {
-    /// The default settings with `seed`.
+    /// Returns the default settings with the given seed.
     #[must_use]
     pub fn with_seed(seed: u64) -> Self {
         Self {
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,4 +1,4 @@
-//! A run: the paused tokio runtime, its hosts and the virtual network.
+//! The simulation run: a paused tokio runtime, the hosts and the virtual network.
 
 use std::future::{Future, poll_fn};
 use std::rc::Rc;
@@ -16,31 +16,31 @@
 use crate::trace::Trace;
 use crate::world::SharedWorld;
 
-/// Step between two looks at the condition of [`Simulation::run_until`].
+/// Virtual time between two evaluations of the condition in [`Simulation::run_until`].
 const CONDITION_STEP: Duration = Duration::from_millis(1);
 
-/// The condition of [`Simulation::run_until`] did not come true in time.
+/// The condition passed to [`Simulation::run_until`] did not hold within the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the condition did not come true within {limit:?} of virtual time")]
 pub struct LimitReached {
-    /// The limit.
+    /// Virtual time that was allowed.
     pub limit: Duration,
 }
 
-/// A simulated system.
+/// A simulated system of hosts that are connected by a virtual network.
 pub struct Simulation {
     handle: SimulationHandle,
-    // Dropped before the runtime, since its tasks hold timers.
+    // Must be dropped before the runtime because its tasks hold timers.
     tasks: Option<LocalSet>,
     runtime: tokio::runtime::Runtime,
     settings: SimulationSettings,
 }
 
 impl Simulation {
-    /// An empty system at virtual time zero.
+    /// Creates a system without hosts at virtual time zero.
     ///
     /// # Panics
-    /// When the operating system gives tokio no resources.
+    /// If the tokio runtime cannot be created.
     #[must_use]
     pub fn new(settings: SimulationSettings) -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -67,10 +67,10 @@
         self.tasks.as_ref().expect("present until the drop")
     }
 
-    /// Adds a host and starts it. `main` makes the main task of each of its lives.
+    /// Adds a host and starts it. `main` is called for each incarnation to create its main task.
     ///
     /// # Panics
-    /// When another host has the address.
+    /// If another host already has the same IP address.
     pub fn add_host<F, M>(&mut self, spec: HostSpec, main: F) -> HostId
     where
         F: Fn(Runtime) -> M + 'static,
@@ -79,7 +79,7 @@
         let _inside = self.runtime.enter();
         let world = &self.handle.world;
         let id = world.with(|world| world.add_host(spec));
-        // `main` itself runs inside the life's tasks too, where its panic is noticed.
+        // `main` is called inside the host's task so that a panic in it is recorded.
         let main = Rc::new(main);
         let factory = Box::new(move |runtime| {
             let main = Rc::clone(&main);
@@ -91,14 +91,15 @@
         id
     }
 
-    /// Adds a host that runs nothing of its own, and returns the surroundings for a driver's clients.
+    /// Adds a host whose main task is idle and returns the runtime of its first incarnation, for
+    /// clients that a test drives itself.
     ///
     /// # Panics
-    /// When another host has the address.
+    /// If another host already has the same IP address.
     pub fn add_client(&mut self, spec: HostSpec) -> (HostId, Runtime) {
         let (sender, receiver) = std::sync::mpsc::channel();
         let id = self.add_host(spec, move |runtime| {
-            // Later lives find the receiver gone: the driver holds the first one.
+            // Only the first incarnation's runtime is returned; later sends fail.
             let _unused_later = sender.send(runtime);
             std::future::pending()
         });
@@ -107,13 +108,13 @@
         (id, runtime)
     }
 
-    /// Applies faults and tells the state of hosts; clones may be moved into a driver.
+    /// Returns a handle that injects faults and queries hosts. It can be cloned into a driver.
     #[must_use]
     pub fn handle(&self) -> SimulationHandle {
         self.handle.clone()
     }
 
-    /// Applies a schedule's faults at their times, counted from now, while the run goes on.
+    /// Injects the faults of a schedule at their times, measured from now, during later runs.
     pub fn schedule(&mut self, schedule: FaultSchedule) {
         let handle = self.handle.clone();
         let _inside = self.runtime.enter();
@@ -126,10 +127,10 @@
         });
     }
 
-    /// Runs `driver` outside of the hosts until it ends.
+    /// Runs the simulation until `driver` completes. The driver belongs to no host.
     ///
     /// # Panics
-    /// When a task of a host panicked or a host fell into a busy loop.
+    /// If a task of a host panicked or a host is stuck in a busy loop.
     pub fn block_on<D: Future>(&mut self, driver: D) -> D::Output {
         let output = self.tasks().block_on(&self.runtime, driver);
         let panics = self.handle.take_panics();
@@ -137,22 +138,22 @@
         output
     }
 
-    /// Lets virtual time pass.
+    /// Runs the simulation for `duration` of virtual time.
     ///
     /// # Panics
-    /// As [`Self::block_on`].
+    /// See [`Self::block_on`].
     pub fn run_for(&mut self, duration: Duration) {
         self.block_on(async move { tokio::time::sleep(duration).await });
     }
 
-    /// Lets virtual time pass until `condition` holds. It is looked at once a millisecond, before the
-    /// hosts run, so the run may go on for a millisecond after it came true.
+    /// Runs the simulation until `condition` holds. The condition is evaluated once per virtual
+    /// millisecond, before the hosts run, so the run may end up to a millisecond late.
     ///
     /// # Errors
-    /// [`LimitReached`] when it does not hold after `limit`.
+    /// [`LimitReached`] if the condition does not hold within `limit`.
     ///
     /// # Panics
-    /// As [`Self::block_on`].
+    /// See [`Self::block_on`].
     pub fn run_until(
         &mut self,
         mut condition: impl FnMut() -> bool,
@@ -172,7 +173,7 @@
         })
     }
 
-    /// What happened so far.
+    /// Returns a copy of the trace recorded so far.
     #[must_use]
     pub fn trace(&self) -> Trace {
         self.handle.trace()
@@ -186,7 +187,7 @@
     }
 }
 
-/// Lets each network event happen at its time.
+/// Processes each network event when it is due.
 async fn run_network(world: SharedWorld) {
     let mut timer: Option<std::pin::Pin<Box<Sleep>>> = None;
     poll_fn(move |context: &mut Context<'_>| {
--- a/crates/simulation/src/spawner.rs
+++ b/crates/simulation/src/spawner.rs
@@ -1,4 +1,4 @@
-//! Tasks of one life of a host.
+//! Task spawning for one incarnation of a host.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,10 +6,10 @@
 use futures::task::AtomicWaker;
 use ponddrift_runtime::Spawner;
 
-/// Tasks that a life of a host has asked for and that its `LocalSet` has not taken over yet.
+/// Spawned tasks that the incarnation's `LocalSet` has not taken over yet.
 ///
-/// A queue, and not `spawn_local`: a task belongs to its host whoever calls [`Spawner::spawn`], even
-/// a destructor or another host.
+/// A queue is used instead of `spawn_local` because a task must run on its own host even if
+/// [`Spawner::spawn`] is called from a destructor or from another host.
 #[derive(Default)]
 pub(crate) struct SpawnQueue {
     state: Mutex<QueueState>,
@@ -23,13 +23,13 @@
 }
 
 impl SpawnQueue {
-    /// Takes the waiting tasks, and wakes the caller's task at the next one.
+    /// Takes all queued tasks and registers `waker` to be woken when the next one is spawned.
     pub(crate) fn take(&self, waker: &std::task::Waker) -> Vec<BoxFuture<'static, ()>> {
         self.waker.register(waker);
         std::mem::take(&mut self.lock().tasks)
     }
 
-    /// Ends the life: waiting and later tasks are dropped unrun.
+    /// Closes the queue. Queued and later tasks are dropped without being run.
     pub(crate) fn close(&self) {
         let tasks = {
             let mut state = self.lock();
@@ -44,12 +44,12 @@
     }
 }
 
-/// Spawns into one life of one host.
+/// Spawns tasks into one incarnation of a host.
 pub(crate) struct SimulatedSpawner(pub(crate) Arc<SpawnQueue>);
 
 impl Spawner for SimulatedSpawner {
     fn spawn(&self, task: BoxFuture<'static, ()>) {
-        let refused = {
+        let rejected = {
             let mut state = self.0.lock();
             if state.closed {
                 Some(task)
@@ -58,7 +58,7 @@
                 None
             }
         };
-        drop(refused);
+        drop(rejected);
         self.0.waker.wake();
     }
 }
--- a/crates/simulation/src/trace.rs
+++ b/crates/simulation/src/trace.rs
@@ -1,4 +1,4 @@
-//! What happened in a run, and its hash.
+//! Record of the events of a simulation, and their hash.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,89 +8,90 @@
 
 use crate::host::HostId;
 
-/// Why a datagram did not arrive.
+/// Reason why a datagram was not delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DropReason {
-    /// Lost at random.
+    /// Random loss.
     Loss,
-    /// The link is cut, or the machine is off.
+    /// The link is cut, the machine is off, or no host has the address.
     Unreachable,
-    /// No socket is bound to the target.
+    /// No socket is bound to the target address.
     NoSocket,
-    /// The target's buffer is full.
+    /// The receive buffer of the target socket is full.
     BufferFull,
 }
 
-/// One event of a run.
+/// One event of a simulation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TraceEvent {
-    /// A host began a life.
+    /// A host was started.
     HostStarted {
         /// The host.
         host: HostId,
-        /// Counts its lives from 1.
-        life: u64,
+        /// Number of the host's incarnation, starting at 1.
+        incarnation: u64,
     },
     /// A host's process was killed.
     HostKilled(HostId),
-    /// A host's machine lost its power.
+    /// A host's machine was powered off.
     HostPoweredOff(HostId),
-    /// A host's main task ended.
+    /// A host's main task completed.
     HostExited(HostId),
-    /// A host stopped running its tasks.
+    /// A host's tasks were suspended.
     HostFrozen(HostId),
-    /// A frozen host runs again.
+    /// A frozen host was resumed.
     HostThawed(HostId),
     /// A task of a host panicked.
     HostPanicked {
         /// The host.
         host: HostId,
-        /// The panic's message.
+        /// Panic message.
         message: String,
     },
-    /// Packets from one host to another no longer arrive.
+    /// The link from one host to another was cut.
     LinkCut {
         /// Sender.
         from: HostId,
         /// Receiver.
         to: HostId,
     },
-    /// Packets from one host to another arrive again.
+    /// The link from one host to another was restored.
     LinkHealed {
         /// Sender.
         from: HostId,
         /// Receiver.
         to: HostId,
     },
-    /// A connection reached a listener.
+    /// A connection request reached a listener.
     Connected {
-        /// Caller.
+        /// Client address.
         from: SocketAddr,
-        /// Listener.
+        /// Listener address.
         to: SocketAddr,
     },
-    /// A connection found no listener.
+    /// A connection request was refused: no listener, or its backlog was full.
     ConnectionRefused {
-        /// Caller.
+        /// Client address.
         from: SocketAddr,
-        /// Target.
+        /// Requested address.
         to: SocketAddr,
     },
-    /// An end of a connection learnt that the other is gone.
+    /// An endpoint of a connection received a reset.
     ConnectionReset {
-        /// The end that learnt it.
+        /// Address of the endpoint that received the reset.
         local: SocketAddr,
-        /// The other end.
+        /// Address of the remote endpoint.
         remote: SocketAddr,
     },
-    /// A sender gave a connection up.
+    /// A sender aborted a connection because its bytes were not acknowledged in time.
     ConnectionTimedOut {
-        /// The sender.
+        /// Address of the sender.
         local: SocketAddr,
-        /// The other end.
+        /// Address of the remote endpoint.
         remote: SocketAddr,
     },
-    /// Bytes arrived. Their number is left out: a `Date` header makes it depend on the real time.
+    /// Stream bytes arrived. Their number is not recorded because it can depend on the real time,
+    /// for example through a `Date` header.
     SegmentDelivered {
         /// Sender.
         from: SocketAddr,
@@ -103,29 +104,29 @@
         from: SocketAddr,
         /// Receiver.
         to: SocketAddr,
-        /// Its length.
+        /// Length in bytes.
         bytes: usize,
     },
-    /// A datagram did not arrive.
+    /// A datagram was not delivered.
     DatagramDropped {
         /// Sender.
         from: SocketAddr,
         /// Receiver.
         to: SocketAddr,
-        /// Why.
+        /// Reason for the drop.
         reason: DropReason,
     },
-    /// Something the application noted.
+    /// An application-defined note.
     Note {
-        /// Who noted it.
+        /// Source of the note.
         source: String,
-        /// What.
+        /// Content of the note.
         text: String,
     },
 }
 
 impl TraceEvent {
-    /// Whether the event is hashed without being kept, because there are very many of its kind.
+    /// Whether the event is only hashed, not kept, because such events are very frequent.
     const fn is_only_hashed(&self) -> bool {
         matches!(self, Self::SegmentDelivered { .. })
     }
@@ -134,7 +135,9 @@
 impl fmt::Display for TraceEvent {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::HostStarted { host, life } => write!(formatter, "start {host} life {life}"),
+            Self::HostStarted { host, incarnation } => {
+                write!(formatter, "start {host} life {incarnation}")
+            }
             Self::HostKilled(host) => write!(formatter, "kill {host}"),
             Self::HostPoweredOff(host) => write!(formatter, "power-off {host}"),
             Self::HostExited(host) => write!(formatter, "exit {host}"),
@@ -163,12 +166,12 @@
     }
 }
 
-/// An event and its virtual time.
+/// An event and the virtual time at which it occurred.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TraceEntry {
-    /// Time since the run began.
+    /// Virtual time since the simulation was created.
     pub at: Duration,
-    /// What happened.
+    /// Event.
     pub event: TraceEvent,
 }
 
@@ -178,7 +181,7 @@
     }
 }
 
-/// The events of a run in order.
+/// The events of a simulation in the order in which they occurred.
 #[derive(Clone)]
 pub struct Trace {
     entries: Vec<TraceEntry>,
@@ -204,13 +207,13 @@
         }
     }
 
-    /// The entries that were kept: the first ones, without delivered segments.
+    /// Returns the kept entries: those up to the capacity, without delivered segments.
     #[must_use]
     pub fn entries(&self) -> &[TraceEntry] {
         &self.entries
     }
 
-    /// Hash of every event and its time, kept or not.
+    /// Returns the hash over all events and their times, whether kept or not.
     #[must_use]
     pub fn hash(&self) -> u64 {
         self.hash.digest()
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,4 +1,4 @@
-//! State that all hosts share: hosts, links and the queue of coming network events.
+//! State shared by all hosts: hosts, links and the queue of pending network events.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
@@ -16,10 +16,10 @@
 use crate::settings::{DatagramFaults, SimulationSettings};
 use crate::trace::{Trace, TraceEvent};
 
-/// First port that a host hands out itself.
+/// First port of the ephemeral range.
 const FIRST_EPHEMERAL_PORT: u16 = 32_768;
 
-/// The world behind its lock. Everything runs on one thread, so the lock is never contended.
+/// Shared [`World`]. Everything runs on one thread, so the lock is never contended.
 #[derive(Clone)]
 pub(crate) struct SharedWorld {
     world: Arc<Mutex<World>>,
@@ -35,9 +35,10 @@
         Self { world, runtime }
     }
 
-    /// Runs `action` on the world, and wakes whom it woke only after the lock is free again.
+    /// Runs `action` on the world. Wakers that it queued are called only after the lock is
+    /// released.
     pub(crate) fn with<R>(&self, action: impl FnOnce(&mut World) -> R) -> R {
-        // Outside of the runtime, `Instant::now` would tell the real time.
+        // Outside of the runtime, `Instant::now` would return the real time.
         let _virtual_time = self.runtime.enter();
         let (result, wakers) = {
             let mut world = self.world.lock().unwrap_or_else(PoisonError::into_inner);
@@ -49,20 +50,20 @@
     }
 }
 
-/// One host as the network and the faults see it.
+/// State of one host that the network and fault injection use.
 pub(crate) struct Host {
     pub(crate) spec: HostSpec,
-    /// The life that runs; `None` when dead.
-    pub(crate) life: Option<u64>,
-    lives: u64,
+    /// Number of the running incarnation, or `None` while the host is down.
+    pub(crate) incarnation: Option<u64>,
+    incarnation_count: u64,
     frozen: bool,
-    /// Whether its machine has power: without it nothing answers, not even with a refusal.
+    /// Whether the machine is on. A machine that is off does not even refuse connections.
     powered: bool,
     next_port: u16,
     waker: Option<Waker>,
 }
 
-/// A direction between two hosts.
+/// One direction of the connection between two hosts: sender, receiver.
 pub(crate) type Link = (HostId, HostId);
 
 pub(crate) struct World {
@@ -73,13 +74,13 @@
     pub(crate) panics: Vec<String>,
     pub(crate) connections: Connections,
     pub(crate) datagrams: DatagramSockets,
-    /// Packets of connections that wait for a link to heal.
-    pub(crate) held: BTreeMap<Link, VecDeque<Packet>>,
+    /// Stream packets that wait for a link to be restored.
+    pub(crate) held_packets: BTreeMap<Link, VecDeque<Packet>>,
     hosts: Vec<Host>,
-    by_address: BTreeMap<IpAddr, HostId>,
-    /// How far the time of day of a host is ahead of the true one, in milliseconds.
-    clock_steps_ms: BTreeMap<HostId, i64>,
-    cut: BTreeSet<Link>,
+    host_by_ip: BTreeMap<IpAddr, HostId>,
+    /// Offset of each host's time of day from the simulated time, in milliseconds.
+    clock_offsets_ms: BTreeMap<HostId, i64>,
+    down_links: BTreeSet<Link>,
     events: BTreeMap<(Instant, u64), Event>,
     next_event: u64,
     start: Instant,
@@ -97,11 +98,11 @@
             panics: Vec::new(),
             connections: Connections::default(),
             datagrams: DatagramSockets::default(),
-            held: BTreeMap::new(),
+            held_packets: BTreeMap::new(),
             hosts: Vec::new(),
-            by_address: BTreeMap::new(),
-            clock_steps_ms: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            host_by_ip: BTreeMap::new(),
+            clock_offsets_ms: BTreeMap::new(),
+            down_links: BTreeSet::new(),
             events: BTreeMap::new(),
             next_event: 0,
             start: Instant::now(),
@@ -114,12 +115,15 @@
         self.start.elapsed()
     }
 
-    pub(crate) fn clock_step_ms(&self, host: HostId) -> i64 {
-        self.clock_steps_ms.get(&host).copied().unwrap_or_default()
+    pub(crate) fn clock_offset_ms(&self, host: HostId) -> i64 {
+        self.clock_offsets_ms
+            .get(&host)
+            .copied()
+            .unwrap_or_default()
     }
 
     pub(crate) fn set_clock_offset(&mut self, host: HostId, ahead_ms: i64) {
-        self.clock_steps_ms.insert(host, ahead_ms);
+        self.clock_offsets_ms.insert(host, ahead_ms);
     }
 
     pub(crate) fn record(&mut self, event: TraceEvent) {
@@ -141,7 +145,7 @@
         self.wake(waker);
     }
 
-    /// Handles every event that is due. Returns when the next one is.
+    /// Processes all due events. Returns the time of the next event, if there is one.
     pub(crate) fn handle_due_events(&mut self, waker: &Waker) -> Option<Instant> {
         let now = Instant::now();
         while let Some(entry) = self.events.first_entry() {
@@ -160,18 +164,18 @@
 
     pub(crate) fn add_host(&mut self, spec: HostSpec) -> HostId {
         let id = HostId(u32::try_from(self.hosts.len()).expect("fewer than 2^32 hosts"));
-        let taken = self.by_address.insert(spec.ip, id);
+        let taken = self.host_by_ip.insert(spec.ip, id);
         assert!(taken.is_none(), "address {} is given twice", spec.ip);
         self.hosts.push(Host {
             spec,
-            life: None,
-            lives: 0,
+            incarnation: None,
+            incarnation_count: 0,
             frozen: false,
             powered: true,
             next_port: FIRST_EPHEMERAL_PORT,
             waker: None,
         });
-        self.start_life(id);
+        self.start_incarnation(id);
         id
     }
 
@@ -184,7 +188,7 @@
     }
 
     pub(crate) fn host_ids(&self) -> Vec<HostId> {
-        self.by_address
+        self.host_by_ip
             .values()
             .copied()
             .collect::<BTreeSet<_>>()
@@ -193,13 +197,13 @@
     }
 
     pub(crate) fn host_at(&self, ip: IpAddr) -> Option<HostId> {
-        self.by_address.get(&ip).copied()
+        self.host_by_ip.get(&ip).copied()
     }
 
-    /// Seed of one life of a host.
-    pub(crate) fn host_seed(&self, id: HostId, life: u64) -> u64 {
+    /// Returns the random seed of one incarnation of a host.
+    pub(crate) fn host_seed(&self, id: HostId, incarnation: u64) -> u64 {
         let name = &self.host(id).spec.name;
-        let stream = format!("host {name} life {life}");
+        let stream = format!("host {name} life {incarnation}");
         seeded(self.settings.seed, &stream).random()
     }
 
@@ -207,7 +211,7 @@
         let host = self.host_mut(id);
         host.waker = Some(waker.clone());
         HostControl {
-            life: host.life,
+            incarnation: host.incarnation,
             frozen: host.frozen,
         }
     }
@@ -217,64 +221,67 @@
         self.wake(waker);
     }
 
-    fn start_life(&mut self, id: HostId) {
+    fn start_incarnation(&mut self, id: HostId) {
         let host = self.host_mut(id);
-        host.lives += 1;
-        let life = host.lives;
-        host.life = Some(life);
-        self.record(TraceEvent::HostStarted { host: id, life });
+        host.incarnation_count += 1;
+        let incarnation = host.incarnation_count;
+        host.incarnation = Some(incarnation);
+        self.record(TraceEvent::HostStarted {
+            host: id,
+            incarnation,
+        });
         self.wake_host(id);
     }
 
-    /// Starts a dead host with empty memory. A running one is killed first.
+    /// Starts a new incarnation of a host, without any state. A running one is killed first.
     pub(crate) fn restart_host(&mut self, id: HostId) {
         self.kill_host(id);
         let was_off = !std::mem::replace(&mut self.host_mut(id).powered, true);
-        self.start_life(id);
+        self.start_incarnation(id);
         if was_off {
-            self.release_held_packets();
+            self.resend_held_packets();
         }
     }
 
-    /// Ends a host's process. Its machine resets the connections.
+    /// Kills a host's process. Its operating system resets the open connections.
     pub(crate) fn kill_host(&mut self, id: HostId) {
-        if self.host(id).life.is_some() {
+        if self.host(id).incarnation.is_some() {
             self.record(TraceEvent::HostKilled(id));
             self.reset_connections_of(id);
-            self.end_life(id);
+            self.end_incarnation(id);
         }
     }
 
-    /// Takes the power of a host's machine away: nobody is told.
+    /// Powers off a host's machine. Peers are not notified.
     pub(crate) fn power_off_host(&mut self, id: HostId) {
         if self.host(id).powered {
             self.record(TraceEvent::HostPoweredOff(id));
             self.host_mut(id).powered = false;
             self.forget_connections_of(id);
-            self.end_life(id);
+            self.end_incarnation(id);
         }
     }
 
-    fn end_life(&mut self, id: HostId) {
+    fn end_incarnation(&mut self, id: HostId) {
         let host = self.host_mut(id);
-        host.life = None;
+        host.incarnation = None;
         host.frozen = false;
         self.remove_listeners_of(id);
         self.datagrams.remove_host(id);
         self.wake_host(id);
     }
 
-    /// The main task of a life ended by itself; its sockets were closed with the `LocalSet`.
-    pub(crate) fn host_exited(&mut self, id: HostId, life: u64) {
-        if self.host(id).life == Some(life) {
+    /// Handles the end of a host's main task. Dropping the `LocalSet` has closed its sockets.
+    pub(crate) fn handle_host_exit(&mut self, id: HostId, incarnation: u64) {
+        if self.host(id).incarnation == Some(incarnation) {
             self.record(TraceEvent::HostExited(id));
             self.reset_connections_of(id);
-            self.end_life(id);
+            self.end_incarnation(id);
         }
     }
 
-    /// A host never lets the virtual time pass.
-    pub(crate) fn host_stuck(&mut self, id: HostId) {
+    /// Kills a host that keeps running without letting virtual time advance.
+    pub(crate) fn kill_stuck_host(&mut self, id: HostId) {
         let limit = self.settings.polls_per_instant_limit;
         let message = format!("busy loop: polled more than {limit} times at one instant");
         self.record_panic(id, message);
@@ -283,7 +290,7 @@
 
     pub(crate) fn set_frozen(&mut self, id: HostId, frozen: bool) {
         let host = self.host_mut(id);
-        if host.life.is_none() || host.frozen == frozen {
+        if host.incarnation.is_none() || host.frozen == frozen {
             return;
         }
         host.frozen = frozen;
@@ -296,14 +303,14 @@
     }
 
     pub(crate) fn is_running(&self, id: HostId) -> bool {
-        self.host(id).life.is_some()
+        self.host(id).incarnation.is_some()
     }
 
     pub(crate) fn is_frozen(&self, id: HostId) -> bool {
         self.host(id).frozen
     }
 
-    /// A local port that is free for `is_taken`.
+    /// Returns the next ephemeral port for which `is_taken` is false, or `None` if there is none.
     pub(crate) fn free_port(
         &mut self,
         id: HostId,
@@ -327,27 +334,27 @@
     // Links.
 
     pub(crate) fn is_blocked(&self, from: HostId, to: HostId) -> bool {
-        self.cut.contains(&(from, to)) || !self.host(to).powered
+        self.down_links.contains(&(from, to)) || !self.host(to).powered
     }
 
     pub(crate) fn cut_link(&mut self, from: HostId, to: HostId) {
-        if from != to && self.cut.insert((from, to)) {
+        if from != to && self.down_links.insert((from, to)) {
             self.record(TraceEvent::LinkCut { from, to });
         }
     }
 
     pub(crate) fn heal_link(&mut self, from: HostId, to: HostId) {
-        if self.cut.remove(&(from, to)) {
+        if self.down_links.remove(&(from, to)) {
             self.record(TraceEvent::LinkHealed { from, to });
-            self.release_held_packets();
+            self.resend_held_packets();
         }
     }
 
     pub(crate) fn cut_links(&self) -> Vec<Link> {
-        self.cut.iter().copied().collect()
+        self.down_links.iter().copied().collect()
     }
 
-    /// Delay of one packet, with its jitter.
+    /// Draws the delay of one packet, including jitter.
     pub(crate) fn draw_delay(&mut self, from: HostId, to: HostId) -> Duration {
         let latency = self.settings.latency;
         if from == to {
@@ -364,8 +371,8 @@
         base + self.draw_up_to(latency.jitter)
     }
 
-    pub(crate) fn draw_up_to(&mut self, longest: Duration) -> Duration {
-        let microseconds = u64::try_from(longest.as_micros()).unwrap_or(u64::MAX);
+    pub(crate) fn draw_up_to(&mut self, max: Duration) -> Duration {
+        let microseconds = u64::try_from(max.as_micros()).unwrap_or(u64::MAX);
         if microseconds == 0 {
             return Duration::ZERO;
         }
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -1,4 +1,4 @@
-//! One seed gives one trace.
+//! Guards against nondeterminism: the same seed must always produce the same trace.
 
 mod support;
 
@@ -25,7 +25,7 @@
 const HOSTS: u8 = 5;
 const HORIZON: Duration = Duration::from_secs(30);
 
-/// Counts the requests of one life.
+/// Counts the requests of one incarnation of a host.
 #[derive(xtra::Actor)]
 struct Counter(u64);
 
@@ -52,7 +52,7 @@
     Arc::new(handle)
 }
 
-/// A server with an actor behind it, a client that asks random peers, and gossip by datagrams.
+/// Runs an HTTP server backed by an actor, a client that calls random peers, and datagram gossip.
 async fn node(runtime: Runtime, number: u8, tracer: Tracer) {
     let (counter, mailbox) = Mailbox::unbounded();
     runtime
@@ -133,20 +133,20 @@
         hosts: handle.hosts(),
         horizon: HORIZON,
         faults: 40,
-        shortest: Duration::from_millis(100),
-        longest: Duration::from_secs(4),
+        min_duration: Duration::from_millis(100),
+        max_duration: Duration::from_secs(4),
         weights: FaultWeights::default(),
     };
     simulation.schedule(FaultSchedule::generate(seed, &plan));
     simulation.run_for(HORIZON + Duration::from_secs(5));
-    // A fault from between two runs has to be as deterministic as one from inside.
+    // A fault injected between two runs must be deterministic, too.
     handle.kill(handle.hosts()[0]);
     simulation.run_for(Duration::from_secs(1));
     simulation.trace()
 }
 
 #[test]
-fn one_seed_gives_one_trace_and_another_seed_another() {
+fn same_seed_gives_same_trace_and_other_seeds_differ() {
     let first = run(7);
     assert!(first.entries().len() > 1_000, "{}", first.entries().len());
     for _ in 0..3 {
--- a/crates/simulation/tests/fault_schedule.rs
+++ b/crates/simulation/tests/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules are seeded, printed, read back, and leave everything whole.
+//! Fault schedules must be reproducible, parse from their own text, and repair every fault.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
         hosts: (0..6).map(HostId).collect(),
         horizon: Duration::from_secs(60),
         faults: 100,
-        shortest: Duration::from_millis(50),
-        longest: Duration::from_secs(10),
+        min_duration: Duration::from_millis(50),
+        max_duration: Duration::from_secs(10),
         weights: FaultWeights::default(),
     }
 }
 
-/// What is broken after a schedule.
+/// Faults that have not been repaired yet.
 #[derive(Default)]
-struct Broken {
+struct UnrepairedFaults {
     hosts: Vec<HostId>,
     links: Vec<(HostId, HostId)>,
 }
 
-impl Broken {
+impl UnrepairedFaults {
     fn apply(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(host) | Fault::PowerOff(host) | Fault::Freeze(host) => {
@@ -40,19 +40,19 @@
 }
 
 #[test]
-fn every_schedule_ends_whole_within_its_horizon() {
+fn every_schedule_repairs_all_faults_within_its_horizon() {
     for seed in 0..200 {
         let schedule = FaultSchedule::generate(seed, &plan());
         assert!(schedule.faults.len() > 40, "{}", schedule.faults.len());
-        let mut broken = Broken::default();
+        let mut unrepaired = UnrepairedFaults::default();
         let mut last = Duration::ZERO;
         for scheduled in &schedule.faults {
             assert!(scheduled.at >= last && scheduled.at <= plan().horizon);
             last = scheduled.at;
-            broken.apply(scheduled.fault);
+            unrepaired.apply(scheduled.fault);
         }
         assert!(
-            broken.hosts.is_empty() && broken.links.is_empty(),
+            unrepaired.hosts.is_empty() && unrepaired.links.is_empty(),
             "{schedule}"
         );
     }
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_wrong_line_is_named() {
+fn parse_error_names_the_invalid_line() {
     let error = "10 kill 1\n20 cut 1\n"
         .parse::<FaultSchedule>()
         .expect_err("one host");
--- a/crates/simulation/tests/hosts.rs
+++ b/crates/simulation/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts are frozen, killed and started again as a whole.
+//! Guards against tasks that escape their host when it is frozen, killed or restarted.
 
 mod support;
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// Spawns the ticker through the spawner, so that the test covers spawned tasks.
+/// Runs the ticker as a task of the spawner, so that the tests cover spawned tasks.
 async fn spawn_ticker(runtime: Runtime, ticks: Log<u64>) {
     let task = tick(runtime.clone(), ticks);
     runtime.spawner.spawn(Box::pin(task));
@@ -138,7 +138,8 @@
     simulation.add_host(host(1), move |runtime| spawn_ticker(runtime, log.clone()));
     let reached = simulation.run_until(|| ticks.values().len() == 3, Duration::from_secs(9));
     assert_eq!(reached, Ok(()));
-    // The third tick is at 2 s; the condition is looked at once a millisecond, before the hosts run.
+    // The third tick is at 2 s, but the condition is evaluated each millisecond before the hosts
+    // run.
     assert_eq!(simulation.handle().elapsed(), Duration::from_millis(2_001));
     let missed = simulation.run_until(|| ticks.values().len() == 9, Duration::from_secs(3));
     assert!(missed.is_err());
--- a/crates/simulation/tests/http.rs
+++ b/crates/simulation/tests/http.rs
@@ -1,4 +1,4 @@
-//! hyper on both sides over the virtual network.
+//! HTTP/1.1 and HTTP/2 over the virtual network: interrupted answers must never look complete.
 
 mod support;
 
@@ -21,10 +21,10 @@
 const PIECES: u64 = 20;
 const PIECE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Streams a body for a second, and logs when a request ended or was dropped.
+/// Streams a body for one second, and logs when it was completed and when it was dropped.
 fn handler(ends: Log<&'static str>) -> Arc<dyn Handler> {
     let handle = move |_request: Request<Incoming>, _peer| -> BoxFuture<'static, Response<Body>> {
-        let end = EndNote(ends.clone());
+        let end = DropRecorder(ends.clone());
         let pieces = stream::unfold((0, end), |(count, end)| async move {
             if count == PIECES {
                 end.0.push("complete");
@@ -38,9 +38,9 @@
     Arc::new(handle)
 }
 
-struct EndNote(Log<&'static str>);
+struct DropRecorder(Log<&'static str>);
 
-impl Drop for EndNote {
+impl Drop for DropRecorder {
     fn drop(&mut self) {
         self.0.push("dropped");
     }
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_cancels_its_request() {
+fn a_killed_client_cancels_its_request() {
     for version in [Version::HTTP_11, Version::HTTP_2] {
         let mut simulation = simulation(1);
         let (_server, ends) = add_server(&mut simulation);
--- a/crates/simulation/tests/network.rs
+++ b/crates/simulation/tests/network.rs
@@ -1,4 +1,4 @@
-//! Streams and datagrams fail as TCP and UDP do.
+//! Checks that streams and datagrams fail in the same ways as TCP and UDP.
 
 mod support;
 
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_killed_process_resets_and_a_machine_without_power_is_silent() {
+fn a_killed_process_resets_connections_and_a_powered_off_machine_does_not() {
     let mut pair = echo_pair(1);
     let (handle, server) = (pair.simulation.handle(), pair.server);
     let network = pair.runtime.network;
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_short_cut_delays_and_a_long_one_breaks() {
+fn a_short_link_cut_delays_and_a_long_one_breaks_connections() {
     for one_way in [false, true] {
         let mut pair = echo_pair(1);
         let (handle, server, client) = (pair.simulation.handle(), pair.server, pair.client);
@@ -179,8 +179,8 @@
                 .expect("what waited arrives");
             assert_eq!(&answer, b"kept");
             cut();
-            let broken = exchange(&mut stream, "lost").await.expect_err("too long");
-            assert_eq!(broken.kind(), ErrorKind::TimedOut, "one way: {one_way}");
+            let unrepaired = exchange(&mut stream, "lost").await.expect_err("too long");
+            assert_eq!(unrepaired.kind(), ErrorKind::TimedOut, "one way: {one_way}");
             handle.heal_all();
             let mut stream = network.connect(address(1)).await.expect("connects");
             assert_eq!(exchange(&mut stream, "anew").await.expect("echoes"), "anew");
@@ -188,7 +188,7 @@
     }
 }
 
-/// Sends 200 numbered datagrams and returns the numbers as they arrived.
+/// Sends 200 numbered datagrams and returns the numbers in order of arrival.
 fn datagram_numbers(simulation: &mut Simulation) -> Vec<u8> {
     let arrived = Log::default();
     let log = arrived.clone();
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn datagrams_are_lost_doubled_and_reordered() {
+fn datagrams_are_lost_duplicated_and_reordered() {
     let mut simulation = simulation(1);
     simulation.handle().set_datagram_faults(DatagramFaults {
         loss: 0.2,
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Hosts and messages that the tests share.
+//! Helpers shared by the test files.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -27,7 +27,7 @@
     Simulation::new(SimulationSettings::with_seed(seed))
 }
 
-/// Values that hosts leave for the test.
+/// Collects values that hosts report to the test.
 #[derive(Clone)]
 pub struct Log<T>(Arc<Mutex<Vec<T>>>);
 
