--- a/crates/platform/src/etcd.rs
+++ b/crates/platform/src/etcd.rs
@@ -1,4 +1,4 @@
-//! The etcd v3 JSON gateway: wire shapes and client.
+//! Client and message types of the etcd v3 JSON gateway.
 
 mod client;
 mod convert;
--- a/crates/platform/src/etcd/client.rs
+++ b/crates/platform/src/etcd/client.rs
@@ -19,33 +19,34 @@
     WatchStream, Write,
 };
 
-/// Largest answer accepted, in bytes: some times the configuration of 1,900 tenants.
-const ANSWER_SIZE_LIMIT: usize = 16 * 1024 * 1024;
+/// Maximum size of a response body.
+const RESPONSE_SIZE_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
-/// Settings of the client.
+/// Settings of an [`EtcdStore`].
 #[derive(Debug, Clone)]
 pub struct EtcdSettings {
-    /// Gateway addresses; the next is tried when one cannot be connected to.
+    /// Gateway addresses in order of preference. The next one is tried if a request could not be
+    /// sent.
     pub addresses: Vec<SocketAddr>,
     /// Time limit of one call.
     pub time_limit: Duration,
 }
 
-/// The key-value service behind an etcd v3 JSON gateway.
+/// [`KeyValueStore`] over an etcd v3 JSON gateway.
 pub struct EtcdStore {
     client: Client,
     settings: EtcdSettings,
 }
 
-/// Whether a call writes: a lost answer then leaves open whether it took effect.
+/// Whether a call writes. If the response to a write is lost, the write may have taken effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Effect {
+enum CallKind {
     Reads,
     Writes,
 }
 
-impl Effect {
-    fn lost(self, reason: String) -> StoreError {
+impl CallKind {
+    fn lost_answer_error(self, reason: String) -> StoreError {
         match self {
             Self::Reads => StoreError::Unreachable { reason },
             Self::Writes => StoreError::AnswerLost { reason },
@@ -54,36 +55,43 @@
 }
 
 impl EtcdStore {
-    /// A client of the gateways in `settings`.
+    /// Creates a client of the gateways in `settings`.
     #[must_use]
     pub fn new(client: Client, settings: EtcdSettings) -> Self {
         Self { client, settings }
     }
 
-    async fn call<Q, A>(&self, path: &str, request: &Q, effect: Effect) -> Result<A, StoreError>
+    async fn call<Q, A>(
+        &self,
+        path: &str,
+        request: &Q,
+        call_kind: CallKind,
+    ) -> Result<A, StoreError>
     where
         Q: Serialize + Sync,
         A: DeserializeOwned,
     {
         let limit = self.settings.time_limit;
         let exchange = async {
-            let response = self.post(path, request, effect).await?;
-            let bytes = body::read_all(response.into_body(), ANSWER_SIZE_LIMIT, limit)
+            let response = self.post(path, request, call_kind).await?;
+            let bytes = body::read_all(response.into_body(), RESPONSE_SIZE_LIMIT_BYTES, limit)
                 .await
-                .map_err(|error| effect.lost(error.to_string()))?;
+                .map_err(|error| call_kind.lost_answer_error(error.to_string()))?;
             serde_json::from_slice(&bytes)
                 .map_err(|error| StoreError::Protocol(format!("answer of {path}: {error}")))
         };
         tokio::time::timeout(limit, exchange)
             .await
-            .map_err(|_elapsed| effect.lost(format!("no answer within {limit:?}")))?
+            .map_err(|_elapsed| {
+                call_kind.lost_answer_error(format!("no answer within {limit:?}"))
+            })?
     }
 
     async fn post<Q>(
         &self,
         path: &str,
         request: &Q,
-        effect: Effect,
+        call_kind: CallKind,
     ) -> Result<Response<Incoming>, StoreError>
     where
         Q: Serialize + Sync,
@@ -97,9 +105,9 @@
                 .body(body::full(bytes.clone()))
                 .map_err(|error| StoreError::Protocol(error.to_string()))?;
             match self.client.send(request).await {
-                Ok(response) => return self.check_status(response, effect).await,
+                Ok(response) => return self.check_status(response, call_kind).await,
                 Err(error) if error.was_not_sent() => reason = error.to_string(),
-                Err(error) => return Err(effect.lost(error.to_string())),
+                Err(error) => return Err(call_kind.lost_answer_error(error.to_string())),
             }
         }
         Err(StoreError::Unreachable { reason })
@@ -108,7 +116,7 @@
     async fn check_status(
         &self,
         response: Response<Incoming>,
-        effect: Effect,
+        call_kind: CallKind,
     ) -> Result<Response<Incoming>, StoreError> {
         let status = response.status();
         if status.is_success() {
@@ -116,21 +124,27 @@
         }
         let error: wire::ErrorBody = body::read_json(
             response.into_body(),
-            ANSWER_SIZE_LIMIT,
+            RESPONSE_SIZE_LIMIT_BYTES,
             self.settings.time_limit,
         )
         .await
         .unwrap_or_default();
-        Err(refusal(status, &error, effect))
+        Err(error_from_response(status, &error, call_kind))
     }
 }
 
-fn refusal(status: StatusCode, error: &wire::ErrorBody, effect: Effect) -> StoreError {
+fn error_from_response(
+    status: StatusCode,
+    error: &wire::ErrorBody,
+    call_kind: CallKind,
+) -> StoreError {
     match error.code {
         wire::CODE_RESOURCE_EXHAUSTED => StoreError::RateLimited,
         wire::CODE_NOT_FOUND => StoreError::LeaseNotFound,
-        // etcd answers UNAVAILABLE also when a proposal timed out, which may still take effect.
-        _ if status.is_server_error() => effect.lost(format!("{status}: {}", error.message)),
+        // etcd also returns UNAVAILABLE for a proposal that timed out but may still take effect.
+        _ if status.is_server_error() => {
+            call_kind.lost_answer_error(format!("{status}: {}", error.message))
+        }
         _ if status == StatusCode::TOO_MANY_REQUESTS => StoreError::RateLimited,
         _ => StoreError::Protocol(format!("{status}: {}", error.message)),
     }
@@ -143,8 +157,9 @@
                 key: convert::key_bytes(key),
                 range_end: None,
             };
-            let answer: wire::RangeResponse =
-                self.call(wire::RANGE_PATH, &request, Effect::Reads).await?;
+            let answer: wire::RangeResponse = self
+                .call(wire::RANGE_PATH, &request, CallKind::Reads)
+                .await?;
             answer
                 .kvs
                 .into_iter()
@@ -160,8 +175,9 @@
                 key: convert::key_bytes(prefix),
                 range_end: Some(convert::prefix_end(prefix)),
             };
-            let answer: wire::RangeResponse =
-                self.call(wire::RANGE_PATH, &request, Effect::Reads).await?;
+            let answer: wire::RangeResponse = self
+                .call(wire::RANGE_PATH, &request, CallKind::Reads)
+                .await?;
             let values: Result<Vec<_>, _> =
                 answer.kvs.into_iter().map(convert::stored_value).collect();
             Ok(RangeResult {
@@ -182,8 +198,9 @@
                 success: writes.into_iter().map(convert::operation).collect(),
                 failure: Vec::new(),
             };
-            let answer: wire::TxnResponse =
-                self.call(wire::TXN_PATH, &request, Effect::Writes).await?;
+            let answer: wire::TxnResponse = self
+                .call(wire::TXN_PATH, &request, CallKind::Writes)
+                .await?;
             Ok(TransactionResult {
                 succeeded: answer.succeeded,
                 revision: convert::revision(answer.header.revision)?,
@@ -199,7 +216,7 @@
                 id: wire::Int64(0),
             };
             let answer: wire::LeaseGrantResponse = self
-                .call(wire::LEASE_GRANT_PATH, &request, Effect::Writes)
+                .call(wire::LEASE_GRANT_PATH, &request, CallKind::Writes)
                 .await?;
             Ok(LeaseId(answer.id.0))
         })
@@ -211,7 +228,7 @@
                 id: wire::Int64(lease.0),
             };
             let line: wire::StreamLine<wire::LeaseKeepAliveResponse> = self
-                .call(wire::LEASE_KEEP_ALIVE_PATH, &request, Effect::Writes)
+                .call(wire::LEASE_KEEP_ALIVE_PATH, &request, CallKind::Writes)
                 .await?;
             match line.result {
                 Some(answer) if answer.ttl.0 > 0 => Ok(()),
@@ -226,7 +243,7 @@
                 id: wire::Int64(lease.0),
             };
             let _answer: wire::LeaseRevokeResponse = self
-                .call(wire::LEASE_REVOKE_PATH, &request, Effect::Writes)
+                .call(wire::LEASE_REVOKE_PATH, &request, CallKind::Writes)
                 .await?;
             Ok(())
         })
@@ -245,10 +262,12 @@
                     start_revision: convert::number(from),
                 },
             };
-            let opening = self.post(wire::WATCH_PATH, &request, Effect::Reads);
+            let opening = self.post(wire::WATCH_PATH, &request, CallKind::Reads);
             let response = tokio::time::timeout(self.settings.time_limit, opening)
                 .await
-                .map_err(|_elapsed| Effect::Reads.lost(String::from("the watch did not open")))??;
+                .map_err(|_elapsed| {
+                    CallKind::Reads.lost_answer_error(String::from("the watch did not open"))
+                })??;
             Ok(watch::events(response.into_body()))
         })
     }
--- a/crates/platform/src/etcd/convert.rs
+++ b/crates/platform/src/etcd/convert.rs
@@ -1,4 +1,4 @@
-//! Conversion between the gateway's shapes and the store's types.
+//! Conversion between the gateway's messages and the types of [`crate::store`].
 
 use bytes::Bytes;
 use ponddrift_core::Revision;
@@ -10,7 +10,8 @@
     wire::Base64Bytes(key.as_bytes().to_vec())
 }
 
-/// End of the half-open range of all keys that begin with `prefix`: the last byte plus one.
+/// Returns the end of the half-open range of all keys with the given prefix: the prefix with its
+/// last byte incremented.
 pub(super) fn prefix_end(prefix: &str) -> wire::Base64Bytes {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
@@ -19,7 +20,7 @@
             return wire::Base64Bytes(end);
         }
     }
-    // Etcd: a single zero byte means "to the end of all keys".
+    // For etcd, a single zero byte means that the range has no upper bound.
     wire::Base64Bytes(vec![0])
 }
 
--- a/crates/platform/src/etcd/watch.rs
+++ b/crates/platform/src/etcd/watch.rs
@@ -1,4 +1,4 @@
-//! A watch's answer: JSON lines for as long as the connection lives.
+//! Response stream of a watch: one JSON message per line until the connection ends.
 
 use std::io;
 
@@ -12,17 +12,18 @@
 use super::wire;
 use crate::store::{StoreError, WatchEvent, WatchStream};
 
-/// Longest line accepted, in bytes.
-const LINE_SIZE_LIMIT: usize = 16 * 1024 * 1024;
+/// Maximum length of a line.
+const LINE_SIZE_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
 type Line = wire::StreamLine<wire::WatchResponse>;
 
-/// The events of a watch, a batch a line. The stream ends after the first error.
+/// Parses the events of a watch, one batch per line. The stream ends after the first error, and
+/// always with an error, since a watch has no regular end.
 pub(super) fn events(body: Incoming) -> WatchStream {
-    let pieces = body.into_data_stream().map_err(io::Error::other);
+    let chunks = body.into_data_stream().map_err(io::Error::other);
     let lines = FramedRead::new(
-        StreamReader::new(pieces),
-        LinesCodec::new_with_max_length(LINE_SIZE_LIMIT),
+        StreamReader::new(chunks),
+        LinesCodec::new_with_max_length(LINE_SIZE_LIMIT_BYTES),
     );
     let batches = lines.map(|line| match line {
         Ok(line) => parse_line(&line),
@@ -30,15 +31,17 @@
             reason: error.to_string(),
         }),
     });
-    let ended = stream::once(async {
+    let connection_closed = stream::once(async {
         Err(StoreError::Unreachable {
             reason: String::from("the watch's connection ended"),
         })
     });
-    let until_error = batches.chain(ended).scan(false, |failed, batch| {
-        let after_error = std::mem::replace(failed, batch.is_err());
-        futures::future::ready((!after_error).then_some(batch))
-    });
+    let until_error = batches
+        .chain(connection_closed)
+        .scan(false, |failed, batch| {
+            let after_error = std::mem::replace(failed, batch.is_err());
+            futures::future::ready((!after_error).then_some(batch))
+        });
     until_error.boxed()
 }
 
--- a/crates/platform/src/etcd/wire.rs
+++ b/crates/platform/src/etcd/wire.rs
@@ -1,4 +1,4 @@
-//! Shapes of the etcd v3 JSON gateway: bytes are base64, 64-bit numbers are strings.
+//! Messages of the etcd v3 JSON gateway. Bytes are encoded as base64, 64-bit integers as strings.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
@@ -10,21 +10,23 @@
 pub const TXN_PATH: &str = "/v3/kv/txn";
 /// `POST` [`LeaseGrantRequest`].
 pub const LEASE_GRANT_PATH: &str = "/v3/lease/grant";
-/// `POST` [`LeaseKeepAliveRequest`]; the answer is a stream of one line.
+/// `POST` [`LeaseKeepAliveRequest`]. The response is a stream with one line.
 pub const LEASE_KEEP_ALIVE_PATH: &str = "/v3/lease/keepalive";
 /// `POST` [`LeaseRevokeRequest`].
 pub const LEASE_REVOKE_PATH: &str = "/v3/lease/revoke";
-/// `POST` [`WatchRequest`]; the answer is a stream of JSON lines.
+/// `POST` [`WatchRequest`]. The response is a stream of JSON lines.
 pub const WATCH_PATH: &str = "/v3/watch";
 
-/// gRPC status of a refused call for its rate (`RESOURCE_EXHAUSTED`); HTTP 429.
+/// gRPC status `RESOURCE_EXHAUSTED` (HTTP 429): the call exceeded a rate limit.
 pub const CODE_RESOURCE_EXHAUSTED: i32 = 8;
-/// gRPC status of a missing lease (`NOT_FOUND`); HTTP 404.
+/// gRPC status `NOT_FOUND` (HTTP 404): the lease does not exist.
 pub const CODE_NOT_FOUND: i32 = 5;
-/// gRPC status of an unavailable service (`UNAVAILABLE`); HTTP 503. The call was not carried out.
+/// gRPC status `UNAVAILABLE` (HTTP 503): the service is unavailable. Clients must not
+/// conclude from it that the call had no effect.
 pub const CODE_UNAVAILABLE: i32 = 14;
 
-/// 64-bit number written as a string; read from a string or a number, as gateways differ.
+/// 64-bit integer, serialized as a string. Deserialization also accepts a number, since gateways
+/// differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Int64(pub i64);
 
@@ -49,7 +51,7 @@
     }
 }
 
-/// Bytes written as base64.
+/// Bytes, serialized as base64.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Base64Bytes(pub Vec<u8>);
 
@@ -71,15 +73,15 @@
     }
 }
 
-/// Head of each answer.
+/// Header of each response.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseHeader {
-    /// The store's revision.
+    /// Current revision of the store.
     #[serde(default)]
     pub revision: Int64,
 }
 
-/// A key with its value.
+/// A key and its value.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyValue {
     /// Key.
@@ -87,36 +89,36 @@
     /// Value.
     #[serde(default)]
     pub value: Base64Bytes,
-    /// Revision of its creation.
+    /// Revision at which the key was created.
     #[serde(default)]
     pub create_revision: Int64,
-    /// Revision of its last change.
+    /// Revision of the last modification.
     #[serde(default)]
     pub mod_revision: Int64,
-    /// Changes since its creation.
+    /// Number of modifications since the key was created; 1 after its creation.
     #[serde(default)]
     pub version: Int64,
-    /// Its lease; 0 for none.
+    /// Lease of the key, or 0 for none.
     #[serde(default)]
     pub lease: Int64,
 }
 
-/// Reads `key`, or the half-open range from `key` to `range_end`.
+/// Reads `key`, or the range from `key` (inclusive) to `range_end` (exclusive).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeRequest {
-    /// First key.
+    /// First key of the range.
     pub key: Base64Bytes,
-    /// End of the range.
+    /// End of the range (exclusive).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub range_end: Option<Base64Bytes>,
 }
 
-/// Answer to [`RangeRequest`].
+/// Response to [`RangeRequest`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeResponse {
-    /// Head.
+    /// Response header.
     pub header: ResponseHeader,
-    /// Values, by key.
+    /// Values, ordered by key.
     #[serde(default)]
     pub kvs: Vec<KeyValue>,
 }
@@ -128,15 +130,15 @@
     pub key: Base64Bytes,
     /// Value.
     pub value: Base64Bytes,
-    /// Lease; 0 for none.
+    /// Lease to attach the key to, or 0 for none.
     #[serde(default)]
     pub lease: Int64,
 }
 
-/// Answer to [`PutRequest`].
+/// Response to [`PutRequest`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutResponse {
-    /// Head.
+    /// Response header.
     pub header: ResponseHeader,
 }
 
@@ -147,19 +149,19 @@
     pub key: Base64Bytes,
 }
 
-/// What a compare looks at.
+/// Property of a key that a condition compares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareTarget {
-    /// Changes since the creation; 0 when absent.
+    /// Number of modifications; 0 if the key does not exist.
     Version,
-    /// Revision of the creation; 0 when absent.
+    /// Creation revision; 0 if the key does not exist.
     Create,
-    /// Revision of the last change; 0 when absent.
+    /// Revision of the last modification; 0 if the key does not exist.
     Mod,
 }
 
-/// How a compare compares. Only equality is used here.
+/// Comparison operator. Only equality is used here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareResult {
@@ -167,37 +169,37 @@
     Equal,
 }
 
-/// One condition of a transaction.
+/// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompareRequest {
-    /// How.
+    /// Comparison operator.
     pub result: CompareResult,
-    /// What.
+    /// Property to compare.
     pub target: CompareTarget,
     /// Key.
     pub key: Base64Bytes,
-    /// For [`CompareTarget::Version`].
+    /// Expected value for [`CompareTarget::Version`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Int64>,
-    /// For [`CompareTarget::Create`].
+    /// Expected value for [`CompareTarget::Create`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub create_revision: Option<Int64>,
-    /// For [`CompareTarget::Mod`].
+    /// Expected value for [`CompareTarget::Mod`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub mod_revision: Option<Int64>,
 }
 
-/// One operation of a transaction; exactly one member is set.
+/// An operation of a transaction. Exactly one field must be set.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestOperation {
-    /// Put.
+    /// Stores a value.
     #[serde(
         default,
         rename = "requestPut",
         skip_serializing_if = "Option::is_none"
     )]
     pub request_put: Option<PutRequest>,
-    /// Delete.
+    /// Removes a key.
     #[serde(
         default,
         rename = "requestDeleteRange",
@@ -206,118 +208,119 @@
     pub request_delete_range: Option<DeleteRangeRequest>,
 }
 
-/// `success` is carried out if all of `compare` hold, else `failure`.
+/// Transaction: applies `success` if all conditions in `compare` hold, and `failure` otherwise.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnRequest {
     /// Conditions.
     #[serde(default)]
     pub compare: Vec<CompareRequest>,
-    /// Operations if they hold.
+    /// Operations to apply if all conditions hold.
     #[serde(default)]
     pub success: Vec<RequestOperation>,
-    /// Operations if not.
+    /// Operations to apply otherwise.
     #[serde(default)]
     pub failure: Vec<RequestOperation>,
 }
 
-/// Answer to [`TxnRequest`].
+/// Response to [`TxnRequest`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnResponse {
-    /// Head.
+    /// Response header.
     pub header: ResponseHeader,
-    /// Whether the conditions held. The gateway leaves out `false`.
+    /// Whether all conditions held. The gateway omits the field if it is `false`.
     #[serde(default)]
     pub succeeded: bool,
 }
 
-/// Takes a lease.
+/// Grants a lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrantRequest {
-    /// Seconds.
+    /// Requested time to live in seconds.
     #[serde(rename = "TTL")]
     pub ttl: Int64,
-    /// 0: the service chooses.
+    /// Lease id, or 0 to let the service choose one.
     #[serde(default, rename = "ID")]
     pub id: Int64,
 }
 
-/// Answer to [`LeaseGrantRequest`].
+/// Response to [`LeaseGrantRequest`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrantResponse {
-    /// Head.
+    /// Response header.
     pub header: ResponseHeader,
-    /// The lease.
+    /// Lease id.
     #[serde(rename = "ID")]
     pub id: Int64,
-    /// Seconds granted.
+    /// Granted time to live in seconds.
     #[serde(rename = "TTL")]
     pub ttl: Int64,
 }
 
-/// Prolongs a lease.
+/// Renews a lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseKeepAliveRequest {
-    /// The lease.
+    /// Lease id.
     #[serde(rename = "ID")]
     pub id: Int64,
 }
 
-/// One line of the answer to [`LeaseKeepAliveRequest`]; `TTL` 0 or absent: the lease has ended.
+/// One line of the response to [`LeaseKeepAliveRequest`]. A `TTL` that is 0 or absent means that
+/// the lease has expired.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseKeepAliveResponse {
-    /// Head.
+    /// Response header.
     #[serde(default)]
     pub header: ResponseHeader,
-    /// The lease.
+    /// Lease id.
     #[serde(default, rename = "ID")]
     pub id: Int64,
-    /// Seconds left.
+    /// Remaining time to live in seconds.
     #[serde(default, rename = "TTL")]
     pub ttl: Int64,
 }
 
-/// Ends a lease.
+/// Revokes a lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRevokeRequest {
-    /// The lease.
+    /// Lease id.
     #[serde(rename = "ID")]
     pub id: Int64,
 }
 
-/// Answer to [`LeaseRevokeRequest`].
+/// Response to [`LeaseRevokeRequest`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRevokeResponse {
-    /// Head.
+    /// Response header.
     pub header: ResponseHeader,
 }
 
 /// Starts a watch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// Keys and start revision to watch.
     pub create_request: WatchCreateRequest,
 }
 
-/// What to watch.
+/// Keys and start revision of a watch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchCreateRequest {
-    /// First key.
+    /// First key of the range.
     pub key: Base64Bytes,
-    /// End of the range.
+    /// End of the range (exclusive).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub range_end: Option<Base64Bytes>,
-    /// First revision wanted; 0: from now on.
+    /// First revision to report, or 0 to report only future changes.
     #[serde(default)]
     pub start_revision: Int64,
 }
 
-/// A line of a streamed answer: the gateway wraps each message.
+/// One line of a streamed response, in which the gateway wraps each message.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamLine<T> {
-    /// The message.
+    /// Message, if the call succeeded.
     #[serde(default = "Option::default", skip_serializing_if = "Option::is_none")]
     pub result: Option<T>,
-    /// Or an error.
+    /// Error, if the call failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<ErrorBody>,
 }
@@ -325,16 +328,16 @@
 /// One message of a watch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Head.
+    /// Response header.
     #[serde(default)]
     pub header: ResponseHeader,
-    /// The first message says that the watch stands.
+    /// Whether this is the first message, which confirms that the watch was created.
     #[serde(default)]
     pub created: bool,
-    /// The watch ended.
+    /// Whether the service cancelled the watch.
     #[serde(default)]
     pub canceled: bool,
-    /// Oldest revision that can be watched, when the wanted one was compacted.
+    /// Oldest revision that can be watched, if the requested one was compacted; 0 otherwise.
     #[serde(default)]
     pub compact_revision: Int64,
     /// Changes.
@@ -342,34 +345,34 @@
     pub events: Vec<Event>,
 }
 
-/// Kind of a change.
+/// Type of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum EventType {
-    /// Stored. The gateway leaves this out.
+    /// A value was stored. The gateway omits this value.
     #[default]
     Put,
-    /// Removed.
+    /// A key was removed.
     Delete,
 }
 
-/// One change.
+/// A change of a key.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Kind.
+    /// Type of the change.
     #[serde(default, rename = "type")]
     pub event_type: EventType,
-    /// Key and value; of a removal the key and the `mod_revision`.
+    /// Key and value. For a removal, only the key and `mod_revision` are set.
     pub kv: KeyValue,
 }
 
-/// Body of a refused call.
+/// Body of an error response.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// gRPC status.
+    /// gRPC status code.
     #[serde(default)]
     pub code: i32,
-    /// Text.
+    /// Error message.
     #[serde(default)]
     pub message: String,
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,7 +1,8 @@
-//! Clients of the platform: the key-value service and the machine list.
+//! Clients of the platform services: the key-value service and the machine list.
 //!
-//! [`store::KeyValueStore`] and [`machines::MachineListSource`] are the traits the daemon works
-//! with; [`etcd`] speaks the etcd v3 JSON gateway, [`machines::HttpMachineList`] the HTTP list.
+//! The daemon uses the traits [`store::KeyValueStore`] and [`machines::MachineListSource`].
+//! [`etcd`] implements the former over the etcd v3 JSON gateway, [`machines::HttpMachineList`] the
+//! latter over HTTP.
 
 pub mod etcd;
 pub mod machines;
--- a/crates/platform/src/machines.rs
+++ b/crates/platform/src/machines.rs
@@ -1,4 +1,5 @@
-//! The platform's list of live and leaving machines. It lags, and is a hint only.
+//! The platform's list of live and leaving machines. It can be out of date, so callers must treat
+//! it as a hint.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -9,53 +10,56 @@
 use ponddrift_core::machine::MachineList;
 use ponddrift_http::{Client, ClientError, ReadError, body};
 
-/// `GET`: [`MachineList`] as JSON.
+/// Path of the machine list. `GET` returns a [`MachineList`] as JSON.
 pub const MACHINES_PATH: &str = "/v1/machines";
-/// Largest list accepted, in bytes.
-const LIST_SIZE_LIMIT: usize = 4 * 1024 * 1024;
+/// Maximum size of a machine list response.
+const LIST_SIZE_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why the list could not be read.
+/// Error while reading the machine list. The caller keeps using the last list.
 #[derive(Debug, thiserror::Error)]
 pub enum MachineListError {
-    /// No answer.
+    /// The request failed before a response arrived.
     #[error("the machine list cannot be reached: {0}; the last list read stays in use")]
     Unreachable(#[from] ClientError),
-    /// The answer cannot be read.
-    #[error("the machine list's answer cannot be read: {0}; the last list read stays in use")]
+    /// The response body is incomplete, too large or not valid.
+    #[error("the machine list's response cannot be read: {0}; the last list read stays in use")]
     Unreadable(#[from] ReadError),
-    /// Another status than 200.
+    /// The response status was neither 200 nor 304.
     #[error("the machine list answered {0}; the last list read stays in use")]
     Refused(StatusCode),
-    /// The answer took too long.
+    /// The response did not arrive within the time limit.
     #[error("the machine list did not answer within {0:?}; the last list read stays in use")]
     TimedOut(Duration),
 }
 
-/// Gives the machine list.
+/// Source of the machine list.
 pub trait MachineListSource: Send + Sync + 'static {
-    /// Reads the list; `None` when it is the one that was read last.
+    /// Reads the list. Returns `None` if it has not changed since the last successful read.
+    ///
+    /// # Errors
+    /// If the list cannot be reached or read, or not within the time limit.
     fn read(&self) -> BoxFuture<'_, Result<Option<MachineList>, MachineListError>>;
 }
 
-/// The machine list over HTTP. The list of 970 machines has some 150 KB, so that it is asked for with the
-/// entity tag of the last one: a server that knows tags answers 304 without a body while nothing changed.
+/// Reads the machine list over HTTP. Requests are conditional on the entity tag of the last list,
+/// so that a server with entity tags does not send an unchanged list again.
 pub struct HttpMachineList {
     client: Client,
     address: SocketAddr,
     time_limit: Duration,
-    /// Entity tag of the list that was read last.
-    last_tag: Mutex<Option<HeaderValue>>,
+    /// Entity tag of the last list that was read completely.
+    last_etag: Mutex<Option<HeaderValue>>,
 }
 
 impl HttpMachineList {
-    /// Reads the list of the platform at `address`.
+    /// Creates a reader for the list at `address`. `time_limit` applies to each read.
     #[must_use]
     pub fn new(client: Client, address: SocketAddr, time_limit: Duration) -> Self {
         Self {
             client,
             address,
             time_limit,
-            last_tag: Mutex::default(),
+            last_etag: Mutex::default(),
         }
     }
 
@@ -63,7 +67,7 @@
         let mut request = Request::get(format!("http://{}{MACHINES_PATH}", self.address))
             .body(body::empty())
             .expect("the address makes a valid URI");
-        if let Some(tag) = self.last_tag().clone() {
+        if let Some(tag) = self.last_etag().clone() {
             request.headers_mut().insert(header::IF_NONE_MATCH, tag);
         }
         let response = self.client.send(request).await?;
@@ -73,15 +77,18 @@
             other => return Err(MachineListError::Refused(other)),
         }
         let tag = response.headers().get(header::ETAG).cloned();
-        let read = body::read_json(response.into_body(), LIST_SIZE_LIMIT, self.time_limit);
+        let read = body::read_json(response.into_body(), LIST_SIZE_LIMIT_BYTES, self.time_limit);
         let list = read.await?;
-        // Only now: the tag of a list that did not arrive whole must not be shown.
-        *self.last_tag() = tag;
+        // Stored only after the whole list was read: otherwise a 304 could hide a list that was
+        // lost.
+        *self.last_etag() = tag;
         Ok(Some(list))
     }
 
-    fn last_tag(&self) -> std::sync::MutexGuard<'_, Option<HeaderValue>> {
-        self.last_tag.lock().unwrap_or_else(PoisonError::into_inner)
+    fn last_etag(&self) -> std::sync::MutexGuard<'_, Option<HeaderValue>> {
+        self.last_etag
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -1,4 +1,4 @@
-//! What ponddrift needs of a key-value service: revisions, transactions, leases and watches.
+//! Interface of the key-value service: revisions, transactions, leases and watches.
 
 use std::time::Duration;
 
@@ -7,54 +7,54 @@
 use futures::stream::BoxStream;
 use ponddrift_core::Revision;
 
-/// A stored value with its revisions.
+/// A stored key and value with their revisions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredValue {
-    /// Its key.
+    /// Key.
     pub key: String,
-    /// Its bytes.
+    /// Value.
     pub value: Bytes,
-    /// Revision at which the key came into being.
+    /// Revision at which the key was created.
     pub create_revision: Revision,
-    /// Revision of its last change.
+    /// Revision of the key's last modification.
     pub mod_revision: Revision,
-    /// The lease it hangs on.
+    /// Lease that the key is attached to. The key is removed when the lease ends.
     pub lease: Option<LeaseId>,
 }
 
-/// Identity of a lease.
+/// Identifies a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub i64);
 
-/// Values read at one revision of the whole store.
+/// Result of a range read, consistent at one revision of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RangeResult {
-    /// The store's revision at the read.
+    /// Revision of the store at which the values were read.
     pub revision: Revision,
-    /// The values, ordered by key.
+    /// Values, ordered by key.
     pub values: Vec<StoredValue>,
 }
 
-/// A condition of a transaction.
+/// A condition that must hold for a transaction to succeed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Compare {
     /// The key does not exist.
     Absent {
-        /// The key.
+        /// Key.
         key: String,
     },
-    /// The key's last change was at this revision.
+    /// The key was last modified at this revision.
     ModRevision {
-        /// The key.
+        /// Key.
         key: String,
-        /// The revision.
+        /// Required revision.
         revision: Revision,
     },
-    /// The key came into being at this revision.
+    /// The key was created at this revision.
     CreateRevision {
-        /// The key.
+        /// Key.
         key: String,
-        /// The revision.
+        /// Required revision.
         revision: Revision,
     },
 }
@@ -64,16 +64,16 @@
 pub enum Write {
     /// Stores a value.
     Put {
-        /// The key.
+        /// Key.
         key: String,
-        /// The value.
+        /// Value.
         value: Bytes,
-        /// The lease to hang it on.
+        /// Lease to attach the key to.
         lease: Option<LeaseId>,
     },
     /// Removes a key.
     Delete {
-        /// The key.
+        /// Key.
         key: String,
     },
 }
@@ -81,85 +81,87 @@
 /// Outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TransactionResult {
-    /// Whether all compares held and the writes were made.
+    /// Whether all conditions held and the writes were applied.
     pub succeeded: bool,
-    /// The store's revision afterwards.
+    /// Revision of the store after the transaction.
     pub revision: Revision,
 }
 
-/// One change that a watch saw.
+/// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchEvent {
     /// A value was stored.
     Put(StoredValue),
-    /// A key was removed, or its lease ended.
+    /// A key was removed, possibly because its lease ended.
     Delete {
-        /// The key.
+        /// Key.
         key: String,
-        /// Revision of the removal.
+        /// Revision at which the key was removed.
         revision: Revision,
     },
 }
 
-/// Why a call failed.
+/// Error of a call to the key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// The call was certainly not carried out.
+    /// The call failed and did not take effect.
     #[error(
         "the key-value service cannot be reached: {reason}; nothing was written, try again later"
     )]
     Unreachable {
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// The service refused the call for its rate; nothing was written.
+    /// The service rejected the call because of its rate limit. Nothing was written.
     #[error("the key-value service limits the rate of calls; nothing was written, try again later")]
     RateLimited,
-    /// The call may have been carried out: read back before doing anything.
+    /// The call may have taken effect. The caller must read the data back before it retries.
     #[error("the answer of the key-value service was lost: {reason}; read back before repeating")]
     AnswerLost {
-        /// Why.
+        /// Cause.
         reason: String,
     },
-    /// The lease does not exist (any more).
+    /// The lease does not exist or has expired.
     #[error("the lease has ended: take a new one")]
     LeaseNotFound,
-    /// The revision was compacted: read everything again.
+    /// The revision was compacted. The caller must read all data again and watch from there.
     #[error("the revision {0} was compacted: read everything and watch from there")]
     Compacted(Revision),
-    /// The service answered something else than its protocol says.
+    /// The service sent a response that violates its protocol.
     #[error("the key-value service answered what its protocol does not allow: {0}")]
     Protocol(String),
 }
 
-/// Events of a watch, in batches that each belong to one or more whole revisions.
+/// Stream of watch events. A batch contains all events of one or more revisions.
 pub type WatchStream = BoxStream<'static, Result<Vec<WatchEvent>, StoreError>>;
 
 /// A key-value service with revisions, transactions, leases and watches.
 pub trait KeyValueStore: Send + Sync + 'static {
-    /// Reads one key.
+    /// Reads one key. Returns `None` if it does not exist.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<StoredValue>, StoreError>>;
 
-    /// Reads all keys that begin with `prefix`, at one revision.
+    /// Reads all keys with the given prefix, consistent at one revision.
     fn range<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<RangeResult, StoreError>>;
 
-    /// Carries out `writes` if all `compares` hold, else nothing.
+    /// Applies all `writes` atomically if all `compares` hold, and nothing otherwise.
     fn transaction<'a>(
         &'a self,
         compares: Vec<Compare>,
         writes: Vec<Write>,
     ) -> BoxFuture<'a, Result<TransactionResult, StoreError>>;
 
-    /// Takes a lease that ends `time_to_live` after the last keep-alive (whole seconds).
+    /// Grants a lease that expires `time_to_live` after the last keep-alive. Fractions of a second
+    /// are dropped; the minimum is one second.
     fn grant_lease(&self, time_to_live: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>>;
 
-    /// Prolongs a lease. The holder counts its time from *before* the call.
+    /// Renews a lease. The holder must measure the lease time from *before* the call, because the
+    /// service may have renewed the lease at any time during it.
     fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease, which removes the keys attached to it.
     fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
 
-    /// Watches all keys that begin with `prefix`, from `from` on, without gaps.
+    /// Watches all keys with the given prefix, starting at revision `from`, without gaps.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
