--- a/crates/process-tests/src/controls.rs
+++ b/crates/process-tests/src/controls.rs
@@ -1,4 +1,4 @@
-//! Faults of the stand-ins and their logs of runs, through their control listeners.
+//! Access to the control listeners of emulated services: fault injection, counters and run logs.
 
 use eyre::{Result, bail};
 use http::{Method, Request, header};
@@ -12,16 +12,21 @@
 use crate::fleet::{Fleet, read};
 
 impl Fleet {
-    /// Sends JSON to a control listener.
+    /// Sends a `POST` request with a JSON body to a control listener.
     ///
     /// # Errors
-    /// When it is refused.
-    pub async fn control(&self, address: SocketAddr, path: &str, order: &Value) -> Result<()> {
+    /// If the request fails or is rejected.
+    pub async fn post_control(
+        &self,
+        address: SocketAddr,
+        path: &str,
+        body_json: &Value,
+    ) -> Result<()> {
         let request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{address}{path}"))
             .header(header::CONTENT_TYPE, "application/json")
-            .body(body::full(order.to_string()))?;
+            .body(body::full(body_json.to_string()))?;
         let response = self.send(request).await?;
         let status = response.status();
         if !status.is_success() {
@@ -30,48 +35,53 @@
         Ok(())
     }
 
-    /// Reads JSON from a control listener.
+    /// Reads a JSON document with a `GET` request.
     ///
     /// # Errors
-    /// When there is no such page.
-    pub async fn page<T: DeserializeOwned>(&self, address: SocketAddr, path: &str) -> Result<T> {
+    /// If the request fails or the body is not valid.
+    pub async fn get_json<T: DeserializeOwned>(
+        &self,
+        address: SocketAddr,
+        path: &str,
+    ) -> Result<T> {
         let request = Request::get(format!("http://{address}{path}")).body(body::empty())?;
         let response = self.send(request).await?;
         Ok(serde_json::from_slice(&read(response).await?)?)
     }
 
-    /// Changes the behaviour of engine `index`.
+    /// Changes the behaviour of the engine at `index`.
     ///
     /// # Errors
-    /// When the engine refuses it.
-    pub async fn engine_behaviour(&self, index: usize, behaviour: &Value) -> Result<()> {
+    /// If the request fails or the engine rejects it.
+    pub async fn set_engine_behaviour(&self, index: usize, behaviour: &Value) -> Result<()> {
         let address = self.engines[index].address("/control")?;
-        self.control(address, "/test/behaviour", behaviour).await
+        self.post_control(address, "/test/behaviour", behaviour)
+            .await
     }
 
-    /// Counters of engine `index`.
+    /// Reads the counters of the engine at `index`.
     ///
     /// # Errors
-    /// When the engine does not answer.
+    /// If the engine does not respond.
     pub async fn engine_counters(&self, index: usize) -> Result<EngineCounters> {
         let address = self.engines[index].address("/control")?;
-        self.page(address, "/test/counters").await
+        self.get_json(address, "/test/counters").await
     }
 
-    /// Changes the faults of plain back end `index`.
+    /// Changes the faults of the plain back end at `index`.
     ///
     /// # Errors
-    /// When it refuses them.
-    pub async fn records_faults(&self, index: usize, faults: &Value) -> Result<()> {
+    /// If the request fails or the back end rejects it.
+    pub async fn set_records_faults(&self, index: usize, faults: &Value) -> Result<()> {
         let address = self.records[index].address("/address")?;
-        self.control(address, "/test/settings", faults).await
+        self.post_control(address, "/test/settings", faults).await
     }
 
-    /// All runs of the request `request_id`, added up over all back ends.
+    /// Returns the run counts of a request, summed over all back ends.
     ///
     /// # Errors
-    /// When a back end does not answer.
-    pub async fn runs_of(&self, request_id: &str) -> Result<RunCounts> {
+    /// If a back end does not respond.
+    pub async fn runs_of_request(&self, request_id: &str) -> Result<RunCounts> {
         let mut sum = RunCounts::default();
         for log in self.run_logs().await? {
             let entries = log
@@ -88,11 +98,11 @@
         Ok(sum)
     }
 
-    /// Runs started under an idempotency key, added up over all back ends.
+    /// Returns how many runs were started with an idempotency key, summed over all back ends.
     ///
     /// # Errors
-    /// When a back end does not answer.
-    pub async fn runs_under_key(&self, key: &str) -> Result<u32> {
+    /// If a back end does not respond.
+    pub async fn runs_with_idempotency_key(&self, key: &str) -> Result<u32> {
         let logs = self.run_logs().await?;
         let entries = logs.iter().flat_map(|log| &log.runs);
         let with_key = entries.filter(|entry| entry.key.idempotency_key.as_deref() == Some(key));
@@ -102,11 +112,14 @@
     async fn run_logs(&self) -> Result<Vec<RunReport>> {
         let mut logs = Vec::new();
         for engine in &self.engines {
-            logs.push(self.page(engine.address("/control")?, "/test/runs").await?);
+            logs.push(
+                self.get_json(engine.address("/control")?, "/test/runs")
+                    .await?,
+            );
         }
         for records in &self.records {
             logs.push(
-                self.page(records.address("/address")?, "/test/runs")
+                self.get_json(records.address("/address")?, "/test/runs")
                     .await?,
             );
         }
--- a/crates/process-tests/src/fleet.rs
+++ b/crates/process-tests/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet as separate processes: platform, engines, records services and daemons.
+//! A small fleet of separate processes: platform, engines, plain back ends and daemons.
 
 use std::net::SocketAddr;
 
@@ -23,55 +23,56 @@
 use crate::process::Process;
 use crate::wait::eventually;
 
-/// Time limit of a single call of the tests; only a broken process uses it up.
-const CALL_LIMIT: Duration = Duration::from_secs(60);
+/// Time limit of a single request. It is long because only a broken process should reach it.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a fleet consists of.
+/// Number of processes of each kind.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSize {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: u32,
-    /// Engines.
+    /// Number of emulated engines.
     pub engines: u32,
-    /// Plain back ends.
+    /// Number of emulated plain back ends (records services).
     pub records: u32,
 }
 
-/// A running fleet. Its processes are killed when it is dropped.
+/// A running fleet. All processes are killed when it is dropped.
 pub struct Fleet {
-    /// Key-value service, machine list and weight store.
+    /// Emulated platform: key-value service, machine list and weight store.
     pub platform: Process,
-    /// Engines, in the order of their machine ids from 100 on.
+    /// Engines, with consecutive machine ids from 100.
     pub engines: Vec<Process>,
-    /// Plain back ends, in the order of their machine ids from 300 on.
+    /// Plain back ends, with consecutive machine ids from 300.
     pub records: Vec<Process>,
-    /// Daemons, in the order of their machine ids from 1 on.
+    /// Daemons, with consecutive machine ids from 1.
     pub daemons: Vec<Process>,
-    /// Client of the tests.
+    /// HTTP client for the tests.
     pub client: Client,
 }
 
 const FIRST_DAEMON: u32 = 1;
 const FIRST_ENGINE: u32 = 100;
 const FIRST_RECORDS: u32 = 300;
-/// Settings of quick engines: a change takes a tenth of a second.
+/// Engine settings with short role changes and model loads, to keep the tests fast.
 const ENGINE_SETTINGS: &str = r#"{"cost":{"role_change_seconds":0.1,"model_load_seconds":0.1}}"#;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 impl Fleet {
-    /// Starts all processes, stores a configuration, and waits until every daemon is ready.
+    /// Starts all processes, stores the initial configuration, and waits until every daemon is
+    /// ready.
     ///
     /// # Errors
-    /// When a process does not start.
+    /// If a process does not start or a daemon does not become ready.
     pub async fn start(size: FleetSize) -> Result<Self> {
-        let platform = Process::start("ponddrift-emulator", &words(&["platform"])).await?;
+        let platform = Process::start("ponddrift-emulator", &to_strings(&["platform"])).await?;
         let mut engines = Vec::new();
         for _ in 0..size.engines {
             engines.push(start_engine().await?);
         }
         let mut records = Vec::new();
         for _ in 0..size.records {
-            records.push(Process::start("ponddrift-emulator", &words(&["records"])).await?);
+            records.push(Process::start("ponddrift-emulator", &to_strings(&["records"])).await?);
         }
         let client = Client::new(&Runtime::system(1), ClientSettings::default());
         let mut fleet = Self {
@@ -81,7 +82,7 @@
             daemons: Vec::new(),
             client,
         };
-        fleet.change(first_configuration()?).await?;
+        fleet.change(initial_configuration()?).await?;
         for number in 1..=size.daemons {
             let daemon = fleet.start_daemon(number).await?;
             fleet.daemons.push(daemon);
@@ -93,7 +94,7 @@
 
     async fn start_daemon(&self, number: u32) -> Result<Process> {
         let zone = zone_of(number);
-        let arguments = words(&[
+        let arguments = to_strings(&[
             "--set",
             &format!("daemon.id={number}"),
             "--set",
@@ -131,22 +132,22 @@
         Process::start("ponddriftd", &arguments).await
     }
 
-    /// A store client of the tests' own.
+    /// Creates a client of the key-value service for the tests.
     ///
     /// # Errors
-    /// When the platform gave no address.
+    /// If the platform reported no address.
     pub fn store(&self) -> Result<EtcdStore> {
         let settings = EtcdSettings {
             addresses: vec![self.platform.address("/key_value")?],
-            time_limit: CALL_LIMIT,
+            time_limit: CALL_TIMEOUT,
         };
         Ok(EtcdStore::new(self.client.clone(), settings))
     }
 
-    /// Stores a change on top of whatever is stored, as an operator's daemon would.
+    /// Writes a configuration change directly to the store, in the same way as a daemon does.
     ///
     /// # Errors
-    /// When the store refuses it.
+    /// If the store rejects it or the configuration changed at the same time.
     pub async fn change(&self, steps: Vec<ChangeStep>) -> Result<()> {
         let store = self.store()?;
         let stored = store.get(HEAD_KEY).await?;
@@ -180,7 +181,7 @@
         let writes = writes.into_iter().map(store_write).collect();
         let result = store.transaction(vec![compare], writes).await?;
         if !result.succeeded {
-            bail!("the configuration was not stored");
+            bail!("the configuration was not stored: it changed at the same time");
         }
         Ok(())
     }
@@ -188,7 +189,7 @@
     /// Publishes all processes in the machine list.
     ///
     /// # Errors
-    /// When the platform refuses it.
+    /// If the platform rejects the list.
     pub async fn publish_machines(&self) -> Result<()> {
         let mut machines = Vec::new();
         for (number, engine) in (FIRST_ENGINE..).zip(&self.engines) {
@@ -224,10 +225,10 @@
         Ok(())
     }
 
-    /// Waits until every daemon says that it is ready.
+    /// Waits until every daemon reports that it is ready.
     ///
     /// # Errors
-    /// When one never is.
+    /// If a daemon does not become ready in time.
     pub async fn wait_until_ready(&self) -> Result<()> {
         for daemon in &self.daemons {
             let gateway = daemon.address("/gateway")?;
@@ -243,11 +244,13 @@
         Ok(())
     }
 
-    /// Index of the daemon that holds the cell's controller key.
+    /// Waits until a daemon holds the cell's controller key, and returns the daemon's index.
+    ///
+    /// The index is only valid while no daemon was removed from the fleet.
     ///
     /// # Errors
-    /// When nobody ever does.
-    pub async fn controller(&self) -> Result<usize> {
+    /// If no daemon takes the key in time.
+    pub async fn controller_index(&self) -> Result<usize> {
         let store = self.store()?;
         let key = controller_key(&"central-1".parse()?);
         let machine = eventually("a daemon is controller", || async {
@@ -260,26 +263,26 @@
         Ok(usize::try_from(index.unwrap_or_default())?)
     }
 
-    /// Gateway address of daemon `index`.
+    /// Returns the gateway address of the daemon at `index`.
     ///
     /// # Errors
-    /// When there is no such daemon.
+    /// If the daemon reported no valid address.
     pub fn gateway(&self, index: usize) -> Result<SocketAddr> {
         self.daemons[index].address("/gateway")
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the response header.
     ///
     /// # Errors
-    /// When there is no answer.
+    /// If there is no response within the time limit.
     pub async fn send(&self, request: Request<ponddrift_http::Body>) -> Result<Response<Incoming>> {
-        Ok(tokio::time::timeout(CALL_LIMIT, self.client.send(request)).await??)
+        Ok(tokio::time::timeout(CALL_TIMEOUT, self.client.send(request)).await??)
     }
 
-    /// Sends a completion request to daemon `index`.
+    /// Sends a completion request to the daemon at `index`.
     ///
     /// # Errors
-    /// When there is no answer.
+    /// If there is no response within the time limit.
     pub async fn complete(&self, index: usize, completion: &Value) -> Result<Response<Incoming>> {
         let gateway = self.gateway(index)?;
         let request = Request::post(format!("http://{gateway}/v1/completions"))
@@ -300,10 +303,10 @@
     }
 }
 
-/// The service `reconcile` at a version of its model.
+/// Returns the configuration of the service `reconcile` with the given model version.
 ///
 /// # Errors
-/// Never: the names are valid.
+/// If a name is not valid, which cannot happen with these constants.
 pub fn reconcile_at_version(version: u32) -> Result<ConfigurationItem> {
     Ok(ConfigurationItem::Service {
         name: "reconcile".parse()?,
@@ -321,7 +324,7 @@
     })
 }
 
-fn first_configuration() -> Result<Vec<ChangeStep>> {
+fn initial_configuration() -> Result<Vec<ChangeStep>> {
     let plain = ServiceKind::Plain {
         pool: "records".parse()?,
     };
@@ -356,7 +359,7 @@
 }
 
 async fn start_engine() -> Result<Process> {
-    let arguments = words(&[
+    let arguments = to_strings(&[
         "engine",
         "--role",
         "mixed",
@@ -368,12 +371,12 @@
     Process::start("ponddrift-emulator", &arguments).await
 }
 
-/// Reads a whole answer.
+/// Reads a complete response body.
 ///
 /// # Errors
-/// When it breaks off.
+/// If the body is truncated, too large or late.
 pub async fn read(response: Response<Incoming>) -> Result<Bytes> {
-    Ok(body::read_all(response.into_body(), 64 << 20, CALL_LIMIT).await?)
+    Ok(body::read_all(response.into_body(), 64 << 20, CALL_TIMEOUT).await?)
 }
 
 fn zone_of(number: u32) -> &'static str {
@@ -391,6 +394,6 @@
     })
 }
 
-fn words(words: &[&str]) -> Vec<String> {
+fn to_strings(words: &[&str]) -> Vec<String> {
     words.iter().map(|word| (*word).to_owned()).collect()
 }
--- a/crates/process-tests/src/lib.rs
+++ b/crates/process-tests/src/lib.rs
@@ -1,5 +1,6 @@
-//! Harness of the process tests: starts the real binaries on free loopback ports, signals them, and
-//! ends them (by their id) when a test ends. Tests wait for events, never for time to pass.
+//! Harness of the process tests. It starts the workspace's binaries on free loopback ports, sends
+//! them signals, and kills them by process id when a test ends. Tests must wait for events, never
+//! for a fixed time.
 
 pub mod answers;
 mod controls;
--- a/crates/process-tests/src/operators.rs
+++ b/crates/process-tests/src/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' statements, sent to the daemons of a fleet.
+//! Operator statements sent to the daemons of a fleet, and faults of the key-value service.
 
 use std::net::SocketAddr;
 
@@ -11,23 +11,23 @@
 use ponddrift_query::Value;
 use serde_json::json;
 
-use crate::answers::problem;
+use crate::answers::read_problem;
 use crate::fleet::{Fleet, read};
 
-/// What became of a change.
+/// Result of a change that an operator applied.
 #[derive(Debug)]
-pub enum Applied {
-    /// It was accepted.
+pub enum ApplyOutcome {
+    /// The change was accepted.
     Accepted(ApplyAnswer),
-    /// It was refused.
+    /// The change was rejected.
     Refused(Problem),
 }
 
-impl Applied {
-    /// The answer of a change that must have been accepted.
+impl ApplyOutcome {
+    /// Returns the answer to an accepted change.
     ///
     /// # Errors
-    /// When it was refused.
+    /// If the change was rejected.
     pub fn accepted(self) -> Result<ApplyAnswer> {
         match self {
             Self::Accepted(answer) => Ok(answer),
@@ -35,10 +35,10 @@
         }
     }
 
-    /// The problem of a change that must have been refused.
+    /// Returns the problem document of a rejected change.
     ///
     /// # Errors
-    /// When it was accepted.
+    /// If the change was accepted.
     pub fn refused(self) -> Result<Problem> {
         match self {
             Self::Accepted(answer) => bail!("accepted at revision {}", answer.revision),
@@ -48,86 +48,86 @@
 }
 
 impl Fleet {
-    /// Operator address of daemon `index`.
+    /// Returns the operator address of the daemon at `index`.
     ///
     /// # Errors
-    /// When there is no such daemon.
-    pub fn operator(&self, index: usize) -> Result<SocketAddr> {
+    /// If the daemon reported no valid address.
+    pub fn operator_address(&self, index: usize) -> Result<SocketAddr> {
         self.daemons[index].address("/operator")
     }
 
-    /// Asks daemon `index` a question.
+    /// Runs a query on the daemon at `index`.
     ///
     /// # Errors
-    /// When it is refused.
+    /// If the request fails or the query is rejected.
     pub async fn query(&self, index: usize, statement: &str) -> Result<QueryAnswer> {
-        let address = self.operator(index)?;
+        let address = self.operator_address(index)?;
         let request = Request::post(format!("http://{address}{QUERY_PATH}"))
             .body(body::full(statement.to_owned()))?;
         let response = self.send(request).await?;
         if response.status() != StatusCode::OK {
-            bail!("{statement}: {}", problem(response).await?.detail);
+            bail!("{statement}: {}", read_problem(response).await?.detail);
         }
         Ok(serde_json::from_slice(&read(response).await?)?)
     }
 
-    /// Asks daemon `index` for the rows of a question.
+    /// Runs a query on the daemon at `index` and returns only the rows.
     ///
     /// # Errors
-    /// When it is refused.
+    /// If the request fails or the query is rejected.
     pub async fn rows(&self, index: usize, statement: &str) -> Result<Vec<Vec<Value>>> {
         Ok(self.query(index, statement).await?.result.rows)
     }
 
-    /// Has `author` apply a change at daemon `index`.
+    /// Applies a change as `author` on the daemon at `index`.
     ///
     /// # Errors
-    /// When there is no answer.
-    pub async fn apply(&self, index: usize, author: &str, statement: &str) -> Result<Applied> {
-        self.apply_within(index, author, statement, 6_000).await
+    /// If there is no valid response.
+    pub async fn apply(&self, index: usize, author: &str, statement: &str) -> Result<ApplyOutcome> {
+        self.apply_with_wait(index, author, statement, 6_000).await
     }
 
-    /// As [`Self::apply`], waiting `wait_ms` at most until the change is in force.
+    /// Like [`Self::apply`], but the daemon waits at most `wait_ms` until the change is in force.
     ///
     /// # Errors
-    /// When there is no answer.
-    pub async fn apply_within(
+    /// If there is no valid response.
+    pub async fn apply_with_wait(
         &self,
         index: usize,
         author: &str,
         statement: &str,
         wait_ms: u64,
-    ) -> Result<Applied> {
-        let address = self.operator(index)?;
+    ) -> Result<ApplyOutcome> {
+        let address = self.operator_address(index)?;
         let uri = format!("http://{address}{APPLY_PATH}?wait_ms={wait_ms}");
         let request = Request::post(uri)
             .header(OPERATOR_HEADER, author)
             .body(body::full(statement.to_owned()))?;
-        applied(self.send(request).await?).await
+        read_apply_outcome(self.send(request).await?).await
     }
 
-    /// Sets the faults of the key-value service; none of those that are not named.
+    /// Replaces the faults of the key-value service. Faults that are not listed are cleared.
     ///
     /// # Errors
-    /// When they are refused.
-    pub async fn store_faults(&self, faults: &serde_json::Value) -> Result<()> {
-        let control = self.platform.address("/control")?;
-        self.control(control, "/faults", faults).await
+    /// If the request fails or is rejected.
+    pub async fn set_store_faults(&self, faults: &serde_json::Value) -> Result<()> {
+        let control_address = self.platform.address("/control")?;
+        self.post_control(control_address, "/faults", faults).await
     }
 
-    /// Ends all faults of the key-value service.
+    /// Clears all faults of the key-value service.
     ///
     /// # Errors
-    /// When that is refused.
-    pub async fn end_store_faults(&self) -> Result<()> {
-        self.store_faults(&json!({})).await
+    /// If the request fails or is rejected.
+    pub async fn clear_store_faults(&self) -> Result<()> {
+        self.set_store_faults(&json!({})).await
     }
 }
 
-async fn applied(response: Response<Incoming>) -> Result<Applied> {
+async fn read_apply_outcome(response: Response<Incoming>) -> Result<ApplyOutcome> {
     if response.status() == StatusCode::OK {
         let answer = serde_json::from_slice(&read(response).await?)?;
-        return Ok(Applied::Accepted(answer));
+        return Ok(ApplyOutcome::Accepted(answer));
     }
-    Ok(Applied::Refused(problem(response).await?))
+    Ok(ApplyOutcome::Refused(read_problem(response).await?))
 }
--- a/crates/process-tests/src/process.rs
+++ b/crates/process-tests/src/process.rs
@@ -1,4 +1,4 @@
-//! One child process.
+//! Starting, signalling and stopping one child process.
 
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -12,19 +12,21 @@
 
 use crate::wait::eventually;
 
-/// Time a process may take to say that it is ready; generous, since only a broken one uses it up.
-const READY_LIMIT: Duration = Duration::from_secs(60);
+/// Time within which a process must print its ready line. It is long because only a broken process
+/// should reach it.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Path of one of the workspace's binaries, built beside the tests.
+/// Returns the path of a binary of the workspace in the same target directory as the tests.
 ///
 /// # Errors
-/// When it is not there: run `cargo build --workspace --bins` first, or test the whole workspace.
+/// If the binary does not exist: run `cargo build --workspace --bins` first, or test the whole
+/// workspace.
 pub fn binary(name: &str) -> Result<PathBuf> {
     let test = std::env::current_exe()?;
     let folder = test
         .parent()
         .and_then(|deps| deps.parent())
-        .wrap_err("no target folder")?;
+        .wrap_err("the test binary is not in a target directory")?;
     let path = folder.join(name);
     if !path.exists() {
         bail!("{name} is not built: run cargo test --workspace, or cargo build --workspace --bins");
@@ -32,7 +34,7 @@
     Ok(path)
 }
 
-/// Whether the kernel shows every thread of process `id` as stopped.
+/// Returns whether the kernel reports every thread of the process as stopped.
 fn are_all_threads_stopped(id: u32) -> bool {
     let Ok(threads) = std::fs::read_dir(format!("/proc/{id}/task")) else {
         return false;
@@ -47,15 +49,15 @@
 pub struct Process {
     child: Child,
     _output: Lines<BufReader<ChildStdout>>,
-    /// The JSON line it printed once it was ready.
+    /// JSON line that the process printed when it was ready.
     pub ready: Value,
 }
 
 impl Process {
-    /// Starts a binary and waits for its line `{"ready":true,…}`.
+    /// Starts a binary and waits for its ready line `{"ready":true,…}`.
     ///
     /// # Errors
-    /// When it does not start, or ends before it is ready.
+    /// If the process does not start, exits early, or is not ready in time.
     pub async fn start(name: &str, arguments: &[String]) -> Result<Self> {
         let mut child = Command::new(binary(name)?)
             .args(arguments)
@@ -66,7 +68,7 @@
             .wrap_err_with(|| format!("{name} cannot be started"))?;
         let stdout = child.stdout.take().wrap_err("no standard output")?;
         let mut output = BufReader::new(stdout).lines();
-        let first_line = tokio::time::timeout(READY_LIMIT, output.next_line())
+        let first_line = tokio::time::timeout(READY_TIMEOUT, output.next_line())
             .await
             .wrap_err_with(|| format!("{name} was not ready in time"))??;
         let line = first_line.wrap_err_with(|| format!("{name} ended before it was ready"))?;
@@ -79,20 +81,20 @@
         })
     }
 
-    /// An address of the ready line, by the JSON pointer `pointer`.
+    /// Returns the address at the JSON pointer `pointer` in the ready line.
     ///
     /// # Errors
-    /// When the ready line has no such address.
+    /// If the ready line has no valid address there.
     pub fn address(&self, pointer: &str) -> Result<std::net::SocketAddr> {
         let text = self.ready.pointer(pointer).and_then(Value::as_str);
         let text = text.wrap_err_with(|| format!("no address {pointer} in {}", self.ready))?;
         Ok(text.parse()?)
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// When the process has ended.
+    /// If the process has exited.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         let id = self.child.id().wrap_err("the process has ended")?;
         let pid = Pid::from_raw(i32::try_from(id)?).wrap_err("process id 0")?;
@@ -100,11 +102,11 @@
         Ok(())
     }
 
-    /// Stops the process with SIGSTOP and waits until each of its threads has stopped: the signal alone
-    /// returns while they may still run.
+    /// Stops the process with SIGSTOP and waits until all of its threads have stopped. Sending the
+    /// signal alone returns while threads may still be running.
     ///
     /// # Errors
-    /// When the process has ended.
+    /// If the process has exited.
     pub async fn freeze(&self) -> Result<()> {
         self.signal(Signal::STOP)?;
         let id = self.child.id().wrap_err("the process has ended")?;
@@ -114,20 +116,20 @@
         .await
     }
 
-    /// Kills the process and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     ///
     /// # Errors
-    /// When it cannot be waited for.
+    /// If the process cannot be killed or waited for.
     pub async fn kill(mut self) -> Result<()> {
         self.child.kill().await?;
         Ok(())
     }
 
-    /// Waits until the process ends, and gives its exit code (`None` after a signal).
+    /// Waits until the process exits and returns its exit code, or `None` if a signal ended it.
     ///
     /// # Errors
-    /// When it cannot be waited for.
-    pub async fn ended(mut self) -> Result<Option<i32>> {
+    /// If the process cannot be waited for.
+    pub async fn wait_for_exit(mut self) -> Result<Option<i32>> {
         Ok(self.child.wait().await?.code())
     }
 }
--- a/crates/process-tests/src/wait.rs
+++ b/crates/process-tests/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for events.
+//! Polling for events.
 
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -6,33 +6,34 @@
 
 use eyre::{Result, bail};
 
-/// Pause between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// Looks before a wait is given up: some minutes, so that a busy machine changes no verdict.
-const MAXIMUM_LOOKS: u32 = 6_000;
+/// Pause between two polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of polls before a wait fails. It allows for minutes, so that a busy machine fails no
+/// test.
+const MAXIMUM_POLLS: u32 = 6_000;
 
-/// Looks again and again until `look` gives a value.
+/// Calls `probe` repeatedly until it returns a value. `what` describes the event in the error.
 ///
 /// # Errors
-/// When it never does.
-pub async fn eventually<T, F, Fut>(what: &str, mut look: F) -> Result<T>
+/// If `probe` returns no value within a few minutes.
+pub async fn eventually<T, F, Fut>(what: &str, mut probe: F) -> Result<T>
 where
     F: FnMut() -> Fut,
     Fut: Future<Output = Option<T>>,
 {
-    for _ in 0..MAXIMUM_LOOKS {
-        if let Some(value) = look().await {
+    for _ in 0..MAXIMUM_POLLS {
+        if let Some(value) = probe().await {
             return Ok(value);
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     bail!("never happened: {what}")
 }
 
-/// A loopback address whose port was free a moment ago.
+/// Returns a loopback address with a port that was free at the time of the call.
 ///
 /// # Errors
-/// When the system has none.
+/// If no port is free.
 pub fn free_address() -> Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     Ok(listener.local_addr()?)
--- a/crates/process-tests/tests/broken_answers.rs
+++ b/crates/process-tests/tests/broken_answers.rs
@@ -1,4 +1,5 @@
-//! Back ends that crash, answer for others or break off: callers get whole answers or true refusals.
+//! Checks that clients never get a truncated or wrong answer as complete when a back end crashes,
+//! sends another record, or truncates its answer.
 
 use eyre::{ContextCompat, Result};
 use http::{Request, StatusCode};
@@ -8,7 +9,9 @@
 use ponddrift_emulator::records::expected_record;
 use ponddrift_engine::wire::headers::REQUEST_ID;
 use ponddrift_http::body;
-use ponddrift_process_tests::answers::{problem, streamed, whole_text};
+use ponddrift_process_tests::answers::{
+    read_completion_text, read_problem, read_streamed_completion,
+};
 use ponddrift_process_tests::fleet::{Fleet, FleetSize, read};
 use ponddrift_process_tests::wait::eventually;
 use rustix::process::Signal;
@@ -17,14 +20,16 @@
 const PROMPT: &str = "thirty cartons of vaccine and a thermometer that told of a warm night";
 
 #[tokio::test]
-async fn an_engine_that_dies_in_mid_stream_ends_in_an_error_event() -> Result<()> {
+async fn a_stream_ends_with_an_error_event_when_its_engine_dies() -> Result<()> {
     let fleet = Fleet::start(FleetSize {
         daemons: 1,
         engines: 1,
         records: 0,
     })
     .await?;
-    fleet.engine_behaviour(0, &json!({"slowness": 3.0})).await?;
+    fleet
+        .set_engine_behaviour(0, &json!({"slowness": 3.0}))
+        .await?;
     let completion =
         json!({"model": "reconcile", "prompt": PROMPT, "max_tokens": 4000, "stream": true});
     let mut response = fleet.complete(0, &completion).await?;
@@ -33,18 +38,18 @@
         .body_mut()
         .frame()
         .await
-        .wrap_err("a first part")??;
+        .wrap_err("a first body frame")??;
     assert!(first.is_data());
     fleet.engines[0].signal(Signal::KILL)?;
-    let answer = streamed(response).await?;
-    assert!(!answer.is_whole);
+    let answer = read_streamed_completion(response).await?;
+    assert!(!answer.is_complete);
     let problem = answer.problem.wrap_err("an explicit error event")?;
     assert_eq!(problem.execution, Execution::Unknown);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_dead_engine_is_left_for_another_before_the_first_byte() -> Result<()> {
+async fn requests_fail_over_from_a_dead_engine_before_the_first_byte() -> Result<()> {
     let fleet = Fleet::start(FleetSize {
         daemons: 1,
         engines: 2,
@@ -56,20 +61,25 @@
         let completion = json!({"model": "reconcile", "prompt": PROMPT, "max_tokens": 5});
         let response = fleet.complete(0, &completion).await?;
         assert_eq!(response.status(), StatusCode::OK);
-        assert_eq!(whole_text(response).await?, expected_text(PROMPT, 5));
+        assert_eq!(
+            read_completion_text(response).await?,
+            expected_text(PROMPT, 5)
+        );
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_cancels_at_the_engine() -> Result<()> {
+async fn a_client_disconnect_cancels_the_request_at_the_engine() -> Result<()> {
     let fleet = Fleet::start(FleetSize {
         daemons: 1,
         engines: 1,
         records: 0,
     })
     .await?;
-    fleet.engine_behaviour(0, &json!({"slowness": 3.0})).await?;
+    fleet
+        .set_engine_behaviour(0, &json!({"slowness": 3.0}))
+        .await?;
     let completion =
         json!({"model": "reconcile", "prompt": PROMPT, "max_tokens": 100_000, "stream": true});
     let mut response = fleet.complete(0, &completion).await?;
@@ -77,7 +87,7 @@
         .body_mut()
         .frame()
         .await
-        .wrap_err("a first part")??;
+        .wrap_err("a first body frame")??;
     assert!(first.is_data());
     drop(response);
     eventually("the engine cancelled the request", || async {
@@ -88,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn crossed_and_truncated_records_are_never_passed_on_as_whole() -> Result<()> {
+async fn wrong_or_truncated_records_are_never_returned_as_complete() -> Result<()> {
     let fleet = Fleet::start(FleetSize {
         daemons: 1,
         engines: 0,
@@ -101,7 +111,7 @@
         json!({"truncated": 1.0}),
         json!({"reset": 1.0}),
     ] {
-        fleet.records_faults(0, &faults).await?;
+        fleet.set_records_faults(0, &faults).await?;
         let request = Request::get(format!("http://{gateway}/services/records/probes/9"))
             .body(body::empty())?;
         let response = fleet.send(request).await?;
@@ -110,14 +120,14 @@
             "{faults} gave {}",
             response.status()
         );
-        let problem = problem(response).await?;
+        let problem = read_problem(response).await?;
         assert_eq!(problem.execution, Execution::Unknown, "{faults}");
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn one_faulty_back_end_of_two_is_not_noticed_by_callers() -> Result<()> {
+async fn clients_do_not_notice_one_faulty_back_end_of_two() -> Result<()> {
     let fleet = Fleet::start(FleetSize {
         daemons: 1,
         engines: 0,
@@ -125,7 +135,9 @@
     })
     .await?;
     let gateway = fleet.gateway(0)?;
-    fleet.records_faults(0, &json!({"truncated": 1.0})).await?;
+    fleet
+        .set_records_faults(0, &json!({"truncated": 1.0}))
+        .await?;
     for number in 0..12 {
         let path = format!("/probes/{number}");
         let request =
@@ -138,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn a_posting_that_may_have_run_is_not_repeated() -> Result<()> {
+async fn a_request_that_may_have_run_is_not_retried() -> Result<()> {
     let fleet = Fleet::start(FleetSize {
         daemons: 1,
         engines: 0,
@@ -147,26 +159,30 @@
     .await?;
     let gateway = fleet.gateway(0)?;
     for index in 0..2 {
-        fleet.records_faults(index, &json!({"reset": 1.0})).await?;
+        fleet
+            .set_records_faults(index, &json!({"reset": 1.0}))
+            .await?;
     }
     let request = Request::post(format!("http://{gateway}/services/post/journal"))
         .body(body::full("debit 4 credit 4"))?;
     let response = fleet.send(request).await?;
     let request_id = response.headers()[REQUEST_ID].to_str()?.to_owned();
-    assert_eq!(problem(response).await?.execution, Execution::Unknown);
-    assert_eq!(fleet.runs_of(&request_id).await?.started, 1);
+    assert_eq!(read_problem(response).await?.execution, Execution::Unknown);
+    assert_eq!(fleet.runs_of_request(&request_id).await?.started, 1);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_planned_stop_of_a_daemon_cuts_nothing() -> Result<()> {
+async fn a_daemon_shutdown_completes_running_streams() -> Result<()> {
     let mut fleet = Fleet::start(FleetSize {
         daemons: 1,
         engines: 1,
         records: 0,
     })
     .await?;
-    fleet.engine_behaviour(0, &json!({"slowness": 3.0})).await?;
+    fleet
+        .set_engine_behaviour(0, &json!({"slowness": 3.0}))
+        .await?;
     let completion =
         json!({"model": "reconcile", "prompt": PROMPT, "max_tokens": 60, "stream": true});
     let mut response = fleet.complete(0, &completion).await?;
@@ -174,17 +190,17 @@
         .body_mut()
         .frame()
         .await
-        .wrap_err("a first part")??;
+        .wrap_err("a first body frame")??;
     let daemon = fleet.daemons.remove(0);
     daemon.signal(Signal::TERM)?;
-    let answer = streamed(response).await?;
-    assert!(answer.is_whole);
+    let answer = read_streamed_completion(response).await?;
+    assert!(answer.is_complete);
     let whole = expected_text(PROMPT, 60);
     assert!(
         whole.ends_with(&answer.text),
         "the rest of the answer came after the first part"
     );
     assert!(first.is_data());
-    assert_eq!(daemon.ended().await?, Some(0));
+    assert_eq!(daemon.wait_for_exit().await?, Some(0));
     Ok(())
 }
--- a/crates/process-tests/tests/operators.rs
+++ b/crates/process-tests/tests/operators.rs
@@ -1,5 +1,5 @@
-//! Operators ask what runs where and why, and change the configuration, also against one another and
-//! while the key-value service fails.
+//! Checks operator queries and configuration changes, including conflicting changes and failures of
+//! the key-value service.
 
 use std::collections::BTreeSet;
 
@@ -11,16 +11,16 @@
 use ponddrift_engine::wire::headers::REQUEST_ID;
 use ponddrift_http::ProblemKind;
 use ponddrift_platform::store::KeyValueStore;
-use ponddrift_process_tests::answers::whole_text;
+use ponddrift_process_tests::answers::read_completion_text;
 use ponddrift_process_tests::fleet::{Fleet, FleetSize};
-use ponddrift_process_tests::operators::Applied;
+use ponddrift_process_tests::operators::ApplyOutcome;
 use ponddrift_process_tests::wait::eventually;
 use ponddrift_query::Value;
 use rustix::process::Signal;
 use serde_json::json;
 
-const ROW_REVISION: &str = "SELECT revision FROM services WHERE name = 'reconcile'";
-const DEADLINE: &str = "SELECT deadline_ms FROM services WHERE name = 'reconcile'";
+const REVISION_QUERY: &str = "SELECT revision FROM services WHERE name = 'reconcile'";
+const DEADLINE_QUERY: &str = "SELECT deadline_ms FROM services WHERE name = 'reconcile'";
 
 async fn fleet(daemons: u32) -> Result<Fleet> {
     let fleet = Fleet::start(FleetSize {
@@ -53,13 +53,13 @@
     head.wrap_err("a head")
 }
 
-async fn number(fleet: &Fleet, index: usize, question: &str) -> Result<i64> {
-    match fleet.rows(index, question).await?.as_slice() {
+async fn number(fleet: &Fleet, index: usize, sql: &str) -> Result<i64> {
+    match fleet.rows(index, sql).await?.as_slice() {
         [row] => match row.as_slice() {
             [Value::Integer(number)] => Ok(*number),
-            other => bail!("{question}: {other:?}"),
+            other => bail!("{sql}: {other:?}"),
         },
-        other => bail!("{question}: {} rows", other.len()),
+        other => bail!("{sql}: {} rows", other.len()),
     }
 }
 
@@ -67,8 +67,8 @@
 async fn an_operator_sees_what_runs_where_and_why() -> Result<()> {
     let fleet = fleet(2).await?;
     eventually("both engines are known", || async {
-        let question = "SELECT id FROM engines WHERE state = 'live' AND role = 'mixed' AND model = 'ledger' AND running = 0 ORDER BY id";
-        let rows = fleet.rows(0, question).await.ok()?;
+        let sql = "SELECT id FROM engines WHERE state = 'live' AND role = 'mixed' AND model = 'ledger' AND running = 0 ORDER BY id";
+        let rows = fleet.rows(0, sql).await.ok()?;
         (rows == [[Value::Integer(100)], [Value::Integer(101)]]).then_some(())
     })
     .await?;
@@ -88,12 +88,12 @@
     let completion = json!({"model": "reconcile", "prompt": "why there", "max_tokens": 3});
     let response = fleet.complete(0, &completion).await?;
     let request_id = response.headers()[REQUEST_ID].to_str()?.to_owned();
-    whole_text(response).await?;
-    // Asked at the other daemon: decisions are gathered from all.
-    let question = format!(
+    read_completion_text(response).await?;
+    // Sent to the other daemon, which must collect decisions from all daemons.
+    let sql = format!(
         "SELECT daemon, kind, outcome, reason FROM decisions WHERE subject = '{request_id}'"
     );
-    let answer = fleet.query(1, &question).await?;
+    let answer = fleet.query(1, &sql).await?;
     assert_eq!(answer.missing, []);
     let [row] = answer.result.rows.as_slice() else {
         bail!("one placement, not {:?}", answer.result.rows);
@@ -113,9 +113,9 @@
     });
     let response = fleet.complete(0, &completion).await?;
     let request_id = response.headers()[REQUEST_ID].to_str()?.to_owned();
-    let question =
+    let sql =
         "SELECT id, service, priority, state, attempts FROM requests WHERE back_end IS NOT NULL";
-    let rows = fleet.rows(0, question).await?;
+    let rows = fleet.rows(0, sql).await?;
     let expected = [[
         request_id.into(),
         "reconcile".into(),
@@ -133,11 +133,11 @@
 }
 
 #[tokio::test]
-async fn a_daemon_that_gives_no_answer_is_named() -> Result<()> {
+async fn a_query_names_daemons_that_do_not_respond() -> Result<()> {
     let fleet = fleet(3).await?;
     fleet.daemons[2].freeze().await?;
-    let question = "SELECT daemon, COUNT(*) FROM decisions GROUP BY daemon ORDER BY daemon";
-    let answer = fleet.query(0, question).await?;
+    let sql = "SELECT daemon, COUNT(*) FROM decisions GROUP BY daemon ORDER BY daemon";
+    let answer = fleet.query(0, sql).await?;
     fleet.daemons[2].signal(Signal::CONT)?;
     let missing = answer.missing.iter().map(|part| part.daemon);
     assert_eq!(missing.collect::<Vec<_>>(), [MachineId(3)]);
@@ -148,10 +148,10 @@
 }
 
 #[tokio::test]
-async fn of_two_changes_of_one_revision_one_wins_and_the_other_is_told_by_whom() -> Result<()> {
+async fn of_two_conflicting_changes_one_is_refused_with_the_author_of_the_other() -> Result<()> {
     let fleet = fleet(2).await?;
     for round in 0..5_u32 {
-        let revision = number(&fleet, 0, ROW_REVISION).await?;
+        let revision = number(&fleet, 0, REVISION_QUERY).await?;
         let statement = |deadline_ms: u32| {
             format!(
                 "UPDATE services SET deadline_ms = {deadline_ms} WHERE name = 'reconcile' AND revision = {revision}"
@@ -163,8 +163,12 @@
             fleet.apply(1, "jun", &second)
         );
         let (winner, loser, wanted) = match (first?, second?) {
-            (Applied::Accepted(_), Applied::Refused(problem)) => ("hana", problem, 10_000 + round),
-            (Applied::Refused(problem), Applied::Accepted(_)) => ("jun", problem, 20_000 + round),
+            (ApplyOutcome::Accepted(_), ApplyOutcome::Refused(problem)) => {
+                ("hana", problem, 10_000 + round)
+            }
+            (ApplyOutcome::Refused(problem), ApplyOutcome::Accepted(_)) => {
+                ("jun", problem, 20_000 + round)
+            }
             other => bail!("not one winner: {other:?}"),
         };
         assert_eq!(loser.kind, ProblemKind::Conflict);
@@ -172,7 +176,7 @@
         let told = loser.detail.contains(&format!("changed by {winner}"));
         assert!(told, "{}", loser.detail);
         for index in 0..2 {
-            let deadline = number(&fleet, index, DEADLINE).await?;
+            let deadline = number(&fleet, index, DEADLINE_QUERY).await?;
             assert_eq!(deadline, i64::from(wanted));
         }
     }
@@ -214,7 +218,7 @@
     assert_eq!((answer.in_force, answer.live), (3, 3));
     assert_eq!(answer.not_yet_in_force, []);
     for index in 0..3 {
-        assert_eq!(number(&fleet, index, DEADLINE).await?, 12_345);
+        assert_eq!(number(&fleet, index, DEADLINE_QUERY).await?, 12_345);
     }
     let behind = "SELECT daemon, revision FROM configuration WHERE current = false";
     let behind = fleet.rows(1, behind).await?;
@@ -227,24 +231,24 @@
 }
 
 #[tokio::test]
-async fn a_daemon_where_a_change_is_not_in_force_yet_is_named() -> Result<()> {
+async fn a_change_names_daemons_where_it_is_not_yet_in_force() -> Result<()> {
     let fleet = fleet(3).await?;
     fleet.daemons[2].freeze().await?;
     let statement = "UPDATE services SET deadline_ms = 12345 WHERE name = 'reconcile'";
-    let answer = fleet.apply_within(0, "hana", statement, 500).await?;
+    let answer = fleet.apply_with_wait(0, "hana", statement, 500).await?;
     let answer = answer.accepted()?;
     fleet.daemons[2].signal(Signal::CONT)?;
     assert_eq!(answer.not_yet_in_force, [MachineId(3)], "{answer:?}");
     assert_eq!((answer.in_force, answer.live), (2, 3));
     eventually("the daemon that was frozen takes the change", || async {
-        let deadline = number(&fleet, 2, DEADLINE).await.ok()?;
+        let deadline = number(&fleet, 2, DEADLINE_QUERY).await.ok()?;
         (deadline == 12_345).then_some(())
     })
     .await
 }
 
 #[tokio::test]
-async fn an_invalid_change_is_refused_whole_with_its_remedy() -> Result<()> {
+async fn an_invalid_change_is_refused_completely_with_a_remedy() -> Result<()> {
     let fleet = fleet(1).await?;
     let before = stored_head(&fleet).await?;
     let cases = [
@@ -307,7 +311,7 @@
         json!({"rate_limit": {"per_second": 0.0, "burst": 0.0}}),
     ];
     for fault in faults {
-        fleet.store_faults(&fault).await?;
+        fleet.set_store_faults(&fault).await?;
         let problem = fleet.apply(0, "hana", statement).await?.refused()?;
         assert_eq!(problem.kind, ProblemKind::StoreUnavailable, "{fault}");
         assert_eq!(problem.execution, Execution::NotStarted, "{fault}");
@@ -316,10 +320,10 @@
             "{}",
             problem.detail
         );
-        // Questions go on: they need no store.
-        assert_eq!(number(&fleet, 1, DEADLINE).await?, 60_000);
+        // Queries still work because they do not use the store.
+        assert_eq!(number(&fleet, 1, DEADLINE_QUERY).await?, 60_000);
     }
-    fleet.end_store_faults().await?;
+    fleet.clear_store_faults().await?;
     assert_eq!(stored_head(&fleet).await?, before);
     let answer = fleet.apply(0, "hana", statement).await?.accepted()?;
     assert_eq!(answer.in_force, 2);
@@ -332,23 +336,23 @@
     for round in 0..3 {
         let before = stored_head(&fleet).await?;
         fleet
-            .store_faults(&json!({"lost_answers": {"next": 1}}))
+            .set_store_faults(&json!({"lost_answers": {"next": 1}}))
             .await?;
         let statement = format!(
             "UPDATE services SET deadline_ms = {} WHERE name = 'reconcile' AND revision = {}",
             30_000 + round,
-            number(&fleet, 0, ROW_REVISION).await?
+            number(&fleet, 0, REVISION_QUERY).await?
         );
         let answer = fleet.apply(0, "hana", &statement).await?.accepted()?;
         let after = stored_head(&fleet).await?;
-        // Exactly one change followed the one before, and it is this one.
+        // Exactly one change was stored since `before`, and it is this one.
         ensure!(
             after.head.previous == before.revision,
             "more than one change"
         );
         assert_eq!(after.head.change, answer.change);
         assert_eq!(after.revision, answer.revision);
-        let row = u64::try_from(number(&fleet, 1, ROW_REVISION).await?)?;
+        let row = u64::try_from(number(&fleet, 1, REVISION_QUERY).await?)?;
         assert_eq!(Revision(row), answer.revision);
     }
     Ok(())
--- a/crates/process-tests/tests/whole_path.rs
+++ b/crates/process-tests/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path with the real binaries: caller, daemon, stand-in engine or plain back end.
+//! End-to-end tests of requests from a client through a daemon to an engine or plain back end.
 
 use eyre::Result;
 use http::{Request, StatusCode};
@@ -6,7 +6,9 @@
 use ponddrift_emulator::engine::expected_text;
 use ponddrift_emulator::records::expected_record;
 use ponddrift_http::body;
-use ponddrift_process_tests::answers::{problem, streamed, whole_text};
+use ponddrift_process_tests::answers::{
+    read_completion_text, read_problem, read_streamed_completion,
+};
 use ponddrift_process_tests::fleet::{Fleet, FleetSize, read};
 use serde_json::json;
 
@@ -23,28 +25,28 @@
 }
 
 #[tokio::test]
-async fn a_whole_completion_is_the_expected_one() -> Result<()> {
+async fn a_completion_returns_the_expected_text() -> Result<()> {
     let fleet = small_fleet().await?;
     let completion = json!({"model": "reconcile", "prompt": PROMPT, "max_tokens": MAX_TOKENS});
     let response = fleet.complete(0, &completion).await?;
     assert_eq!(response.status(), StatusCode::OK);
     assert_eq!(
-        whole_text(response).await?,
+        read_completion_text(response).await?,
         expected_text(PROMPT, MAX_TOKENS)
     );
     Ok(())
 }
 
 #[tokio::test]
-async fn a_streamed_completion_is_whole_and_ends_with_its_mark() -> Result<()> {
+async fn a_streamed_completion_is_complete_and_ends_with_done() -> Result<()> {
     let fleet = small_fleet().await?;
     let completion = json!({
         "model": "reconcile", "prompt": PROMPT, "max_tokens": MAX_TOKENS, "stream": true,
     });
     let response = fleet.complete(0, &completion).await?;
     assert_eq!(response.status(), StatusCode::OK);
-    let answer = streamed(response).await?;
-    assert!(answer.is_whole);
+    let answer = read_streamed_completion(response).await?;
+    assert!(answer.is_complete);
     assert_eq!(answer.text, expected_text(PROMPT, MAX_TOKENS));
     Ok(())
 }
@@ -72,6 +74,9 @@
         .complete(0, &json!({"model": "nobody", "prompt": PROMPT}))
         .await?;
     assert_eq!(response.status(), StatusCode::NOT_FOUND);
-    assert_eq!(problem(response).await?.execution, Execution::NotStarted);
+    assert_eq!(
+        read_problem(response).await?.execution,
+        Execution::NotStarted
+    );
     Ok(())
 }
