--- a/crates/platform/src/etcd/client.rs
+++ b/crates/platform/src/etcd/client.rs
@@ -78,12 +78,12 @@
                 .await
                 .map_err(|error| call_kind.lost_answer_error(error.to_string()))?;
             serde_json::from_slice(&bytes)
-                .map_err(|error| StoreError::Protocol(format!("answer of {path}: {error}")))
+                .map_err(|error| StoreError::Protocol(format!("response to {path}: {error}")))
         };
         tokio::time::timeout(limit, exchange)
             .await
             .map_err(|_elapsed| {
-                call_kind.lost_answer_error(format!("no answer within {limit:?}"))
+                call_kind.lost_answer_error(format!("no response within {limit:?}"))
             })?
     }
 
@@ -97,7 +97,7 @@
         Q: Serialize + Sync,
     {
         let bytes = serde_json::to_vec(request)
-            .map_err(|error| StoreError::Protocol(format!("request of {path}: {error}")))?;
+            .map_err(|error| StoreError::Protocol(format!("request to {path}: {error}")))?;
         let mut reason = String::from("no gateway address is configured");
         for address in &self.settings.addresses {
             let request = Request::post(format!("http://{address}{path}"))
@@ -266,7 +266,9 @@
             let response = tokio::time::timeout(self.settings.time_limit, opening)
                 .await
                 .map_err(|_elapsed| {
-                    CallKind::Reads.lost_answer_error(String::from("the watch did not open"))
+                    CallKind::Reads.lost_answer_error(String::from(
+                        "no response to the watch request within the time limit",
+                    ))
                 })??;
             Ok(watch::events(response.into_body()))
         })
--- a/crates/platform/src/etcd/watch.rs
+++ b/crates/platform/src/etcd/watch.rs
@@ -33,7 +33,7 @@
     });
     let connection_closed = stream::once(async {
         Err(StoreError::Unreachable {
-            reason: String::from("the watch's connection ended"),
+            reason: String::from("the watch connection was closed"),
         })
     });
     let until_error = batches
@@ -47,7 +47,7 @@
 
 fn parse_line(line: &str) -> Result<Vec<WatchEvent>, StoreError> {
     let line: Line = serde_json::from_str(line)
-        .map_err(|error| StoreError::Protocol(format!("line of a watch: {error}")))?;
+        .map_err(|error| StoreError::Protocol(format!("watch response line: {error}")))?;
     if let Some(error) = line.error {
         return Err(StoreError::Unreachable {
             reason: error.message,
@@ -61,7 +61,7 @@
     }
     if message.canceled {
         return Err(StoreError::Unreachable {
-            reason: String::from("the watch was cancelled"),
+            reason: String::from("the service cancelled the watch"),
         });
     }
     message
--- a/crates/platform/src/machines.rs
+++ b/crates/platform/src/machines.rs
@@ -19,16 +19,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MachineListError {
     /// The request failed before a response arrived.
-    #[error("the machine list cannot be reached: {0}; the last list read stays in use")]
+    #[error("the machine list cannot be reached: {0}; still using the last list")]
     Unreachable(#[from] ClientError),
     /// The response body is incomplete, too large or not valid.
-    #[error("the machine list's response cannot be read: {0}; the last list read stays in use")]
+    #[error("the response body of the machine list cannot be read: {0}; still using the last list")]
     Unreadable(#[from] ReadError),
     /// The response status was neither 200 nor 304.
-    #[error("the machine list answered {0}; the last list read stays in use")]
+    #[error("the machine list request returned status {0}; still using the last list")]
     Refused(StatusCode),
     /// The response did not arrive within the time limit.
-    #[error("the machine list did not answer within {0:?}; the last list read stays in use")]
+    #[error("the machine list request timed out after {0:?}; still using the last list")]
     TimedOut(Duration),
 }
 
--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -113,22 +113,26 @@
         reason: String,
     },
     /// The service rejected the call because of its rate limit. Nothing was written.
-    #[error("the key-value service limits the rate of calls; nothing was written, try again later")]
+    #[error(
+        "the key-value service rejected the call because of its rate limit; nothing was written, try again later"
+    )]
     RateLimited,
     /// The call may have taken effect. The caller must read the data back before it retries.
-    #[error("the answer of the key-value service was lost: {reason}; read back before repeating")]
+    #[error(
+        "the response of the key-value service was lost: {reason}; the write may have taken effect, read the data back before retrying"
+    )]
     AnswerLost {
         /// Cause.
         reason: String,
     },
     /// The lease does not exist or has expired.
-    #[error("the lease has ended: take a new one")]
+    #[error("the lease does not exist or has expired; request a new one")]
     LeaseNotFound,
     /// The revision was compacted. The caller must read all data again and watch from there.
-    #[error("the revision {0} was compacted: read everything and watch from there")]
+    #[error("revision {0} was compacted; read all data again and watch from the revision read")]
     Compacted(Revision),
     /// The service sent a response that violates its protocol.
-    #[error("the key-value service answered what its protocol does not allow: {0}")]
+    #[error("the key-value service sent an invalid response: {0}")]
     Protocol(String),
 }
 
--- a/crates/process-tests/src/answers.rs
+++ b/crates/process-tests/src/answers.rs
@@ -27,12 +27,12 @@
 /// # Errors
 /// If an event cannot be parsed or the connection breaks.
 pub async fn read_streamed_completion(response: Response<Incoming>) -> Result<StreamedCompletion> {
-    let pieces: Vec<Bytes> = response
+    let chunks: Vec<Bytes> = response
         .into_body()
         .into_data_stream()
         .try_collect()
         .await?;
-    let event_stream = String::from_utf8(pieces.concat())?;
+    let event_stream = String::from_utf8(chunks.concat())?;
     let mut completion = StreamedCompletion::default();
     for event in event_stream.split("\n\n").filter(|event| !event.is_empty()) {
         let mut lines = event.lines();
--- a/crates/process-tests/src/controls.rs
+++ b/crates/process-tests/src/controls.rs
@@ -30,7 +30,7 @@
         let response = self.send(request).await?;
         let status = response.status();
         if !status.is_success() {
-            bail!("{path} answered {status}: {:?}", read(response).await?);
+            bail!("{path} returned {status}: {:?}", read(response).await?);
         }
         Ok(())
     }
--- a/crates/process-tests/src/operators.rs
+++ b/crates/process-tests/src/operators.rs
@@ -31,7 +31,7 @@
     pub fn accepted(self) -> Result<ApplyAnswer> {
         match self {
             Self::Accepted(answer) => Ok(answer),
-            Self::Refused(problem) => bail!("refused: {}", problem.detail),
+            Self::Refused(problem) => bail!("the change was refused: {}", problem.detail),
         }
     }
 
@@ -41,7 +41,9 @@
     /// If the change was accepted.
     pub fn refused(self) -> Result<Problem> {
         match self {
-            Self::Accepted(answer) => bail!("accepted at revision {}", answer.revision),
+            Self::Accepted(answer) => {
+                bail!("the change was accepted at revision {}", answer.revision)
+            }
             Self::Refused(problem) => Ok(problem),
         }
     }
--- a/crates/process-tests/src/process.rs
+++ b/crates/process-tests/src/process.rs
@@ -65,15 +65,15 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .wrap_err_with(|| format!("{name} cannot be started"))?;
+            .wrap_err_with(|| format!("failed to start {name}"))?;
         let stdout = child.stdout.take().wrap_err("no standard output")?;
         let mut output = BufReader::new(stdout).lines();
         let first_line = tokio::time::timeout(READY_TIMEOUT, output.next_line())
             .await
             .wrap_err_with(|| format!("{name} was not ready in time"))??;
-        let line = first_line.wrap_err_with(|| format!("{name} ended before it was ready"))?;
+        let line = first_line.wrap_err_with(|| format!("{name} exited before it was ready"))?;
         let ready: Value = serde_json::from_str(&line)
-            .wrap_err_with(|| format!("{name} printed {line:?} in place of its ready line"))?;
+            .wrap_err_with(|| format!("{name} printed {line:?} instead of its ready line"))?;
         Ok(Self {
             child,
             _output: output,
@@ -96,7 +96,7 @@
     /// # Errors
     /// If the process has exited.
     pub fn signal(&self, signal: Signal) -> Result<()> {
-        let id = self.child.id().wrap_err("the process has ended")?;
+        let id = self.child.id().wrap_err("the process has exited")?;
         let pid = Pid::from_raw(i32::try_from(id)?).wrap_err("process id 0")?;
         kill_process(pid, signal)?;
         Ok(())
@@ -109,7 +109,7 @@
     /// If the process has exited.
     pub async fn freeze(&self) -> Result<()> {
         self.signal(Signal::STOP)?;
-        let id = self.child.id().wrap_err("the process has ended")?;
+        let id = self.child.id().wrap_err("the process has exited")?;
         eventually("all threads of a process have stopped", || async {
             are_all_threads_stopped(id).then_some(())
         })
--- a/crates/process-tests/src/wait.rs
+++ b/crates/process-tests/src/wait.rs
@@ -27,7 +27,7 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    bail!("never happened: {what}")
+    bail!("timed out waiting until {what}")
 }
 
 /// Returns a loopback address with a port that was free at the time of the call.
--- a/crates/simulation/src/network/datagram.rs
+++ b/crates/simulation/src/network/datagram.rs
@@ -74,7 +74,7 @@
     ) -> Poll<io::Result<(usize, SocketAddr)>> {
         self.world.with(|world| {
             let Some(socket) = world.datagrams.0.get_mut(&self.local) else {
-                return Poll::Ready(Err(io::Error::other("the socket's host was killed")));
+                return Poll::Ready(Err(io::Error::other("the host of the socket is down")));
             };
             let Some((bytes, from)) = socket.inbox.pop_front() else {
                 socket.waker = Some(context.waker().clone());
--- a/crates/simulation/src/network/listener.rs
+++ b/crates/simulation/src/network/listener.rs
@@ -49,7 +49,7 @@
         self.world.with(|world| {
             let connections = &mut world.connections;
             let Some(listener) = connections.listeners.get_mut(&self.local) else {
-                return Poll::Ready(Err(io::Error::other("the listener's host was killed")));
+                return Poll::Ready(Err(io::Error::other("the host of the listener is down")));
             };
             while let Some(id) = listener.waiting.pop_front() {
                 if let Some(endpoint) = connections.endpoints.get(&id) {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -165,7 +165,11 @@
     pub(crate) fn add_host(&mut self, spec: HostSpec) -> HostId {
         let id = HostId(u32::try_from(self.hosts.len()).expect("fewer than 2^32 hosts"));
         let taken = self.host_by_ip.insert(spec.ip, id);
-        assert!(taken.is_none(), "address {} is given twice", spec.ip);
+        assert!(
+            taken.is_none(),
+            "IP address {} is already assigned to another host",
+            spec.ip
+        );
         self.hosts.push(Host {
             spec,
             incarnation: None,
