--- a/crates/daemon/src/operator/apply/read.rs
+++ b/crates/daemon/src/operator/apply/read.rs
@@ -29,7 +29,9 @@
 }
 
 /// Reads only the configuration head.
-pub(super) async fn read_head(context: &OperatorContext) -> Result<Option<StoredLatestChange>, String> {
+pub(super) async fn read_head(
+    context: &OperatorContext,
+) -> Result<Option<StoredLatestChange>, String> {
     let value = context.store.get(LATEST_CHANGE_KEY).await;
     let Some(value) = value.map_err(|error| error.to_string())? else {
         return Ok(None);
