--- a/crates/daemon/src/actors/claims.rs
+++ b/crates/daemon/src/actors/claims.rs
@@ -1,4 +1,5 @@
-//! Shell of this daemon's part in claim groups: its votes, and the shard map it knows.
+//! Actor for idempotency-key claims: votes as a member of claim groups and keeps the current shard
+//! map.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,16 +11,16 @@
 use ponddrift_runtime::{Clock, watch};
 use xtra::{Context, Handler};
 
-/// Time between two searches for claims that are out of date.
-const FORGET_PERIOD: Duration = Duration::from_secs(5);
+/// Interval at which expired claims are removed.
+const CLEANUP_PERIOD: Duration = Duration::from_secs(5);
 
-/// Holds the replica and the shard map.
+/// Runs the claim replica of this daemon and publishes the shard map.
 #[derive(xtra::Actor)]
 pub(crate) struct ClaimsActor {
     replica: ClaimReplica,
     map: watch::Sender<Arc<ShardMap>>,
     clock: Arc<dyn Clock>,
-    next_forget: Timestamp,
+    next_cleanup: Timestamp,
 }
 
 impl ClaimsActor {
@@ -33,38 +34,38 @@
             replica,
             map,
             clock,
-            next_forget: Timestamp::ZERO,
+            next_cleanup: Timestamp::ZERO,
         }
     }
 }
 
-/// A message to this member.
+/// A claim message from a coordinator to this replica.
 pub(crate) struct HandleClaim(pub(crate) ClaimMessage);
 
-/// A shard map was read from the store or from a peer.
-pub(crate) struct TakeShardMap(pub(crate) ShardMap);
+/// Replaces the shard map, read from the store or a peer, if the new one has a higher epoch.
+pub(crate) struct ApplyShardMap(pub(crate) ShardMap);
 
 impl Handler<HandleClaim> for ClaimsActor {
     type Return = Option<ClaimReply>;
 
     async fn handle(&mut self, message: HandleClaim, _context: &mut Context<Self>) -> Self::Return {
         let now = self.clock.now();
-        if now >= self.next_forget {
-            self.next_forget = now + FORGET_PERIOD;
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_PERIOD;
             self.replica.remove_expired(now);
         }
         self.replica.handle(now, message.0)
     }
 }
 
-impl Handler<TakeShardMap> for ClaimsActor {
+impl Handler<ApplyShardMap> for ClaimsActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakeShardMap, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ApplyShardMap, _context: &mut Context<Self>) {
         self.map.send_if_modified(|known| {
             let is_newer = message.0.epoch > known.epoch;
             if is_newer {
-                tracing::info!(epoch = message.0.epoch, "shard map of the claims");
+                tracing::info!(epoch = message.0.epoch, "shard map updated");
                 *known = Arc::new(message.0);
             }
             is_newer
--- a/crates/daemon/src/actors/configuration.rs
+++ b/crates/daemon/src/actors/configuration.rs
@@ -1,4 +1,5 @@
-//! Shell of the configuration in force: whatever the source, it never goes to an older revision.
+//! Actor for the active configuration. It never goes back to an older revision, whatever the
+//! source.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,15 +15,15 @@
 use crate::decisions::DecisionLog;
 use crate::metrics::Metrics;
 
-/// Holds the configuration in force.
+/// Holds the active configuration and the revisions that peers report.
 #[derive(xtra::Actor)]
 pub(crate) struct ConfigurationActor {
     state: ConfigurationState,
     in_force: watch::Sender<Arc<Configuration>>,
     metrics: Arc<Metrics>,
     decisions: DecisionLog,
-    /// The life that each peer's revision was heard of.
-    lives: BTreeMap<MachineId, Incarnation>,
+    /// Incarnation to which each peer's reported revision belongs.
+    peer_incarnations: BTreeMap<MachineId, Incarnation>,
 }
 
 impl ConfigurationActor {
@@ -36,7 +37,7 @@
             in_force,
             metrics,
             decisions,
-            lives: BTreeMap::new(),
+            peer_incarnations: BTreeMap::new(),
         }
     }
 
@@ -51,48 +52,48 @@
     }
 }
 
-/// A whole configuration was read from the store.
-pub(crate) struct TakeSnapshot(pub(crate) Configuration);
+/// Applies a complete configuration read from the store.
+pub(crate) struct ApplySnapshot(pub(crate) Configuration);
 
-/// A change was seen in the store.
-pub(crate) struct TakeDelta(pub(crate) Delta);
+/// Applies a change received from the store.
+pub(crate) struct ApplyDelta(pub(crate) Delta);
 
-/// A peer answered a pull.
-pub(crate) struct TakePullAnswer(pub(crate) PullAnswer);
+/// Applies the answer of a peer to a configuration pull.
+pub(crate) struct ApplyPullAnswer(pub(crate) PullAnswer);
 
-/// A peer asks what it lacks.
-pub(crate) struct Since(pub(crate) Revision);
+/// Returns the changes after this revision, for a peer that pulls them.
+pub(crate) struct ChangesSince(pub(crate) Revision);
 
-/// A peer has a revision in force.
-pub(crate) struct NotePeer {
+/// Records the revision that is active at a peer.
+pub(crate) struct RecordPeerRevision {
     pub(crate) peer: MachineId,
     pub(crate) incarnation: Incarnation,
     pub(crate) revision: Revision,
 }
 
-/// Asks for the revision in force at each peer, as far as it is known.
+/// Returns the last known active revision of each peer.
 pub(crate) struct PeerRevisions;
 
-/// Asks which of `live` are not known to have `revision` in force.
-pub(crate) struct NotYetInForce {
+/// Returns the members of `live` that have not reported `revision` or a later one as active.
+pub(crate) struct PeersWithoutRevision {
     pub(crate) revision: Revision,
     pub(crate) live: Vec<MachineId>,
 }
 
-impl Handler<TakeSnapshot> for ConfigurationActor {
+impl Handler<ApplySnapshot> for ConfigurationActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakeSnapshot, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ApplySnapshot, _context: &mut Context<Self>) {
         if self.state.apply_snapshot(message.0) == SnapshotOutcome::Applied {
             self.publish("read from the store");
         }
     }
 }
 
-impl Handler<TakeDelta> for ConfigurationActor {
+impl Handler<ApplyDelta> for ConfigurationActor {
     type Return = DeltaOutcome;
 
-    async fn handle(&mut self, message: TakeDelta, _context: &mut Context<Self>) -> DeltaOutcome {
+    async fn handle(&mut self, message: ApplyDelta, _context: &mut Context<Self>) -> DeltaOutcome {
         let outcome = self.state.apply_delta(message.0);
         if outcome == DeltaOutcome::Applied {
             self.publish("change seen in the store");
@@ -101,37 +102,37 @@
     }
 }
 
-impl Handler<TakePullAnswer> for ConfigurationActor {
+impl Handler<ApplyPullAnswer> for ConfigurationActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakePullAnswer, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ApplyPullAnswer, _context: &mut Context<Self>) {
         if self.state.apply_pull_answer(message.0) {
             self.publish("pulled from a peer");
         }
     }
 }
 
-impl Handler<Since> for ConfigurationActor {
+impl Handler<ChangesSince> for ConfigurationActor {
     type Return = PullAnswer;
 
-    async fn handle(&mut self, message: Since, _context: &mut Context<Self>) -> PullAnswer {
+    async fn handle(&mut self, message: ChangesSince, _context: &mut Context<Self>) -> PullAnswer {
         self.state.since(message.0)
     }
 }
 
-impl Handler<NotePeer> for ConfigurationActor {
+impl Handler<RecordPeerRevision> for ConfigurationActor {
     type Return = ();
 
-    async fn handle(&mut self, message: NotePeer, _context: &mut Context<Self>) {
-        let NotePeer {
+    async fn handle(&mut self, message: RecordPeerRevision, _context: &mut Context<Self>) {
+        let RecordPeerRevision {
             peer,
             incarnation,
             revision,
         } = message;
-        let known = self.lives.insert(peer, incarnation);
+        let known = self.peer_incarnations.insert(peer, incarnation);
         match known {
             Some(known) if known > incarnation => {
-                self.lives.insert(peer, known);
+                self.peer_incarnations.insert(peer, known);
                 return;
             }
             Some(known) if known < incarnation => self.state.forget_peer(peer),
@@ -153,12 +154,12 @@
     }
 }
 
-impl Handler<NotYetInForce> for ConfigurationActor {
+impl Handler<PeersWithoutRevision> for ConfigurationActor {
     type Return = Vec<MachineId>;
 
     async fn handle(
         &mut self,
-        message: NotYetInForce,
+        message: PeersWithoutRevision,
         _context: &mut Context<Self>,
     ) -> Vec<MachineId> {
         self.state.not_yet_in_force(message.revision, message.live)
--- a/crates/daemon/src/actors/controller.rs
+++ b/crates/daemon/src/actors/controller.rs
@@ -1,9 +1,10 @@
-//! Shell of a cell's controller: stands for election, and while it holds the lease, reconciles the cell.
+//! Actor for the controller of one cell: campaigns for the controller lease and, while it holds the
+//! lease, reconciles the engines of the cell.
 
 mod calls;
 mod engines;
-mod office;
 mod planning;
+mod term;
 mod wanted;
 
 use std::collections::BTreeMap;
@@ -31,16 +32,17 @@
 use crate::peer::PeerIdentity;
 use crate::peer::view::MembersView;
 use crate::settings::Settings;
-use office::Office;
+use term::ControllerTerm;
 
-/// Daemons that are ranked as candidates of a cell.
-pub(crate) const CANDIDATES: usize = 5;
-/// Smallest number of engines of a cell that may be away at once.
-const LEAST_AWAY: usize = 1;
+/// Number of daemons that are ranked as controller candidates of each cell.
+pub(crate) const CANDIDATES_PER_CELL: usize = 5;
+/// Lower bound of the limit on engines of a cell that may be unavailable at the same time, so that
+/// small cells can still be changed.
+const MIN_UNAVAILABLE_LIMIT: usize = 1;
 
-/// What controllers of all cells share.
+/// Dependencies shared by the controllers of all cells.
 #[derive(Clone)]
-pub(crate) struct ControllerLinks {
+pub(crate) struct ControllerDependencies {
     pub(crate) runtime: Runtime,
     pub(crate) settings: Settings,
     pub(crate) identity: PeerIdentity,
@@ -54,20 +56,23 @@
     pub(crate) decisions: DecisionLog,
 }
 
-/// One cell's controller, or candidate for it.
+/// The controller of one cell, or a candidate for it.
 pub(crate) struct ControllerActor {
     cell: CellName,
-    links: ControllerLinks,
+    deps: ControllerDependencies,
     holder: ControllerElection,
-    office: Option<Office>,
-    /// End of authority, on this daemon's clock, as the calls under way see it.
+    term: Option<ControllerTerm>,
+    /// Current authority, read by calls in progress right before they send. Its end is on this
+    /// daemon's clock.
     authority: watch::Sender<Option<Authority>>,
+    /// Address of this actor, set when it starts.
     own: Option<WeakAddress<Self>>,
-    /// The dead controller's token that was hinted at last, and when it may be hinted at again.
-    hinted: (FencingToken, Timestamp),
+    /// Token of the last controller reported dead, and the time from which the same report is
+    /// handled again.
+    last_death_hint: (FencingToken, Timestamp),
 }
 
-/// The token under which calls may be sent until `until`.
+/// Authority to send calls under `token` until `until`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Authority {
     pub(crate) token: FencingToken,
@@ -75,47 +80,47 @@
 }
 
 impl ControllerActor {
-    pub(crate) fn new(cell: CellName, links: ControllerLinks) -> Self {
+    pub(crate) fn new(cell: CellName, deps: ControllerDependencies) -> Self {
         let authority_settings = AuthoritySettings {
-            time_to_live: links.settings.control.lease_time,
-            keep_alive_period: links.settings.control.lease_time / 4,
-            key_read_period: links.settings.control.lease_time,
-            clock_margin: links.settings.control.lease_time / 20,
+            time_to_live: deps.settings.control.lease_time,
+            keep_alive_period: deps.settings.control.lease_time / 4,
+            key_read_period: deps.settings.control.lease_time,
+            clock_margin: deps.settings.control.lease_time / 20,
             ..AuthoritySettings::default()
         };
         let holder = ControllerElection::new(
             authority_settings,
             cell.clone(),
-            links.identity.machine,
-            links.identity.incarnation,
-            links.runtime.seed,
+            deps.identity.machine,
+            deps.identity.incarnation,
+            deps.runtime.seed,
         );
         Self {
             cell,
-            links,
+            deps,
             holder,
-            office: None,
+            term: None,
             authority: watch::Sender::new(None),
             own: None,
-            hinted: (FencingToken(0), Timestamp::ZERO),
+            last_death_hint: (FencingToken(0), Timestamp::ZERO),
         }
     }
 
     fn now(&self) -> Timestamp {
-        self.links.runtime.clock.now()
+        self.deps.runtime.clock.now()
     }
 
     fn authority_event(&mut self, event: AuthorityEvent) {
         let now = self.now();
         for action in self.holder.handle(now, event) {
-            self.carry_out(now, action);
+            self.execute_action(now, action);
         }
         self.publish_authority(now);
     }
 
-    /// Calls under way ask this right before they send.
+    /// Publishes the current authority, which calls in progress check right before they send.
     fn publish_authority(&self, now: Timestamp) {
-        let order_time = self.links.settings.control.order_time_limit;
+        let order_time = self.deps.settings.control.order_time_limit;
         let authority = self
             .holder
             .may_order(now, order_time)
@@ -127,13 +132,13 @@
             .send_if_modified(|current| std::mem::replace(current, authority) != authority);
     }
 
-    fn carry_out(&mut self, now: Timestamp, action: AuthorityAction) {
+    fn execute_action(&mut self, now: Timestamp, action: AuthorityAction) {
         match action {
             AuthorityAction::Call { number, call } => self.call_store(number, call),
-            AuthorityAction::BecameController { token } => self.take_office(now, token),
+            AuthorityAction::BecameController { token } => self.start_term(now, token),
             AuthorityAction::LostAuthority { token } => {
                 tracing::warn!(cell = %self.cell, %token, "authority over the cell ended");
-                self.office = None;
+                self.term = None;
             }
             AuthorityAction::ControllerSeen(holder) => {
                 let controller = KnownController {
@@ -142,42 +147,42 @@
                 };
                 self.announce(controller);
             }
-            AuthorityAction::Record(record) => self.links.decisions.keep(record),
+            AuthorityAction::Record(record) => self.deps.decisions.keep(record),
         }
     }
 
     fn announce(&self, controller: KnownController) {
         let cell = self.cell.clone();
-        tell(&self.links.peers, ControllerKnown { cell, controller });
+        tell(&self.deps.peers, ControllerKnown { cell, controller });
     }
 
-    fn take_office(&mut self, now: Timestamp, token: FencingToken) {
+    fn start_term(&mut self, now: Timestamp, token: FencingToken) {
         tracing::info!(cell = %self.cell, %token, "this daemon is the cell's controller");
         let engines = self.cell_engines().len();
-        let share = usize::from(self.links.settings.control.engines_away_percent);
+        let percent = usize::from(self.deps.settings.control.engines_away_percent);
         let orders = OrdersSettings {
-            maximum_unavailable: (engines * share / 100).max(LEAST_AWAY),
-            read_period: self.links.settings.control.reconcile_interval,
+            maximum_unavailable: (engines * percent / 100).max(MIN_UNAVAILABLE_LIMIT),
+            read_period: self.deps.settings.control.reconcile_interval,
             ..OrdersSettings::default()
         };
-        self.office = Some(Office::new(
+        self.term = Some(ControllerTerm::new(
             now,
             token,
             orders,
-            &self.links.settings.planner,
+            &self.deps.settings.planner,
         ));
         self.announce(KnownController {
-            machine: self.links.identity.machine,
+            machine: self.deps.identity.machine,
             token,
         });
     }
 
     fn cell_engines(&self) -> Vec<Machine> {
-        engines_of(&self.links.fleet.borrow(), &self.cell)
+        engines_of(&self.deps.fleet.borrow(), &self.cell)
     }
 }
 
-/// Engines of a cell.
+/// Returns the engines of a cell.
 pub(crate) fn engines_of(list: &MachineList, cell: &CellName) -> Vec<Machine> {
     let is_in_cell = |machine: &&Machine| matches!(&machine.kind, MachineKind::Engine { cell: its_cell } if its_cell == cell);
     list.machines.iter().filter(is_in_cell).cloned().collect()
@@ -194,40 +199,40 @@
     async fn stopped(self) {}
 }
 
-/// Time passed.
+/// Periodic tick.
 pub(crate) struct ControllerTick;
 
-/// The store answered.
+/// Result of a key-value store call.
 pub(crate) struct StoreAnswered {
     pub(crate) number: CallNumber,
     pub(crate) answer: StoreAnswer,
 }
 
-/// An engine answered, or did not.
+/// Result of an engine call, successful or not.
 pub(crate) struct EngineAnswered {
     pub(crate) token: FencingToken,
     pub(crate) event: OrdersEvent,
 }
 
-/// The load of the cell's engines was read for the planner.
+/// Load of the engines of the cell, read for the role planner.
 pub(crate) struct LoadRead {
     pub(crate) token: FencingToken,
     pub(crate) readings: BTreeMap<MachineId, ponddrift_engine::load::LoadSample>,
 }
 
-/// A peer told the controller something.
+/// Input from a peer daemon.
 pub(crate) struct PeerInput(pub(crate) ControllerInput);
 
-/// This daemon's place among the candidates of the cell.
-pub(crate) struct SetRank(pub(crate) Option<u32>);
+/// Sets the rank of this daemon among the controller candidates; `None` when it is not a candidate.
+pub(crate) struct SetCandidateRank(pub(crate) Option<u32>);
 
-/// The controller with this token is dead, as far as membership knows.
+/// Membership considers the controller with this token dead.
 pub(crate) struct ControllerDied(pub(crate) FencingToken);
 
-/// The process was frozen.
-pub(crate) struct Woke;
+/// The process was suspended and has resumed.
+pub(crate) struct ProcessResumed;
 
-/// This daemon stops by plan.
+/// Gives up the lease because this daemon is shutting down.
 pub(crate) struct StepDown;
 
 impl Handler<ControllerTick> for ControllerActor {
@@ -235,7 +240,7 @@
 
     async fn handle(&mut self, _message: ControllerTick, _context: &mut Context<Self>) {
         self.authority_event(AuthorityEvent::Tick);
-        self.tick_office();
+        self.tick_term();
     }
 }
 
@@ -253,9 +258,9 @@
 
     async fn handle(&mut self, message: EngineAnswered, _context: &mut Context<Self>) {
         if self
-            .office
+            .term
             .as_ref()
-            .is_some_and(|office| office.token == message.token)
+            .is_some_and(|term| term.token == message.token)
         {
             self.orders_event(message.event);
         }
@@ -267,12 +272,12 @@
 
     async fn handle(&mut self, message: LoadRead, _context: &mut Context<Self>) {
         let now = self.now();
-        if let Some(office) = self
-            .office
+        if let Some(term) = self
+            .term
             .as_mut()
-            .filter(|office| office.token == message.token)
+            .filter(|term| term.token == message.token)
         {
-            office.take_readings(now, message.readings);
+            term.apply_load_readings(now, message.readings);
         }
     }
 }
@@ -285,10 +290,10 @@
     }
 }
 
-impl Handler<SetRank> for ControllerActor {
+impl Handler<SetCandidateRank> for ControllerActor {
     type Return = ();
 
-    async fn handle(&mut self, message: SetRank, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: SetCandidateRank, _context: &mut Context<Self>) {
         self.authority_event(AuthorityEvent::RankChanged(message.0));
     }
 }
@@ -298,18 +303,18 @@
 
     async fn handle(&mut self, message: ControllerDied, _context: &mut Context<Self>) {
         let now = self.now();
-        let is_news = self.hinted.0 != message.0;
-        if is_news || now >= self.hinted.1 {
-            self.hinted = (message.0, now + self.links.settings.control.lease_time / 2);
+        let is_new_token = self.last_death_hint.0 != message.0;
+        if is_new_token || now >= self.last_death_hint.1 {
+            self.last_death_hint = (message.0, now + self.deps.settings.control.lease_time / 2);
             self.authority_event(AuthorityEvent::KeyRemoved);
         }
     }
 }
 
-impl Handler<Woke> for ControllerActor {
+impl Handler<ProcessResumed> for ControllerActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: Woke, _context: &mut Context<Self>) {
+    async fn handle(&mut self, _message: ProcessResumed, _context: &mut Context<Self>) {
         self.authority_event(AuthorityEvent::WokeAfterFreeze);
     }
 }
@@ -322,5 +327,5 @@
     }
 }
 
-/// Time between two ticks of a controller.
-pub(crate) const CONTROLLER_TICK: Duration = Duration::from_millis(100);
+/// Interval between two controller ticks.
+pub(crate) const CONTROLLER_TICK_PERIOD: Duration = Duration::from_millis(100);
--- a/crates/daemon/src/actors/controller/calls.rs
+++ b/crates/daemon/src/actors/controller/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the key-value service on behalf of the lease holder.
+//! Key-value store calls for the lease holder.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use super::{ControllerActor, StoreAnswered};
 use crate::actors::tell;
 
-/// Value of a controller's key.
+/// Value stored under the controller key of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 struct ControllerValue {
     machine: MachineId,
@@ -24,15 +24,15 @@
 impl ControllerActor {
     pub(super) fn call_store(&self, number: CallNumber, call: StoreCall) {
         let Some(own) = self.own.clone() else { return };
-        let store = std::sync::Arc::clone(&self.links.store);
+        let store = std::sync::Arc::clone(&self.deps.store);
         let key = controller_key(&self.cell);
         let value = ControllerValue {
-            machine: self.links.identity.machine,
-            incarnation: self.links.identity.incarnation,
+            machine: self.deps.identity.machine,
+            incarnation: self.deps.identity.incarnation,
         };
-        self.links.runtime.spawner.spawn(Box::pin(async move {
-            let made = make(store.as_ref(), key, value, call).await;
-            let answer = made.unwrap_or_else(|error| StoreAnswer::Failed(failure(&error)));
+        self.deps.runtime.spawner.spawn(Box::pin(async move {
+            let outcome = execute_call(store.as_ref(), key, value, call).await;
+            let answer = outcome.unwrap_or_else(|error| StoreAnswer::Failed(call_failure(&error)));
             if let Some(own) = own.try_upgrade() {
                 tell(&own, StoreAnswered { number, answer });
             }
@@ -40,7 +40,7 @@
     }
 }
 
-async fn make(
+async fn execute_call(
     store: &dyn KeyValueStore,
     key: String,
     value: ControllerValue,
@@ -99,7 +99,7 @@
     })
 }
 
-fn failure(error: &StoreError) -> CallFailure {
+fn call_failure(error: &StoreError) -> CallFailure {
     match error {
         StoreError::Unreachable { .. } => CallFailure::Unreachable,
         StoreError::RateLimited => CallFailure::RateLimited,
--- a/crates/daemon/src/actors/controller/engines.rs
+++ b/crates/daemon/src/actors/controller/engines.rs
@@ -1,4 +1,4 @@
-//! Calls of engines on behalf of the reconciler.
+//! Engine calls for the reconciler.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,10 +14,11 @@
 use crate::actors::tell;
 
 impl ControllerActor {
-    /// Whether a call may still be sent under `token`: asked when its connection stands.
+    /// Creates a check that calls run once connected, right before sending: the controller must
+    /// still hold authority under `token`.
     fn authority_check(&self, token: FencingToken) -> AuthorityCheck {
         let authority = self.authority.subscribe();
-        let clock = Arc::clone(&self.links.runtime.clock);
+        let clock = Arc::clone(&self.deps.runtime.clock);
         Arc::new(move || {
             let current = *authority.borrow();
             current.is_some_and(|held| held.token == token && clock.now() < held.until)
@@ -25,7 +26,7 @@
     }
 
     pub(super) fn engine_address(&self, engine: MachineId) -> Option<SocketAddr> {
-        let list = self.links.fleet.borrow();
+        let list = self.deps.fleet.borrow();
         list.machines
             .iter()
             .find(|machine| machine.id == engine)
@@ -35,16 +36,16 @@
     pub(super) fn claim(&self, engine: MachineId, token: FencingToken) {
         let Some(address) = self.engine_address(engine) else {
             let problem = EngineCallError::NotSent;
-            return self.answer_later(token, OrdersEvent::ClaimFailed { engine, problem });
+            return self.queue_event(token, OrdersEvent::ClaimFailed { engine, problem });
         };
-        let control = self.links.control.clone();
+        let control = self.deps.control.clone();
         let check = self.authority_check(token);
         self.spawn_call(token, async move {
             match control.claim(address, &ClaimRequest { token }, check).await {
                 Ok(report) => OrdersEvent::Claimed { engine, report },
                 Err(error) => OrdersEvent::ClaimFailed {
                     engine,
-                    problem: problem(error),
+                    problem: call_problem(error),
                 },
             }
         });
@@ -53,7 +54,7 @@
     pub(super) fn read_state(&self, token: FencingToken, engine: MachineId, number: ReadNumber) {
         let Some(address) = self.engine_address(engine) else {
             let report = None;
-            return self.answer_later(
+            return self.queue_event(
                 token,
                 OrdersEvent::Read {
                     engine,
@@ -62,7 +63,7 @@
                 },
             );
         };
-        let control = self.links.control.clone();
+        let control = self.deps.control.clone();
         self.spawn_call(token, async move {
             let report: Option<EngineReport> = control.state(address).await.ok();
             OrdersEvent::Read {
@@ -83,9 +84,9 @@
                 order_id,
                 problem,
             };
-            return self.answer_later(token, event);
+            return self.queue_event(token, event);
         };
-        let control = self.links.control.clone();
+        let control = self.deps.control.clone();
         let check = self.authority_check(token);
         self.spawn_call(token, async move {
             match control.order(address, &order, check).await {
@@ -97,13 +98,13 @@
                 Err(error) => OrdersEvent::OrderFailed {
                     engine,
                     order_id,
-                    problem: problem(error),
+                    problem: call_problem(error),
                 },
             }
         });
     }
 
-    fn answer_later(&self, token: FencingToken, event: OrdersEvent) {
+    fn queue_event(&self, token: FencingToken, event: OrdersEvent) {
         self.spawn_call(token, async move { event });
     }
 
@@ -112,7 +113,7 @@
         F: Future<Output = OrdersEvent> + Send + 'static,
     {
         let Some(own) = self.own.clone() else { return };
-        self.links.runtime.spawner.spawn(Box::pin(async move {
+        self.deps.runtime.spawner.spawn(Box::pin(async move {
             let event = call.await;
             if let Some(own) = own.try_upgrade() {
                 tell(&own, EngineAnswered { token, event });
@@ -120,11 +121,11 @@
         }));
     }
 
-    pub(super) fn orders_action(&mut self, action: OrdersAction) {
+    pub(super) fn execute_orders_action(&mut self, action: OrdersAction) {
         match action {
             OrdersAction::Claim { engine, token } => self.claim(engine, token),
             OrdersAction::ReadState { engine, number } => {
-                if let Some(token) = self.office.as_ref().map(|office| office.token) {
+                if let Some(token) = self.term.as_ref().map(|term| term.token) {
                     self.read_state(token, engine, number);
                 }
             }
@@ -139,12 +140,12 @@
                     newest,
                 });
             }
-            OrdersAction::Record(record) => self.links.decisions.keep(record),
+            OrdersAction::Record(record) => self.deps.decisions.keep(record),
         }
     }
 }
 
-fn problem(error: ControlError) -> EngineCallError {
+fn call_problem(error: ControlError) -> EngineCallError {
     match error {
         ControlError::Refused(refusal) => EngineCallError::Refused(refusal),
         ControlError::Call(error) if error.execution() == Execution::NotStarted => {
--- a/crates/daemon/src/actors/controller/wanted.rs
+++ b/crates/daemon/src/actors/controller/wanted.rs
@@ -1,4 +1,5 @@
-//! What the cell shall be: models by the configuration, roles by the planner and the pins.
+//! Computes the desired state of the cell: models from the configuration, roles from the planner
+//! and operator pins.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,26 +15,26 @@
 use super::ControllerActor;
 
 impl ControllerActor {
-    /// Tells the reconciler what is wanted, when that changed.
-    pub(super) fn want(&mut self, _now: Timestamp) {
+    /// Sends the desired state to the reconciler if it has changed.
+    pub(super) fn update_wanted_state(&mut self, _now: Timestamp) {
         let wanted = self.wanted_state();
-        let Some(office) = &mut self.office else {
+        let Some(term) = &mut self.term else {
             return;
         };
-        if office.wanted == wanted {
+        if term.wanted == wanted {
             return;
         }
-        office.wanted = wanted.clone();
+        term.wanted = wanted.clone();
         self.orders_event(OrdersEvent::DesiredChanged(wanted));
     }
 
-    /// The engines of the cell with the models they hold, or are about to.
+    /// Returns the live engines of the cell with the model that each holds or is about to load.
     pub(super) fn holding_engines(&self) -> Vec<EngineModel> {
-        let Some(office) = &self.office else {
+        let Some(term) = &self.term else {
             return Vec::new();
         };
         let target = |engine: MachineId| -> Option<ModelName> {
-            let wish = office
+            let wish = term
                 .wanted
                 .engines
                 .iter()
@@ -43,7 +44,7 @@
                 .map(|target| target.model.model.clone())
         };
         let holding = |machine: ponddrift_core::machine::Machine| {
-            let report = office.reconciler.report(machine.id);
+            let report = term.reconciler.report(machine.id);
             let held = report.and_then(|report| report.model.as_ref());
             let model = target(machine.id).or_else(|| held.map(|held| held.model.clone()));
             EngineModel {
@@ -58,16 +59,16 @@
     }
 
     fn wanted_state(&self) -> DesiredState {
-        let Some(office) = &self.office else {
+        let Some(term) = &self.term else {
             return DesiredState::default();
         };
-        let configuration = Arc::clone(&self.links.configuration.borrow());
+        let configuration = Arc::clone(&self.deps.configuration.borrow());
         let assigned = assign_models(&configuration, &self.holding_engines());
         let wish = |machine: ponddrift_core::machine::Machine| {
-            let report = office.reconciler.report(machine.id);
-            let planned = office.roles.get(&machine.id).copied();
+            let report = term.reconciler.report(machine.id);
+            let planned = term.roles.get(&machine.id).copied();
             let target = assigned.get(&machine.id).and_then(|model| {
-                let role = role_of(planned, report)?;
+                let role = target_role(planned, report)?;
                 Some(TargetState {
                     role,
                     model: model.clone(),
@@ -85,13 +86,14 @@
     }
 }
 
-/// The planned role; before the first plan the one the engine plays. An engine that is in no role and not
-/// planned yet has to wait for the plan.
-fn role_of(planned: Option<EngineRole>, report: Option<&EngineReport>) -> Option<EngineRole> {
+/// Returns the planned role, or the current role of the engine before the first plan. An engine
+/// without either has no target until the next plan.
+fn target_role(planned: Option<EngineRole>, report: Option<&EngineReport>) -> Option<EngineRole> {
     planned.or_else(|| report.and_then(|report| report.role))
 }
 
-/// The smallest share that the services of each model allow.
+/// Returns the rollout limit of each model: the smallest percentage that any of its services
+/// allows.
 fn rollouts(configuration: &Configuration) -> Vec<RolloutLimit> {
     let mut limits: BTreeMap<ModelName, u8> = BTreeMap::new();
     for service in configuration.services.values() {
--- a/crates/daemon/src/actors/peer/demand.rs
+++ b/crates/daemon/src/actors/peer/demand.rs
@@ -1,4 +1,4 @@
-//! Telling the controllers what arrived at this daemon.
+//! Reports the demand observed by this daemon to the controllers of the cells.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,19 @@
 
 use super::PeerActor;
 
-/// Engines of each cell that hold a model.
-type Holders = BTreeMap<CellName, usize>;
+/// Number of engines, by cell.
+type EngineCounts = BTreeMap<CellName, usize>;
 
 impl PeerActor {
-    /// Splits the demand over the cells by their engines, and tells each cell's controller its part.
+    /// Splits the demand among the cells in proportion to their engines and sends each controller
+    /// its share.
     pub(super) fn report_demand(&mut self, demand: &BTreeMap<ModelName, Vec<LevelDemand>>) {
         let mut reports: BTreeMap<CellName, Vec<ModelDemand>> = BTreeMap::new();
         for (model, levels) in demand {
-            let holders = self.holders(model);
-            let all: usize = holders.values().sum();
-            for (cell, engines) in holders {
-                let report = report_for_cell(model, levels, engines, all);
+            let engine_counts = self.engine_counts(model);
+            let total: usize = engine_counts.values().sum();
+            for (cell, engines) in engine_counts {
+                let report = report_for_cell(model, levels, engines, total);
                 reports.entry(cell).or_default().push(report);
             }
         }
@@ -32,22 +33,27 @@
         }
     }
 
-    /// Engines that hold the model, by cell; all engines while none is known to hold it.
-    fn holders(&self, model: &ModelName) -> Holders {
-        let list = self.links.fleet.borrow();
-        let mut holding = Holders::new();
-        let mut all = Holders::new();
+    /// Counts the engines that hold the model, by cell; counts all engines if none is known to hold
+    /// it.
+    fn engine_counts(&self, model: &ModelName) -> EngineCounts {
+        let list = self.deps.fleet.borrow();
+        let mut holding = EngineCounts::new();
+        let mut all_engines = EngineCounts::new();
         for machine in &list.machines {
             let MachineKind::Engine { cell } = &machine.kind else {
                 continue;
             };
-            *all.entry(cell.clone()).or_default() += 1;
+            *all_engines.entry(cell.clone()).or_default() += 1;
             let facts = self.facts.get(machine.id);
             let held = facts.and_then(|facts| facts.model.as_ref());
             if held.is_some_and(|held| held.model == *model) {
                 *holding.entry(cell.clone()).or_default() += 1;
             }
         }
-        if holding.is_empty() { all } else { holding }
+        if holding.is_empty() {
+            all_engines
+        } else {
+            holding
+        }
     }
 }
--- a/crates/daemon/src/actors/peer/drains.rs
+++ b/crates/daemon/src/actors/peer/drains.rs
@@ -1,4 +1,5 @@
-//! Drain marks at this daemon: routing stops, comes to rest, and the controller is told.
+//! Applies drain marks: routing to the back end stops, and once no request is in flight the drain
+//! is acknowledged to the controller. Also renews the views that routing depends on.
 
 use std::time::Duration;
 
@@ -11,54 +12,56 @@
 
 use super::cells::CellMap;
 use super::{KnownController, PeerActor};
-use crate::actors::routing::{IsAtRest, Observe, ViewValid};
+use crate::actors::routing::{ExtendViewValidity, IsIdle, Observe};
 use crate::actors::{ask, tell};
 
-/// How long routing may go on without a tick of this actor: a frozen process must not route on waking.
-const TICK_VALIDITY: Duration = Duration::from_millis(1_000);
-/// How long a reading of the machine list stands in for the marks of peers, from its begin.
-const LIST_VALIDITY: Duration = Duration::from_millis(2_500);
-/// Time between two pulls while this daemon catches up: each opens connections to a peer.
+/// How long routing may continue after the last tick of this actor. This must stay short: a process
+/// that resumes after a suspension must not route on an old view.
+const VIEW_VALIDITY_AFTER_TICK: Duration = Duration::from_millis(1_000);
+/// How long a machine list can replace the drain marks of peers, counted from the start of the
+/// read.
+const MACHINE_LIST_VALIDITY: Duration = Duration::from_millis(2_500);
+/// Interval between two pulls while catching up; each pull opens a connection to a peer.
 const CATCH_UP_PERIOD: Duration = Duration::from_millis(500);
-/// Peers that are told of a new controller.
+/// Number of peers that are told of a new controller.
 const CONTROLLER_FANOUT: usize = 4;
-/// Without a peer that answers, a daemon that has just started waits so long before it believes that it is
-/// the only one.
-const ALONE_AFTER: Duration = Duration::from_secs(3);
+/// Time after which a daemon that finds no peers assumes that it is the only daemon.
+const SINGLE_DAEMON_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl PeerActor {
-    pub(super) fn read_fleet(&mut self) {
+    pub(super) fn apply_machine_list(&mut self) {
         let now = self.now();
-        let list = self.links.fleet.borrow().clone();
-        let own = self.links.identity.machine;
+        let list = self.deps.fleet.borrow().clone();
+        let own = self.deps.identity.machine;
         self.member_event(MembershipEvent::SeedsRead(seeds(&list, own)));
         self.cells = CellMap::new(&list);
         let cells = &self.cells;
-        self.given.retain(|engine, _digest| cells.has(*engine));
+        self.own_digests
+            .retain(|engine, _digest| cells.has(*engine));
         for cell in self.cells.names() {
             self.views.subscribe(cell.clone());
         }
-        self.subscribe_to_cells();
+        self.update_subscriptions();
         for action in self.drains.apply_machine_list(now, &list) {
-            self.drain_action(action);
+            self.execute_drain_action(action);
         }
-        self.list_taken = list.revision;
-        self.directory_is_stale();
+        self.applied_list_revision = list.revision;
+        self.mark_directory_stale();
         self.refresh_directory();
-        self.update_standing();
+        self.publish_view_validity();
     }
 
     pub(super) fn apply_mark(&mut self, mark: DrainMark) {
         let now = self.now();
         if let Some(action) = self.drains.apply_mark(now, mark) {
-            self.drain_action(action);
+            self.execute_drain_action(action);
         }
     }
 
-    fn drain_action(&mut self, action: DrainAction) {
+    fn execute_drain_action(&mut self, action: DrainAction) {
         match action {
             DrainAction::StopRouting { back_end, version } => {
-                self.ask_for_unknown_controller(back_end, version);
+                self.request_view_for_unknown_controller(back_end, version);
                 self.set_draining(back_end, true);
                 self.unacknowledged.insert(back_end, version);
             }
@@ -69,13 +72,13 @@
         }
     }
 
-    /// A mark of a controller that is not known here: its cell's view names it, so that it gets the
-    /// acknowledgement.
-    fn ask_for_unknown_controller(&mut self, back_end: MachineId, version: DrainVersion) {
+    /// Requests the view of the cell if the mark comes from an unknown controller: the answer names
+    /// the controller, which needs the acknowledgement.
+    fn request_view_for_unknown_controller(&mut self, back_end: MachineId, version: DrainVersion) {
         let Some(cell) = self.cell_of(back_end) else {
             return;
         };
-        let known = self.links.controllers.borrow().get(&cell).copied();
+        let known = self.deps.controllers.borrow().get(&cell).copied();
         if known.is_none_or(|known| known.token < version.token) {
             let now = self.now();
             self.views.request_soon(now, &cell);
@@ -85,7 +88,7 @@
     fn set_draining(&mut self, back_end: MachineId, draining: bool) {
         self.directory.note_draining(back_end, draining);
         tell(
-            &self.links.routing,
+            &self.deps.routing,
             Observe(RoutingEvent::Draining { back_end, draining }),
         );
     }
@@ -93,12 +96,13 @@
     pub(super) async fn tick_drains(&mut self) {
         let now = self.now();
         self.catch_up(now);
-        self.ask_for_views(now);
-        self.update_standing();
+        self.request_views(now);
+        self.publish_view_validity();
         self.acknowledge().await;
     }
 
-    /// After a start or a freeze the marks are compared with a peer's before they are trusted.
+    /// Pulls drain marks from a peer after a start, a suspension or an isolation. Until they have
+    /// arrived, the local marks are not trusted.
     fn catch_up(&mut self, now: Timestamp) {
         let contact = self.membership.contact(now);
         if contact == Contact::Isolated {
@@ -116,42 +120,44 @@
         let peers = self.membership.random_peers(1);
         if let Some(peer) = peers.first() {
             self.pull(peer.peer_address, Request::PullDrainMarks);
-            if !self.pulled_facts {
+            if !self.has_pulled_facts {
                 self.pull(peer.peer_address, Request::PullEngineFacts);
             }
-        } else if contact == Contact::Alone && self.time_since(since) >= ALONE_AFTER {
+        } else if contact == Contact::Alone && self.time_since(since) >= SINGLE_DAEMON_TIMEOUT {
             self.views.caught_up();
             self.must_catch_up = false;
         }
     }
 
-    fn ask_for_views(&mut self, now: Timestamp) {
+    fn request_views(&mut self, now: Timestamp) {
         let contact = self.membership.contact(now);
         for request in self.views.tick(now, contact) {
-            let controller = self.view_source(&request.cell);
+            let controller = self.view_request_address(&request.cell);
             let part = Part::ViewRequest {
                 cell: request.cell,
                 number: request.number,
             };
             match controller {
                 Some(address) => self.outbox.add(address, part),
-                None => self.ask_anyone(part),
+                None => self.request_view_from_peers(part),
             }
         }
     }
 
-    /// Where a cell's view is asked for; none where peers are to be asked.
-    fn view_source(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
-        let known = self.links.controllers.borrow().get(cell).copied();
+    /// Returns the address of the controller to ask for the view of a cell, or `None` if peers must
+    /// be asked instead.
+    fn view_request_address(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
+        let known = self.deps.controllers.borrow().get(cell).copied();
         let known = known.map(|known| known.machine);
-        match ViewSource::new(known, self.links.identity.machine) {
+        match ViewSource::new(known, self.deps.identity.machine) {
             ViewSource::Controller(_) => self.controller_address(cell),
             ViewSource::Peers => None,
         }
     }
 
-    /// Without a known controller, peers are asked: they point to it.
-    fn ask_anyone(&mut self, part: Part) {
+    /// Sends a view request to random peers and to this daemon itself, which forward it or name the
+    /// controller.
+    fn request_view_from_peers(&mut self, part: Part) {
         let own_address = self.membership.own().peer_address;
         self.outbox.add(own_address, part.clone());
         for peer in self.membership.random_peers(2) {
@@ -159,17 +165,18 @@
         }
     }
 
-    /// Tells routing until when it may route to each cell.
-    pub(super) fn update_standing(&mut self) {
+    /// Tells routing until when the view of each cell is valid, and publishes whether this daemon
+    /// has caught up.
+    pub(super) fn publish_view_validity(&mut self) {
         let now = self.now();
         let contact = self.membership.contact(now);
-        let until = now + TICK_VALIDITY;
+        let until = now + VIEW_VALIDITY_AFTER_TICK;
         let cells: Vec<CellName> = self.views.cells().cloned().collect();
         for cell in cells {
             if self.views.status(&cell, now, contact) != ViewStatus::Unusable {
                 tell(
-                    &self.links.routing,
-                    ViewValid {
+                    &self.deps.routing,
+                    ExtendViewValidity {
                         cell: Some(cell),
                         until,
                     },
@@ -177,29 +184,30 @@
             }
         }
         if let Some(until) = self.plain_view_until(now) {
-            tell(&self.links.routing, ViewValid { cell: None, until });
+            tell(&self.deps.routing, ExtendViewValidity { cell: None, until });
         }
-        let is_caught_up = !self.must_catch_up && self.links.fleet.borrow().revision > 0;
-        if is_caught_up != *self.links.caught_up.borrow() {
-            self.links.caught_up.send_replace(is_caught_up);
+        let is_caught_up = !self.must_catch_up && self.deps.fleet.borrow().revision > 0;
+        if is_caught_up != *self.deps.caught_up.borrow() {
+            self.deps.caught_up.send_replace(is_caught_up);
         }
     }
 
-    /// Until when this daemon may route to plain back ends. They have no controller: their marks come from
-    /// peers, or, where none can be asked, from the machine list as this daemon has just read it.
+    /// Returns until when this daemon may route to plain back ends. They have no controller: their
+    /// drain marks come from peers or, if no peer can be asked, from a machine list that was read
+    /// recently.
     fn plain_view_until(&self, now: Timestamp) -> Option<Timestamp> {
-        let until = now + TICK_VALIDITY;
+        let until = now + VIEW_VALIDITY_AFTER_TICK;
         if !self.must_catch_up {
             return Some(until);
         }
-        let list_is_taken = self.links.fleet.borrow().revision == self.list_taken;
-        let confirmed = *self.links.list_confirmed.borrow();
-        let confirmed_until = confirmed + LIST_VALIDITY;
-        let is_confirmed = confirmed > Timestamp::ZERO && list_is_taken && now < confirmed_until;
+        let is_list_applied = self.deps.fleet.borrow().revision == self.applied_list_revision;
+        let confirmed = *self.deps.machine_list_confirmed_at.borrow();
+        let confirmed_until = confirmed + MACHINE_LIST_VALIDITY;
+        let is_confirmed = confirmed > Timestamp::ZERO && is_list_applied && now < confirmed_until;
         is_confirmed.then(|| until.min(confirmed_until))
     }
 
-    /// Acknowledges the drains for which this daemon has nothing under way any more.
+    /// Acknowledges drains of back ends that have no request of this daemon in flight.
     async fn acknowledge(&mut self) {
         let waiting: Vec<(MachineId, DrainVersion)> = self
             .unacknowledged
@@ -207,7 +215,7 @@
             .map(|(back_end, version)| (*back_end, *version))
             .collect();
         for (back_end, _version) in waiting {
-            if !ask(&self.links.routing, IsAtRest(back_end))
+            if !ask(&self.deps.routing, IsIdle(back_end))
                 .await
                 .unwrap_or(false)
             {
@@ -217,7 +225,7 @@
                 self.unacknowledged.remove(&back_end);
                 continue;
             };
-            // Sent again at each tick until the mark is released: a lost one does no harm.
+            // Repeated at each tick until the mark is released, so a lost datagram is harmless.
             if let Some(address) = self.controller_of(back_end) {
                 self.outbox.add(address, Part::DrainAcks(vec![ack]));
             }
@@ -228,9 +236,10 @@
         self.controller_address(&self.cell_of(back_end)?)
     }
 
-    /// Where a cell's controller is reached. One that is not live (any more) has a successor, or will.
+    /// Returns the address of the known controller of a cell, or `None` if it is not live; it will
+    /// be replaced.
     pub(super) fn controller_address(&self, cell: &CellName) -> Option<std::net::SocketAddr> {
-        let known = self.links.controllers.borrow().get(cell).copied()?;
+        let known = self.deps.controllers.borrow().get(cell).copied()?;
         let record = self.membership.member(known.machine)?;
         record.state.is_live().then_some(record.peer_address)
     }
@@ -239,19 +248,20 @@
         self.cells.cell_of(back_end).cloned()
     }
 
-    /// Learns of a controller, and passes the news on.
-    pub(super) fn learn_controller(&mut self, cell: CellName, news: KnownController) {
-        let is_newer = self.links.controllers.send_if_modified(|known| {
-            let is_newer = known.get(&cell).is_none_or(|old| news.token > old.token);
+    /// Records a controller of a cell. If it is newer than the known one, forwards it to random
+    /// peers.
+    pub(super) fn learn_controller(&mut self, cell: CellName, learned: KnownController) {
+        let is_newer = self.deps.controllers.send_if_modified(|known| {
+            let is_newer = known.get(&cell).is_none_or(|old| learned.token > old.token);
             if is_newer {
-                known.insert(cell.clone(), news);
+                known.insert(cell.clone(), learned);
             }
             is_newer
         });
         if !is_newer {
             return;
         }
-        let KnownController { machine, token } = news;
+        let KnownController { machine, token } = learned;
         for peer in self.membership.random_peers(CONTROLLER_FANOUT) {
             let part = Part::Controller {
                 cell: cell.clone(),
@@ -263,7 +273,7 @@
     }
 }
 
-/// Seeds of the machine list: the other daemons' peer addresses.
+/// Membership seeds: the peer addresses of the other daemons in the machine list.
 fn seeds(list: &MachineList, own: MachineId) -> Vec<Seed> {
     let is_peer =
         |machine: &&Machine| matches!(machine.kind, MachineKind::Daemon) && machine.id != own;
--- a/crates/daemon/src/actors/peer/gossip.rs
+++ b/crates/daemon/src/actors/peer/gossip.rs
@@ -1,4 +1,4 @@
-//! What is passed on to peers, and how often.
+//! Gossip of drain marks and engine facts, and periodic digest exchange with peers.
 
 use std::time::Duration;
 
@@ -9,18 +9,19 @@
 use super::PeerActor;
 use crate::polling::EngineObservation;
 
-/// Time between two rounds of gossip of marks and facts.
+/// Interval between two gossip rounds.
 const GOSSIP_PERIOD: Duration = Duration::from_millis(200);
-/// Peers told in one round.
+/// Number of peers that receive each gossip round.
 const GOSSIP_FANOUT: usize = 3;
-/// Peers told at once of a new configuration.
+/// Number of peers that are told immediately of a new configuration.
 const CONFIGURATION_FANOUT: usize = 4;
-/// Time between two comparisons with one peer: configuration, marks and facts.
-const COMPARISON_PERIOD: Duration = Duration::from_secs(2);
-/// Marks in one datagram.
-const MARKS_AT_ONCE: usize = 16;
-/// Facts in one datagram.
-const FACTS_AT_ONCE: usize = 8;
+/// Interval between two digest exchanges. Each one compares configuration, shard map, marks and
+/// facts with one peer.
+const DIGEST_EXCHANGE_PERIOD: Duration = Duration::from_secs(2);
+/// Maximum number of drain marks in one part.
+const MARKS_PER_PART: usize = 16;
+/// Maximum number of engine facts in one part.
+const FACTS_PER_PART: usize = 8;
 
 impl PeerActor {
     pub(super) fn tick_gossip(&mut self) {
@@ -29,17 +30,17 @@
             self.next_gossip = now + GOSSIP_PERIOD;
             self.gossip_now();
         }
-        if now >= self.next_comparison {
-            self.next_comparison = now + COMPARISON_PERIOD;
-            self.compare_with_one();
+        if now >= self.next_digest_exchange {
+            self.next_digest_exchange = now + DIGEST_EXCHANGE_PERIOD;
+            self.send_digests_to_random_peer();
         }
     }
 
-    /// One round of gossip, if there is something to tell.
+    /// Runs one gossip round if there are new marks or facts.
     pub(super) fn gossip_now(&mut self) {
         let now = self.now();
-        let marks = self.drains.take_for_gossip(now, MARKS_AT_ONCE);
-        let facts = self.facts.take_for_gossip(FACTS_AT_ONCE);
+        let marks = self.drains.take_for_gossip(now, MARKS_PER_PART);
+        let facts = self.facts.take_for_gossip(FACTS_PER_PART);
         if marks.is_empty() && facts.is_empty() {
             return;
         }
@@ -55,13 +56,14 @@
         }
     }
 
-    /// Tells one peer where this daemon stands, so that whoever missed gossip catches up.
-    fn compare_with_one(&mut self) {
+    /// Sends the current revisions and digests to one peer, so that a peer that missed gossip
+    /// notices and catches up.
+    fn send_digests_to_random_peer(&mut self) {
         for peer in self.membership.random_peers(1) {
             let target = peer.peer_address;
             self.outbox
                 .add(target, Part::ConfigurationInForce(self.configuration));
-            let epoch = self.links.shard_map.borrow().epoch;
+            let epoch = self.deps.shard_map.borrow().epoch;
             self.outbox.add(target, Part::ShardMapEpoch(epoch));
             self.outbox
                 .add(target, Part::DrainDigest(self.drains.digest()));
@@ -70,7 +72,7 @@
         }
     }
 
-    pub(super) fn spread_configuration(&mut self) {
+    pub(super) fn announce_configuration(&mut self) {
         for peer in self.membership.random_peers(CONFIGURATION_FANOUT) {
             self.outbox.add(
                 peer.peer_address,
@@ -79,44 +81,48 @@
         }
     }
 
-    /// Takes what a poll of this daemon showed. Returns the digest to tell others.
-    pub(super) fn observed(&mut self, observation: EngineObservation) -> AgedDigest {
+    /// Records the result of polling an engine. Returns the load digest to send to subscribers.
+    pub(super) fn record_observation(&mut self, observation: EngineObservation) -> AgedDigest {
         let EngineObservation { facts, mut digest } = observation;
         if facts.is_some_and(|facts| self.facts.observe(facts)) {
-            self.directory_is_stale();
+            self.mark_directory_stale();
         }
         digest.sequence = self.next_sequence(&digest);
         let aged = AgedDigest { digest, age_ms: 0 };
-        self.take_digest(aged);
+        self.apply_digest(aged);
         aged
     }
 
-    /// The number after the last one heard, and after the last one given here: whoever polls an engine of a cell
-    /// whose load it does not share hears no numbers.
+    /// Returns the next sequence number for a digest: one more than the highest of the last
+    /// received digest and the last one made here. The latter is needed because a daemon that polls
+    /// an engine without subscribing to its cell receives no digests of it.
     fn next_sequence(&mut self, digest: &LoadDigest) -> u32 {
-        let heard = self.load.get(self.now(), digest.engine);
-        let heard = heard.map(|known| known.digest);
-        let given = self.given.get(&digest.engine).copied();
-        let of_this_life = |other: &LoadDigest| other.incarnation == digest.incarnation;
-        let last = heard.into_iter().chain(given).filter(of_this_life);
+        let received = self.load.get(self.now(), digest.engine);
+        let received = received.map(|known| known.digest);
+        let last_own = self.own_digests.get(&digest.engine).copied();
+        let is_same_incarnation = |other: &LoadDigest| other.incarnation == digest.incarnation;
+        let last = received
+            .into_iter()
+            .chain(last_own)
+            .filter(is_same_incarnation);
         let last = last.map(|other| other.sequence).max();
         let sequence = last.map_or(0, |last| last.saturating_add(1));
         let numbered = LoadDigest {
             sequence,
             ..*digest
         };
-        self.given.insert(digest.engine, numbered);
+        self.own_digests.insert(digest.engine, numbered);
         sequence
     }
 
-    /// The next refresh must look at every back end.
-    pub(super) fn directory_is_stale(&mut self) {
+    /// Makes the next refresh check every back end.
+    pub(super) fn mark_directory_stale(&mut self) {
         self.directory.mark_stale();
     }
 
-    /// Tells routing what changed in the machine list or in the facts.
+    /// Sends changes of the machine list and of engine facts to routing.
     pub(super) fn refresh_directory(&mut self) {
-        let list = self.links.fleet.borrow().clone();
+        let list = self.deps.fleet.borrow().clone();
         self.directory.refresh(&list, &self.facts, &self.drains);
     }
 
--- a/crates/daemon/src/actors/peer/receive.rs
+++ b/crates/daemon/src/actors/peer/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams of peers.
+//! Handles datagrams and pull answers from peers.
 
 use std::net::SocketAddr;
 
@@ -10,15 +10,15 @@
 use xtra::{Context, Handler};
 
 use super::{ControllerInput, KnownController, PeerActor};
-use crate::actors::claims::TakeShardMap;
-use crate::actors::configuration::{NotePeer, TakePullAnswer};
+use crate::actors::claims::ApplyShardMap;
+use crate::actors::configuration::{ApplyPullAnswer, RecordPeerRevision};
 use crate::actors::routing::Observe;
 use crate::actors::tell;
 
-/// Datagrams of peers came, with their senders' addresses.
+/// Received datagrams with the addresses of their senders.
 pub(crate) struct Received(pub(crate) Vec<(SocketAddr, Datagram)>);
 
-/// A peer answered a pull of facts or marks.
+/// A peer answered a pull of drain marks, engine facts or the shard map.
 pub(crate) struct PullAnswered {
     pub(crate) asked: Timestamp,
     pub(crate) response: Response,
@@ -30,7 +30,7 @@
     async fn handle(&mut self, message: Received, _context: &mut Context<Self>) {
         for (from, datagram) in message.0 {
             for part in datagram.body {
-                self.take_part(from, datagram.sender, datagram.incarnation, part);
+                self.handle_part(from, datagram.sender, datagram.incarnation, part);
             }
         }
         self.flush().await;
@@ -46,7 +46,7 @@
                 for mark in marks {
                     self.apply_mark(mark);
                 }
-                if message.asked >= self.trust_answers_from {
+                if message.asked >= self.trusted_pulls_since {
                     self.views.caught_up();
                     self.must_catch_up = false;
                 }
@@ -54,21 +54,21 @@
             Response::EngineFacts(all) => {
                 for facts in all {
                     if self.facts.merge(facts) {
-                        self.directory_is_stale();
+                        self.mark_directory_stale();
                     }
                 }
-                self.pulled_facts = true;
+                self.has_pulled_facts = true;
                 self.refresh_directory();
             }
-            Response::ShardMap(map) => tell(&self.links.claims, TakeShardMap(map)),
+            Response::ShardMap(map) => tell(&self.deps.claims, ApplyShardMap(map)),
             _ => {}
         }
-        self.update_standing();
+        self.publish_view_validity();
     }
 }
 
 impl PeerActor {
-    fn take_part(
+    fn handle_part(
         &mut self,
         from: SocketAddr,
         sender: MachineId,
@@ -84,19 +84,19 @@
             }),
             Part::Load(digests) => {
                 for digest in digests {
-                    self.take_digest(digest);
+                    self.apply_digest(digest);
                 }
             }
             Part::EngineFacts(all) => {
                 for facts in all {
                     if self.facts.merge(facts) {
-                        self.directory_is_stale();
+                        self.mark_directory_stale();
                     }
                 }
                 self.refresh_directory();
             }
             Part::ShardMapEpoch(epoch) => {
-                let known = self.links.shard_map.borrow().epoch;
+                let known = self.deps.shard_map.borrow().epoch;
                 if epoch > known {
                     self.pull(from, Request::PullShardMap);
                 } else if epoch < known {
@@ -128,14 +128,14 @@
                         incarnation,
                         ack,
                     };
-                    self.to_controller(cell, input);
+                    self.forward_to_controller(cell, input);
                 }
             }
             Part::Demand { cell, models } => {
-                self.to_controller(cell, ControllerInput::Demand(models));
+                self.forward_to_controller(cell, ControllerInput::Demand(models));
             }
             Part::ViewRequest { cell, number } => {
-                self.take_view_request(from, (sender, incarnation), cell, number);
+                self.handle_view_request(from, (sender, incarnation), cell, number);
             }
             Part::View {
                 cell,
@@ -152,12 +152,12 @@
                     self.apply_mark(mark);
                 }
                 if self.views.accept_answer(&cell, number, token) {
-                    self.update_standing();
+                    self.publish_view_validity();
                 }
             }
             Part::ConfigurationInForce(revision) => {
-                self.note_configuration(sender, incarnation, revision);
-                self.compare_configuration(from, revision);
+                self.record_peer_revision(sender, incarnation, revision);
+                self.sync_configuration(from, revision);
             }
             Part::ConfigurationQuery => {
                 self.outbox
@@ -179,15 +179,15 @@
         }
     }
 
-    fn take_view_request(
+    fn handle_view_request(
         &mut self,
         from: SocketAddr,
         (daemon, incarnation): (MachineId, Incarnation),
         cell: CellName,
         number: u64,
     ) {
-        let own = self.links.identity.machine;
-        let known = self.links.controllers.borrow().get(&cell).copied();
+        let own = self.deps.identity.machine;
+        let known = self.deps.controllers.borrow().get(&cell).copied();
         match known {
             Some(known) if known.machine != own && self.controller_address(&cell).is_some() => {
                 let KnownController {
@@ -210,21 +210,21 @@
                     from,
                     number,
                 };
-                self.to_controller(cell, input);
+                self.forward_to_controller(cell, input);
             }
         }
     }
 
-    fn to_controller(&self, cell: CellName, input: ControllerInput) {
-        // Without a controller task the daemon is stopping.
-        let _stopping = self.links.controller_inputs.send((cell, input));
+    fn forward_to_controller(&self, cell: CellName, input: ControllerInput) {
+        // The receiver is gone only while the daemon is shutting down.
+        let _stopping = self.deps.controller_inputs.send((cell, input));
     }
 
-    pub(super) fn take_digest(&mut self, aged: AgedDigest) {
+    pub(super) fn apply_digest(&mut self, aged: AgedDigest) {
         let now = self.now();
         if self.load.take(now, aged) {
             tell(
-                &self.links.routing,
+                &self.deps.routing,
                 Observe(RoutingEvent::Digest(aged.digest)),
             );
         }
@@ -235,37 +235,38 @@
         Some(record.life.incarnation)
     }
 
-    pub(super) fn note_configuration(
+    pub(super) fn record_peer_revision(
         &self,
         peer: MachineId,
         incarnation: Incarnation,
         revision: Revision,
     ) {
-        let note = NotePeer {
+        let note = RecordPeerRevision {
             peer,
             incarnation,
             revision,
         };
-        tell(&self.links.configuration, note);
+        tell(&self.deps.configuration, note);
     }
 
-    /// Pulls from a peer that is ahead; tells one that is behind.
-    fn compare_configuration(&mut self, from: SocketAddr, theirs: Revision) {
-        if theirs < self.configuration {
+    /// Pulls the configuration from a peer with a later revision; tells a peer with an earlier one
+    /// the local revision.
+    fn sync_configuration(&mut self, from: SocketAddr, peer_revision: Revision) {
+        if peer_revision < self.configuration {
             self.outbox
                 .add(from, Part::ConfigurationInForce(self.configuration));
             return;
         }
-        if theirs == self.configuration {
+        if peer_revision == self.configuration {
             return;
         }
         let since = self.configuration;
-        let client = self.links.client.clone();
-        let configuration = self.links.configuration.clone();
+        let client = self.deps.client.clone();
+        let configuration = self.deps.configuration.clone();
         self.runtime.spawner.spawn(Box::pin(async move {
             match client.ask(from, Request::PullConfiguration { since }).await {
                 Ok(Response::Configuration(answer)) => {
-                    tell(&configuration, TakePullAnswer(answer));
+                    tell(&configuration, ApplyPullAnswer(answer));
                 }
                 Ok(_other) => {}
                 Err(error) => tracing::debug!(%error, "configuration not pulled"),
@@ -273,10 +274,10 @@
         }));
     }
 
-    /// Asks a peer over a stream; the answer comes back as a message.
+    /// Sends a request to a peer over a stream. The answer arrives as [`PullAnswered`].
     pub(super) fn pull(&self, target: SocketAddr, request: Request) {
         let Some(own) = self.own.clone() else { return };
-        let client = self.links.client.clone();
+        let client = self.deps.client.clone();
         let asked = self.now();
         self.runtime.spawner.spawn(Box::pin(async move {
             match client.ask(target, request).await {
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Placements as operators read them: what was chosen, and why.
+//! Records placements in the decision log, in a form readable by operators.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use super::GatewayContext;
 use super::permit::Permit;
 
-/// Notes that a request is sent where `placement` says.
+/// Records the placement of a request and the reason for it.
 pub(super) fn record(
     context: &GatewayContext,
     permit: &Permit,
     request: RequestId,
     placement: &Placement,
 ) {
-    permit.placed(placement.plan);
+    permit.record_placement(placement.plan);
     context.decisions.record(
         DecisionKind::Placement,
         request,
