--- a/crates/daemon/src/operator/tables/machines.rs
+++ b/crates/daemon/src/operator/tables/machines.rs
@@ -32,10 +32,10 @@
     match tables.standings.get(&back_end)?.eligibility {
         Eligibility::InService => None,
         Eligibility::Probe => Some(String::from(
-            "excluded by this daemon after failures; one request is probing it",
+            "set aside by this daemon after failures; one request probes it now",
         )),
         Eligibility::Ejected { until } => Some(format!(
-            "excluded by this daemon after failures, for another {} ms",
+            "set aside by this daemon after failures, for {} ms more",
             until.since(tables.now).as_millis()
         )),
     }
@@ -72,10 +72,7 @@
         return ("leaving", drain_text(mark));
     }
     if machine.state == MachineState::Leaving {
-        return (
-            "leaving",
-            String::from("the machine list marks it as leaving"),
-        );
+        return ("leaving", String::from("the machine list says so"));
     }
     match failure_text(tables, machine.id) {
         Some(reason) => ("unreachable", reason),
