--- a/crates/fleet/src/placement/costs.rs
+++ b/crates/fleet/src/placement/costs.rs
@@ -70,8 +70,8 @@
 }
 
 impl Placement {
-    /// Suitable back ends of the best [`Eligibility`] available, without closed ones. Back ends that
-    /// are usable only at need are returned if there are no better ones.
+    /// Suitable back ends of the best [`Eligibility`] available, without excluded ones. Back ends that
+    /// are only a fallback are returned if there are no better ones.
     pub(super) fn usable(
         &self,
         ready: &[Arc<BackEnd>],
@@ -92,11 +92,11 @@
         suitable
             .into_iter()
             .filter(|(eligibility, _back_end)| Some(*eligibility) == best)
-            .map(|(_usability, back_end)| Arc::clone(back_end))
+            .map(|(_eligibility, back_end)| Arc::clone(back_end))
             .collect()
     }
 
-    /// Usability of a back end for a request that has already been sent to `tried`.
+    /// Eligibility of a back end for a request that has already been sent to `tried`.
     #[must_use]
     pub fn eligibility(&self, back_end: &BackEnd, tried: &[Arc<str>], now: Instant) -> Eligibility {
         let is_allowed = self.rate_limits.allowance(back_end, now) == Allowance::Now;
--- a/crates/serving/src/full_read.rs
+++ b/crates/serving/src/full_read.rs
@@ -113,7 +113,7 @@
     }
 
     /// Reads the remaining pages from peers. Returns the revision after which changes are to be
-    /// followed, or `None` if no peer provided another page within the plan's patience.
+    /// followed, or `None` if no peer provided another page within the plan's fallback time.
     pub(crate) async fn read_peers(
         &mut self,
         runtime: &Runtime,
